--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -28,11 +28,17 @@
     /// It may have been carried out, or may still be.
     #[error("no answer: {0}")]
     Unknown(String),
+    /// Answered with more than [`Pool::most_body`]: it may have been carried out.
+    #[error("the answer is too large")]
+    TooLarge,
 }
 
 impl From<io::Error> for Failure {
     fn from(error: io::Error) -> Self {
-        Self::Unknown(error.to_string())
+        match error.kind() {
+            io::ErrorKind::FileTooLarge => Self::TooLarge,
+            _ => Self::Unknown(error.to_string()),
+        }
     }
 }
 
@@ -170,6 +176,10 @@
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
+fn too_large() -> io::Error {
+    io::ErrorKind::FileTooLarge.into()
+}
+
 async fn more(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<()> {
     if bytes.capacity() == bytes.len() {
         bytes.reserve(FIRST_READ.max(bytes.len() / 2));
@@ -192,7 +202,6 @@
         }
     };
     bytes.drain(..head.length);
-    let too_large = || wrong("the answer is too large");
     match head.body {
         Some(Body::None) => {}
         Some(Body::Length(length)) => {
@@ -241,7 +250,7 @@
         };
         let size = usize::try_from(size).map_err(|_| wrong("size of a chunk"))?;
         if size.saturating_add(body.len()) > most {
-            return Err(wrong("the answer is too large"));
+            return Err(too_large());
         }
         // The chunk and the end of its line; after the last one no trailers are taken.
         while bytes.len() < start + size + 2 {
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -253,9 +253,7 @@
             Some("somemor"),
         ),
         (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nsome\r\n", None),
-        (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nfffffff0\r\n", None),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbo", None),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 100001\r\n\r\n", None),
         (b"what?\r\n\r\n", None),
         (b"", None),
     ] {
@@ -270,6 +268,19 @@
     }
 }
 
+/// Told from one that was lost: asking again would bring the same.
+#[tokio::test]
+async fn an_answer_that_is_too_large_is_told_as_such() {
+    for words in [
+        &b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nfffffff0\r\n"[..],
+        b"HTTP/1.1 200 OK\r\ncontent-length: 100001\r\n\r\n",
+    ] {
+        let address = says(words).await;
+        let reply = pool().call(&Method::GET, address, "/", b"").await;
+        assert!(matches!(reply, Err(Failure::TooLarge)), "{reply:?}");
+    }
+}
+
 /// One that was closed while it was idle is not used again, and the request goes out on
 /// another; where nobody listens it surely did not arrive.
 #[tokio::test]
--- a/src/bookkeeping/store.rs
+++ b/src/bookkeeping/store.rs
@@ -17,7 +17,7 @@
 use crate::protocol::peer::{PeerReply, PeerRequest};
 use crate::protocol::state::{Change, Changes, Conflict, Grant, Item, Page, Revision, Transaction};
 use crate::transport::budget::{Budget, Urgency};
-use crate::transport::client::{Answer, Network};
+use crate::transport::client::{Answer, CallError, Network};
 
 use super::{job_key, parse_terminal, terminal_key};
 
@@ -34,7 +34,8 @@
     Conflict(Vec<String>),
     #[error("no such lease")]
     NoLease,
-    /// The watch fell behind what the service keeps.
+    /// The watch fell behind what the service keeps, or what one answer may hold: only reading
+    /// everything anew leads on from there.
     #[error("too old")]
     TooOld,
 }
@@ -143,7 +144,7 @@
                 self.avoid_until
                     .store(self.now_ms() + 1000, Ordering::Relaxed);
                 Err(match error {
-                    crate::transport::client::CallError::Unsent => StoreError::Refused(0),
+                    CallError::Unsent => StoreError::Refused(0),
                     other => StoreError::Unknown(other.to_string()),
                 })
             }
@@ -344,7 +345,11 @@
                 block + Duration::from_millis(1500),
             )
             .await
-            .map_err(|e| StoreError::Unknown(e.to_string()))?;
+            .map_err(|error| match error {
+                // The service has no limit to an answer; the same question gets the same again.
+                CallError::TooLarge => StoreError::TooOld,
+                other => StoreError::Unknown(other.to_string()),
+            })?;
         match answer.status {
             200 => parse(&answer),
             410 => Err(StoreError::TooOld),
--- a/src/errands.rs
+++ b/src/errands.rs
@@ -162,7 +162,7 @@
                 _ => true,
             },
             Err(CallError::Unsent) => true,
-            Err(CallError::Unknown(_)) => false,
+            Err(CallError::Unknown(_) | CallError::TooLarge) => false,
         }
     } else {
         true
@@ -218,7 +218,7 @@
     let answer = match sent.await {
         Ok(answer) => answer,
         Err(CallError::Unsent) => return Outcome::Unsent,
-        Err(CallError::Unknown(_)) => return Outcome::Unknown,
+        Err(CallError::Unknown(_) | CallError::TooLarge) => return Outcome::Unknown,
     };
     match (answer.status, Report::parse(&answer.body)) {
         (200, Ok(report)) => Outcome::Executed(report),
@@ -280,7 +280,7 @@
                 return RentOutcome::Refused;
             }
             Err(CallError::Unsent) => return RentOutcome::Refused,
-            Err(CallError::Unknown(_)) => {}
+            Err(CallError::Unknown(_) | CallError::TooLarge) => {}
         }
     }
     RentOutcome::Unknown
--- a/tests/whole_nodes.rs
+++ b/tests/whole_nodes.rs
@@ -375,3 +375,32 @@
     assert_eq!(moved, 2, "each replica started, and nothing else");
     proof.finish().await;
 }
+
+/// More changes at once than one answer may hold, as after a leader's pause on a site of thousands
+/// of workers. The leader asked again from the same revision, and learned of no job any more.
+#[tokio::test]
+async fn a_job_is_learned_after_more_changes_than_one_answer_holds() {
+    let mut proof = Proof::start("burst").await;
+    proof.all_ready().await;
+    let flavors: Vec<String> = (0..32).map(|i| format!("{i:0>200}")).collect();
+    let sets: Vec<Value> = (1000..2000)
+        .map(|id| {
+            let spec = job(id, json!({"cpus": 1000.0, "flavors": flavors}));
+            json!({"set": format!("cf/j/wk-{id:06}"), "data": {"spec": spec, "at": 0}})
+        })
+        .collect();
+    let body = json!({"guards": [], "apply": sets}).to_string();
+    assert!(body.len() > 5 * 1024 * 1024, "{}", body.len());
+    {
+        let mut w = proof.site.world();
+        let now = w.site.now;
+        let (status, _) = w.state.handle(now, "POST", "/multi", body.as_bytes());
+        assert_eq!(status, 200);
+    }
+    let job = proof.submit(job(900, json!({})), 1.0).await + "/0";
+    let took = proof
+        .until("the next job runs", 20.0, |p| p.started(&job))
+        .await;
+    println!("runs {took:.1} s after the burst");
+    proof.finish().await;
+}
