--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -298,3 +298,32 @@
     let reply = pool.call(&Method::GET, address, "/", b"").await;
     assert!(matches!(reply, Err(Failure::Unsent)));
 }
+
+/// More workers than places, each with a heartbeat every 50 ms on a connection that it keeps. Those
+/// without a place once waited until another was silent for `idle`, longer than a lease.
+#[tokio::test]
+async fn workers_in_excess_of_the_places_are_all_served() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("bound");
+    let rules = Rules {
+        most: 8,
+        ..rules(Meter::new(1 << 20))
+    };
+    tokio::spawn(serve(listener, rules, echo));
+    let mut workers = tokio::task::JoinSet::new();
+    for _ in 0..12 {
+        workers.spawn(async move {
+            let pool = pool();
+            let mut late = 0;
+            for _ in 0..20 {
+                let sent = pool.call(&Method::POST, address, "/hello", b"x");
+                let answered = timeout(Duration::from_millis(300), sent).await;
+                late += u32::from(!matches!(answered, Ok(Ok(_))));
+                sleep(Duration::from_millis(50)).await;
+            }
+            late
+        });
+    }
+    let late = workers.join_all().await;
+    assert_eq!(late.iter().sum::<u32>(), 0, "late of each: {late:?}");
+}
--- a/tests/recovery_queue.rs
+++ b/tests/large_site.rs
@@ -1,9 +1,9 @@
-//! Heartbeats of a whole site that come while a new leader reads the stored state.
+//! A controller on a site of 6,000 workers, which is more than any that is operated.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::Mutex;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -19,15 +19,50 @@
 
 const WORKERS: usize = 6000;
 const STATE: &str = "10.2.0.1:2379";
+const CLOUD: &str = "10.2.0.2:8443";
+/// Of the cloud's list.
+const PAGE: usize = 500;
 
-/// The state service and nobody else; it answers no list until it is told to.
-struct OnlyState {
+/// The state service, which answers no list until it is told to, and a cloud with a machine for
+/// each worker.
+struct Outside {
     state: Mutex<StateService>,
     start: Instant,
     lists: AtomicBool,
+    /// Lists of machines that were begun, and those of which the last page was read.
+    begun: AtomicUsize,
+    ended: AtomicUsize,
 }
 
-impl Network for OnlyState {
+impl Outside {
+    fn new(lists: bool) -> Arc<Self> {
+        Arc::new(Self {
+            state: Mutex::default(),
+            start: Instant::now(),
+            lists: AtomicBool::new(lists),
+            begun: AtomicUsize::new(0),
+            ended: AtomicUsize::new(0),
+        })
+    }
+
+    fn cloud(&self, path: &str) -> Value {
+        if path == "/machine_types" {
+            return json!({"flavors": []});
+        }
+        let since = path.split_once("since=vm-");
+        let next = since.map_or(0, |(_, s)| 1 + s[..6].parse::<usize>().expect("our own"));
+        let end = WORKERS.min(next + PAGE);
+        self.begun
+            .fetch_add(usize::from(next == 0), Ordering::Relaxed);
+        self.ended
+            .fetch_add(usize::from(end == WORKERS), Ordering::Relaxed);
+        let host = |i| json!({"uid": format!("vm-{i:06}"), "flavor": "small", "region": "a", "phase": "running"});
+        let hosts: Vec<Value> = (next..end).map(host).collect();
+        json!({"hosts": hosts, "more": end < WORKERS})
+    }
+}
+
+impl Network for Outside {
     fn call(
         &self,
         method: Method,
@@ -38,6 +73,10 @@
     ) -> Exchange<'_> {
         let path = path.to_string();
         Box::pin(async move {
+            if to == CLOUD.parse().expect("an address") {
+                let body = self.cloud(&path).to_string().into();
+                return Ok(Answer { status: 200, body });
+            }
             if to != STATE.parse().expect("an address") || path.starts_with("/watch") {
                 std::future::pending::<()>().await;
             }
@@ -56,10 +95,10 @@
 fn settings() -> Settings {
     let value = json!({"member": "host-0", "site": "a", "public_addr": "10.0.0.1:8080",
         "peer_bind": "10.0.0.1:8081", "others": [],
-        "external": {"cloud": "10.2.0.2:8443", "state": STATE},
+        "external": {"cloud": CLOUD, "state": STATE},
         "cluster": {"count": 1, "zones": ["a"], "teams": [{"name": "team"}], "objectives": [],
             "workers": {"report_s": 2.5, "lease_s": 10.0, "gang_wait_s": 20.0, "gang_peer_s": 2.0, "cancel_s": 16.0},
-            "state": {"rps": 400, "write_rps": 100, "value_kb": 8, "txn_ops": 12}, "cloud": {"rps": 10},
+            "state": {"rps": 400, "write_rps": 100, "value_kb": 8, "txn_ops": 12}, "cloud": {"rps": 2},
             "limits": {"max_sockets": 20_000}, "clock_error_ms": 25}});
     serde_json::from_value(value).expect("valid settings")
 }
@@ -76,21 +115,21 @@
     }
 }
 
+fn simulate(day: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build();
+    runtime.expect("a runtime").block_on(day);
+}
+
 /// One heartbeat of each worker of a site larger than any that is operated: none is sent away, and
 /// all are answered once the leader has read. There was room for 2,048, which 4,000 workers
 /// send in 1.3 s.
 #[test]
 fn a_heartbeat_of_every_worker_waits_while_a_new_leader_reads() {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_time()
-        .start_paused(true)
-        .build();
-    runtime.expect("a runtime").block_on(async {
-        let network = Arc::new(OnlyState {
-            state: Mutex::default(),
-            start: Instant::now(),
-            lists: AtomicBool::new(false),
-        });
+    simulate(async {
+        let network = Outside::new(false);
         let tuning = Tuning::default();
         let (service, _owner) = Service::start(settings(), tuning, network.clone(), 1);
         sleep(Duration::from_secs(1)).await;
@@ -110,3 +149,20 @@
         assert_eq!(taken, WORKERS);
     });
 }
+
+/// A list is wanted every 3 s, and its 12 pages take longer where the cloud's rate is small. Lists
+/// come later then, one after another: none is starved by those that were begun after it.
+#[test]
+fn lists_of_machines_end_where_the_rate_is_short_of_them() {
+    simulate(async {
+        let network = Outside::new(true);
+        let tuning = Tuning::default();
+        let (_service, _owner) = Service::start(settings(), tuning, network.clone(), 1);
+        sleep(Duration::from_secs(120)).await;
+        let ended = network.ended.load(Ordering::Relaxed);
+        let under_way = network.begun.load(Ordering::Relaxed) - ended;
+        println!("{ended} lists ended in 120 s, {under_way} under way");
+        assert!(under_way <= 1, "{under_way} under way, {ended} ended");
+        assert!(ended >= 10, "only {ended} ended");
+    });
+}
