--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -11,7 +11,7 @@
 /// Largest body that any interface accepts.
 pub const MAX_BODY: u64 = 64 * 1024;
 
-/// Largest body between controllers: what a thousand machines have reported.
+/// Largest body between controllers. Reports beyond half of it are split among messages.
 pub const MAX_PEER_BODY: u64 = 512 * 1024;
 
 /// Job ids are always `wk-` and at least six digits; inside they are numbers.
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -7,10 +7,15 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use copperfield::protocol::peer::{Downward, PeerRequest, Upward};
+use copperfield::protocol::worker::{Exit, Report, TaskPhase, TaskReport};
+use copperfield::protocol::{JobId, MAX_PEER_BODY};
 use copperfield::service::Service;
 use copperfield::settings::{Settings, Tuning};
 use copperfield::transport::client::{Answer, Exchange, Network};
 use copperfield::transport::server::Incoming;
+use copperfield_relay::Relay;
+use copperfield_shares::{Change, Grant};
 use copperfield_standins::state::StateService;
 use hyper::Method;
 use serde_json::{Value, json};
@@ -166,3 +171,81 @@
         assert!(ended >= 10, "only {ended} ended");
     });
 }
+
+/// What a holder of all machines tells fits the body that its leader takes, however much there is:
+/// reports are split among messages, and machines given up together fit one.
+#[test]
+fn a_holder_of_every_worker_tells_the_leader_in_bodies_that_fit() {
+    let mut relay = Relay::new(1, 7, 2.5);
+    let name = |worker: usize| format!("vm-{worker:06}");
+    let tasks: Vec<TaskReport> = (0..20)
+        .map(|task| TaskReport {
+            job: JobId(1),
+            task,
+            attempt: 1 << 40,
+            phase: TaskPhase::Exited(Exit::Stopped { saved: true }),
+        })
+        .collect();
+    for worker in 0..WORKERS {
+        let report = Report {
+            machine: name(worker),
+            address: "255.255.255.255:65535".into(),
+            machine_type: "gpu-xlarge-8".into(),
+            zone: "zone-b".into(),
+            spot: false,
+            session: 1,
+            counter: 1,
+            token: 0,
+            notice_s: Some(1.0),
+            tasks: tasks.clone(),
+        };
+        relay.hello(1000, worker as u64, report);
+    }
+    let grant = |number, changes| Grant {
+        process: 7,
+        number,
+        token: 5,
+        base: 0,
+        for_ms: 1000,
+        changes,
+    };
+    let down = |grant, names| Downward {
+        grant,
+        names,
+        elsewhere: Vec::new(),
+    };
+    let fits = |word: &Upward| {
+        let body = borsh::to_vec(&PeerRequest::Share(word.clone())).expect("plain data");
+        assert!(body.len() as u64 <= MAX_PEER_BODY, "{} bytes", body.len());
+        body.len()
+    };
+    let (mut told, mut messages, mut now) = (0, 0, 1000);
+    while told < WORKERS {
+        now += 30;
+        let word = relay.upward(now).expect("more to tell");
+        fits(&word);
+        // All wait: each message tells those that come first, until they are answered.
+        let waits: Vec<&String> = word.told.iter().map(|t| &t.report.machine).collect();
+        let numbers = waits.iter().map(|n| n[3..].parse::<u32>().expect("ours"));
+        let take = |m| (u64::from(m) + 1, Change::Take(m));
+        let changes: Vec<_> = numbers.clone().map(take).collect();
+        told += changes.len();
+        let names = numbers.map(|m| (m, name(m as usize))).collect();
+        relay.granted(now, &down(grant(word.statement.number, changes), names));
+        messages += 1;
+    }
+    let leaves = (0..WORKERS as u32).map(|m| (10_000 + u64::from(m), Change::Leave(m, Some(0))));
+    now += 300;
+    let word = relay.upward(now).expect("time to ask");
+    relay.granted(
+        now,
+        &down(grant(word.statement.number, leaves.collect()), Vec::new()),
+    );
+    now += 300;
+    let word = relay.upward(now).expect("time to tell");
+    assert_eq!(word.statement.left.len(), WORKERS);
+    println!(
+        "{messages} messages, {} bytes with all given up",
+        fits(&word)
+    );
+}
