--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -21,8 +21,8 @@
 use crate::state::StateService;
 
 pub const NODES: usize = 3;
-/// Connections that each server takes.
-const MOST: usize = 1000;
+/// Connections that each server takes: one for each worker of a site of 6,000.
+const MOST: usize = 6144;
 /// What their requests may hold.
 const MOST_BYTES: usize = 1 << 30;
 /// The machines live in steps of so many seconds.
@@ -134,7 +134,7 @@
             "cluster": {"count": NODES, "zones": ["a", "b"], "teams": [{"name": "team"}], "objectives": [],
                 "workers": {"report_s": REPORT_S, "lease_s": LEASE_S, "gang_wait_s": 20.0, "gang_peer_s": 2.0, "cancel_s": CANCEL_S},
                 "state": {"rps": 400, "write_rps": 100, "value_kb": 8, "txn_ops": 12},
-                "cloud": {"rps": 10, "list_lag_s": 1}, "limits": {"max_sockets": 1000}, "clock_error_ms": 25}})
+                "cloud": {"rps": 10, "list_lag_s": 1}, "limits": {"max_sockets": 12_000}, "clock_error_ms": 25}})
     }
 
     /// Writes the settings of all controllers to a folder, with the operators' own beside
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -16,11 +16,15 @@
 use copperfield::transport::server::Incoming;
 use copperfield_relay::Relay;
 use copperfield_shares::{Change, Grant};
+use copperfield_standins::loopback::{Loopback, free_address};
+use copperfield_standins::site::Site;
 use copperfield_standins::state::StateService;
 use hyper::Method;
 use serde_json::{Value, json};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
 use tokio::task::JoinSet;
-use tokio::time::{Instant, sleep};
+use tokio::time::{Instant, sleep, timeout};
 
 const WORKERS: usize = 6000;
 const STATE: &str = "10.2.0.1:2379";
@@ -249,3 +253,31 @@
         fits(&word)
     );
 }
+
+/// The stand-ins on loopback keep as many connections as there are workers, and allow their
+/// controllers as many.
+#[tokio::test]
+async fn a_stand_in_takes_a_connection_for_each_worker() {
+    let site = Loopback::new(Site::default(), |_, _| free_address());
+    let served = site.clone();
+    tokio::spawn(async move { served.run().await.expect("free addresses") });
+    sleep(Duration::from_millis(100)).await;
+    let mut held = Vec::new();
+    for i in 0..4000 {
+        let asked = async {
+            let mut stream = TcpStream::connect(site.state).await.expect("accepted");
+            let request = b"GET /kv/none HTTP/1.1\r\nhost: a\r\n\r\n";
+            stream.write_all(request).await.expect("sent");
+            let mut answer = [0; 1000];
+            let read = stream.read(&mut answer).await.expect("open");
+            let answer = String::from_utf8_lossy(&answer[..read]);
+            let kept = answer.starts_with("HTTP/1.1 404") && !answer.contains("connection: close");
+            assert!(kept, "connection {i}: {answer}");
+            stream
+        };
+        let stream = timeout(Duration::from_secs(2), asked).await;
+        held.push(stream.unwrap_or_else(|_| panic!("connection {i} is not served")));
+    }
+    let public = site.settings(0)["cluster"]["limits"]["max_sockets"].as_u64();
+    assert!(public.expect("a number") * 6 / 10 >= 4000);
+}
