--- /dev/null
+++ b/crates/protocol/tests/pinned_bytes.rs
@@ -0,0 +1,554 @@
+//! Messages as an earlier build wrote them, kept as files under `tests/pinned`, against what this
+//! build reads and writes. The files are never made anew: a difference is a change of the wire.
+
+use std::path::PathBuf;
+
+use borsh::{BorshDeserialize, BorshSerialize};
+use copperfield_protocol::JobId;
+use copperfield_protocol::cloud;
+use copperfield_protocol::job::{JobSpec, Phase, Standing};
+use copperfield_protocol::peer::{
+    Carried, Downward, Lookup, Order, Outcome, PeerReply, PeerRequest, Told, Upward,
+};
+use copperfield_protocol::state;
+use copperfield_protocol::worker::{
+    Command, Exit, Report, TaskPhase, TaskReport, Verb, orders_body,
+};
+use copperfield_shares::{Change, Grant, Left, Statement};
+use serde_json::Value;
+
+fn pinned(file: &str) -> String {
+    let path = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/pinned")).join(file);
+    std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digits = |i: usize| u8::from_str_radix(&text[2 * i..2 * i + 2], 16);
+    let bytes = (0..text.len() / 2).map(digits);
+    bytes.collect::<Result<_, _>>().expect("hexadecimal")
+}
+
+/// The lines of a file, without those that only explain.
+fn lines(file: &str) -> Vec<String> {
+    let text = pinned(file);
+    let lines = text.lines().filter(|l| !l.starts_with('#'));
+    lines.map(str::to_string).collect()
+}
+
+fn check_lines(file: &str, made: &[String]) {
+    let kept = lines(file);
+    for (ix, (kept, made)) in kept.iter().zip(made).enumerate() {
+        assert_eq!(kept, made, "{file}, line {}", ix + 1);
+    }
+    assert_eq!(kept.len(), made.len(), "{file}: number of lines");
+}
+
+/// Each value gives the bytes of its line, and each line reads back as its value. A variant beyond
+/// the last is refused, where there are `variants` of them.
+fn check_values<T: BorshSerialize + BorshDeserialize>(file: &str, variants: u8, values: &[T]) {
+    let made: Vec<String> = values
+        .iter()
+        .map(|v| to_hex(&borsh::to_vec(v).expect("plain data")))
+        .collect();
+    check_lines(file, &made);
+    for line in lines(file) {
+        let read: T = borsh::from_slice(&from_hex(&line)).expect(&line);
+        let again = borsh::to_vec(&read).expect("plain data");
+        assert_eq!(to_hex(&again), line, "{file}");
+    }
+    if variants > 0 {
+        let firsts: Vec<String> = lines(file).iter().map(|l| l[..2].to_string()).collect();
+        for variant in 0..variants {
+            let first = to_hex(&[variant]);
+            assert!(firsts.contains(&first), "{file} has no variant {first}");
+        }
+        let mut beyond = vec![0u8; 256];
+        beyond[0] = variants;
+        let mut rest = beyond.as_slice();
+        assert!(T::deserialize(&mut rest).is_err(), "{file}: one more");
+    }
+}
+
+fn job(number: u64) -> JobId {
+    JobId(number)
+}
+
+fn exits() -> Vec<Exit> {
+    vec![
+        Exit::Done,
+        Exit::Stopped { saved: true },
+        Exit::Stopped { saved: false },
+        Exit::PeersGone,
+        Exit::Alone,
+        Exit::Error,
+        Exit::NoRoom,
+        Exit::Busy,
+        Exit::Unknown,
+    ]
+}
+
+fn phases() -> Vec<TaskPhase> {
+    let mut all = vec![
+        TaskPhase::Fetching,
+        TaskPhase::Waiting,
+        TaskPhase::Running,
+        TaskPhase::Saving,
+    ];
+    all.extend(exits().into_iter().map(TaskPhase::Exited));
+    all
+}
+
+fn report() -> Report {
+    let tasks = phases().into_iter().enumerate();
+    Report {
+        machine: "vm-1".into(),
+        address: "10.0.1.2:7000".into(),
+        machine_type: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 0x0102_0304_0506_0708,
+        counter: 9,
+        token: 10,
+        notice_s: Some(11.5),
+        tasks: tasks
+            .map(|(ix, phase)| TaskReport {
+                job: job(412),
+                task: ix as u32,
+                attempt: 1000 + ix as u64,
+                phase,
+            })
+            .collect(),
+    }
+}
+
+fn short_report() -> Report {
+    Report {
+        machine: "vm-2".into(),
+        spot: false,
+        notice_s: None,
+        tasks: Vec::new(),
+        ..report()
+    }
+}
+
+fn verbs() -> Vec<Verb> {
+    vec![Verb::Start, Verb::Stop { grace_s: 4.25 }, Verb::Forget]
+}
+
+fn commands() -> Vec<Command> {
+    let verbs = verbs().into_iter().enumerate();
+    verbs
+        .map(|(ix, verb)| Command {
+            verb,
+            job: job(413),
+            task: 20 + ix as u32,
+            attempt: 30 + ix as u64,
+        })
+        .collect()
+}
+
+fn left() -> Vec<Left> {
+    vec![
+        Left {
+            machine: 5,
+            version: 6,
+            answered: Some(7),
+        },
+        Left {
+            machine: 8,
+            version: 9,
+            answered: None,
+        },
+    ]
+}
+
+fn statement() -> Statement {
+    Statement {
+        process: 1,
+        number: 2,
+        token: 3,
+        version: 4,
+        left: left(),
+    }
+}
+
+fn changes() -> Vec<Change> {
+    vec![
+        Change::Take(1),
+        Change::Leave(2, Some(3)),
+        Change::Leave(4, None),
+    ]
+}
+
+fn grant() -> Grant {
+    Grant {
+        process: 1,
+        number: 2,
+        token: 3,
+        base: 4,
+        for_ms: 5,
+        changes: changes()
+            .into_iter()
+            .zip(6..)
+            .map(|(c, n)| (n, c))
+            .collect(),
+    }
+}
+
+fn outcomes() -> Vec<Outcome> {
+    vec![
+        Outcome::Unsent,
+        Outcome::Executed(report()),
+        Outcome::Rejected(Some(short_report())),
+        Outcome::Rejected(None),
+        Outcome::Unknown,
+    ]
+}
+
+fn told() -> Vec<Told> {
+    vec![
+        Told {
+            report: report(),
+            age_ms: 12,
+            waits: true,
+        },
+        Told {
+            report: short_report(),
+            age_ms: 13,
+            waits: false,
+        },
+    ]
+}
+
+fn upward() -> Upward {
+    Upward {
+        from: 2,
+        statement: statement(),
+        told: told(),
+        outcomes: outcomes()
+            .into_iter()
+            .zip(40..)
+            .map(|(o, n)| (n, o))
+            .collect(),
+        all: true,
+    }
+}
+
+fn downward() -> Downward {
+    Downward {
+        grant: grant(),
+        names: vec![(1, "vm-1".into()), (2, "vm-2".into())],
+        elsewhere: vec![("vm-3".into(), 4)],
+    }
+}
+
+fn carried() -> Vec<Carried> {
+    vec![
+        Carried {
+            flight: 50,
+            address: "10.0.1.2:7000".into(),
+            session: 51,
+            commands: commands(),
+        },
+        Carried {
+            flight: 52,
+            address: "10.0.1.3:7000".into(),
+            session: 53,
+            commands: Vec::new(),
+        },
+    ]
+}
+
+fn orders() -> Vec<Order> {
+    vec![
+        Order::Nodes {
+            since: "vm-1".into(),
+        },
+        Order::Moves,
+        Order::Drain {
+            node: "vm-2".into(),
+            deadline_s: Some(600.0),
+            yes: true,
+        },
+        Order::Drain {
+            node: "vm-3".into(),
+            deadline_s: None,
+            yes: false,
+        },
+        Order::Undrain {
+            node: "vm-4".into(),
+        },
+    ]
+}
+
+fn job_phases() -> Vec<Phase> {
+    vec![
+        Phase::Pending,
+        Phase::Running,
+        Phase::Done,
+        Phase::Cancelled,
+    ]
+}
+
+fn standings() -> Vec<Standing> {
+    let phases = job_phases().into_iter().zip(60..);
+    phases
+        .map(|(phase, done)| Standing { phase, done })
+        .collect()
+}
+
+fn lookups() -> Vec<Lookup> {
+    let mut all: Vec<Lookup> = standings().into_iter().map(Lookup::Terminal).collect();
+    all.push(Lookup::Live {
+        phase: Phase::Running,
+        done: 70,
+        running: 71,
+    });
+    all.extend([Lookup::AskState, Lookup::Never, Lookup::NotLeading]);
+    all
+}
+
+fn requests() -> Vec<PeerRequest> {
+    let mut all = vec![
+        PeerRequest::Lookup(vec![job(1), job(999_999_999)]),
+        PeerRequest::Cancel(job(2)),
+        PeerRequest::State {
+            method: "POST".into(),
+            path: "/x".into(),
+            body: vec![1, 2, 255],
+        },
+        PeerRequest::Vouch { token: 80 },
+        PeerRequest::Ping,
+    ];
+    all.extend(orders().into_iter().map(PeerRequest::Operate));
+    all.extend([
+        PeerRequest::Idle,
+        PeerRequest::Share(upward()),
+        PeerRequest::Carry {
+            token: 81,
+            messages: carried(),
+        },
+        PeerRequest::Leads {
+            member: "m-2".into(),
+        },
+        PeerRequest::TakeOver { token: 82 },
+    ]);
+    all
+}
+
+fn replies() -> Vec<PeerReply> {
+    let mut all: Vec<PeerReply> = lookups().into_iter().map(PeerReply::Job).collect();
+    all.extend([
+        PeerReply::Jobs(lookups()),
+        PeerReply::State {
+            status: 409,
+            body: vec![3, 4, 254],
+        },
+        PeerReply::Pong,
+        PeerReply::Vouched,
+        PeerReply::Unable,
+        PeerReply::Operated {
+            status: 404,
+            body: vec![5, 6],
+        },
+        PeerReply::Idle { up_ms: 90 },
+        PeerReply::Granted(downward()),
+        PeerReply::Carrying,
+        PeerReply::CanTakeOver,
+    ]);
+    all
+}
+
+#[test]
+fn messages_between_controllers_keep_their_bytes() {
+    check_values("peer/01.hex", 11, &requests());
+    check_values("peer/02.hex", 11, &replies());
+    check_values("peer/03.hex", 5, &lookups());
+    check_values("peer/04.hex", 4, &outcomes());
+    check_values("peer/05.hex", 4, &orders());
+    check_values("peer/06.hex", 3, &verbs());
+    check_values("peer/07.hex", 5, &phases());
+    check_values("peer/08.hex", 8, &exits());
+    check_values("peer/09.hex", 4, &job_phases());
+    check_values("peer/10.hex", 0, &standings());
+    check_values("peer/11.hex", 0, &[report(), short_report()]);
+    check_values("peer/12.hex", 0, &commands());
+    check_values("peer/13.hex", 0, &carried());
+    check_values("peer/14.hex", 0, &told());
+    check_values("peer/15.hex", 0, &[upward()]);
+    check_values("peer/16.hex", 0, &[downward()]);
+    check_values("peer/17.hex", 0, &[statement()]);
+    check_values("peer/18.hex", 0, &left());
+    check_values("peer/19.hex", 0, &[grant()]);
+    check_values("peer/20.hex", 2, &changes());
+    check_values("peer/21.hex", 0, &[job(0), job(412), job(u64::MAX)]);
+}
+
+/// Each body of the list, as read and written again, or why it is refused.
+fn check_bodies(file: &str, read: impl Fn(&Value) -> Result<String, String>) {
+    let cases: Vec<Value> = serde_json::from_str(&pinned(file)).expect(file);
+    assert!(!cases.is_empty(), "{file}");
+    for case in cases {
+        let made = match read(&case["in"]) {
+            Ok(text) => (Some(text), None),
+            Err(text) => (None, Some(text)),
+        };
+        let kept = |name: &str| case[name].as_str().map(str::to_string);
+        assert_eq!(made, (kept("out"), kept("refused")), "{file}: {case}");
+    }
+}
+
+/// What users submit, and what is stored of it.
+#[test]
+fn jobs_keep_their_bytes() {
+    let written = |spec: JobSpec| spec.to_json().to_string();
+    check_bodies("jobs/submitted.json", |body| {
+        JobSpec::submitted(body).map(written)
+    });
+    check_bodies("jobs/stored.json", |body| {
+        JobSpec::from_json(body).map(written)
+    });
+    let spellings: Vec<String> = job_phases()
+        .into_iter()
+        .map(|p| format!("{} {}", p.spelling(), p.is_terminal()))
+        .collect();
+    check_lines("jobs/phases.txt", &spellings);
+    let ids = [0, 7, 412, 999_999, 1_000_000, 1_234_567_890].map(|n| job(n).to_string());
+    check_lines("jobs/ids.txt", &ids);
+    for id in lines("jobs/ids.txt") {
+        assert_eq!(JobId::parse(&id).map(|j| j.to_string()), Some(id));
+    }
+}
+
+/// What workers report, as the bytes in which controllers pass it on.
+#[test]
+fn reports_of_workers_are_read_as_before() {
+    check_bodies("workers/reports.json", |body| {
+        let report = Report::parse(body.to_string().as_bytes())?;
+        Ok(to_hex(&borsh::to_vec(&report).expect("plain data")))
+    });
+}
+
+#[test]
+fn orders_to_workers_keep_their_bytes() {
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
+    let made = [
+        text(orders_body(7, None, &commands())),
+        text(orders_body(7, Some(8), &commands())),
+        text(orders_body(0, None, &[])),
+        text(orders_body(u64::MAX, Some(0), &[])),
+    ];
+    check_lines("workers/orders.txt", &made);
+}
+
+#[test]
+fn what_the_cloud_says_is_read_as_before() {
+    let types = cloud::parse_types(pinned("cloud/types.json").as_bytes()).expect("types");
+    let made: Vec<String> = types
+        .iter()
+        .map(|t| {
+            format!(
+                "{} {} {} {} {} {} {} {} {} {}",
+                t.name,
+                t.whole.cpus,
+                t.whole.gpus,
+                t.whole.memory,
+                t.cache_gb,
+                t.fetch_gb_per_s,
+                t.price,
+                t.spot_price,
+                t.boot_s,
+                t.zones.join(",")
+            )
+        })
+        .collect();
+    check_lines("cloud/types.txt", &made);
+
+    let (listed, more) = cloud::parse_list(pinned("cloud/list.json").as_bytes()).expect("list");
+    let mut made: Vec<String> = listed
+        .iter()
+        .map(|l| {
+            format!(
+                "{} {} {} {} {} {} {}",
+                l.name, l.address, l.machine_type, l.zone, l.spot, l.phase, l.age_s
+            )
+        })
+        .collect();
+    made.push(more.to_string());
+    let (none, more) = cloud::parse_list(pinned("cloud/list_short.json").as_bytes()).expect("list");
+    made.push(format!("{} {more}", none.len()));
+    check_lines("cloud/list.txt", &made);
+
+    let rented = cloud::parse_rented(pinned("cloud/rented.json").as_bytes()).expect("rented");
+    check_lines("cloud/rented.txt", &rented);
+}
+
+#[test]
+fn requests_to_the_cloud_keep_their_bytes() {
+    let names = ["vm-1".to_string(), "vm-2".to_string()];
+    let made = [
+        cloud::rental_body("r-1", "g8", "a", true, 3).to_string(),
+        cloud::rental_body("r-2", "small", "b", false, 1).to_string(),
+        cloud::return_body(&names).to_string(),
+        cloud::return_body(&[]).to_string(),
+    ];
+    check_lines("cloud/requests.txt", &made);
+}
+
+#[test]
+fn transactions_keep_their_bytes() {
+    let value: Value = serde_json::from_str(&pinned("state/value.json")).expect("a value");
+    let put = |key: &str, lease| state::Change::Put {
+        key: key.into(),
+        value: value.clone(),
+        lease,
+    };
+    let full = state::Transaction {
+        conditions: vec![("x/1".into(), 0), ("x/2".into(), u64::MAX)],
+        changes: vec![
+            put("x/3", None),
+            put("x/4", Some(5)),
+            state::Change::Delete { key: "x/6".into() },
+        ],
+    };
+    let text = |t: &state::Transaction| String::from_utf8(t.body()).expect("text");
+    let made = [text(&full), text(&state::Transaction::default())];
+    check_lines("state/transactions.txt", &made);
+}
+
+#[test]
+fn what_the_state_service_says_is_read_as_before() {
+    fn read<T: serde::de::DeserializeOwned>(file: &str) -> T {
+        serde_json::from_str(&pinned(file)).expect(file)
+    }
+    let item = |i: &state::Item| format!("{} {} {}", i.key, i.value, i.version);
+    let mut made: Vec<String> = Vec::new();
+    made.push(item(&read("state/item.json")));
+    for file in ["state/page.json", "state/page_short.json"] {
+        let page: state::Page = read(file);
+        made.extend(page.items.iter().map(item));
+        made.push(format!("{} {}", page.more, page.revision));
+    }
+    let changes: state::Changes = read("state/changes.json");
+    for event in &changes.events {
+        let key = event.put.as_deref().unwrap_or("-");
+        made.push(format!("{key} {} {}", event.value, event.version));
+    }
+    made.push(changes.revision.to_string());
+    made.push(
+        read::<state::Revision>("state/committed.json")
+            .revision
+            .to_string(),
+    );
+    made.push(
+        read::<state::Conflict>("state/conflict.json")
+            .failed
+            .join(" "),
+    );
+    made.push(read::<state::Grant>("state/granted.json").lease.to_string());
+    check_lines("state/read.txt", &made);
+}
