--- /dev/null
+++ b/tests/pinned/settings/other.hcl
@@ -0,0 +1,6 @@
+shares = "on"
+defragmentation {
+}
+log {
+  format = "text"
+}
--- /dev/null
+++ b/tests/pinned_bytes.rs
@@ -0,0 +1,465 @@
+//! Stored records and settings as an earlier build wrote or read them, kept as files under
+//! `tests/pinned`. The files are never made anew: a difference is a change of what is stored, or
+//! of what settings mean.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use copperfield::bookkeeping::store::Store;
+use copperfield::bookkeeping::writer::{Write, completed, write};
+use copperfield::bookkeeping::{self, DrainRecord, MachineRecord, bitmap};
+use copperfield::protocol::JobId;
+use copperfield::protocol::job::{Phase, Standing};
+use copperfield::settings::{LogFormat, Settings, Switch, Tuning};
+use copperfield::transport::client::{Answer, Exchange, Network};
+use copperfield_silence::stamp;
+use hyper::Method;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+
+fn pinned_path(file: &str) -> PathBuf {
+    PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/pinned")).join(file)
+}
+
+fn pinned(file: &str) -> String {
+    let path = pinned_path(file);
+    std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// The lines of a file, without those that only explain.
+fn lines(file: &str) -> Vec<String> {
+    let text = pinned(file);
+    let lines = text.lines().filter(|l| !l.starts_with('#'));
+    lines.map(str::to_string).collect()
+}
+
+fn check_lines(file: &str, made: &[String]) {
+    let kept = lines(file);
+    for (ix, (kept, made)) in kept.iter().zip(made).enumerate() {
+        assert_eq!(kept, made, "{file}, line {}", ix + 1);
+    }
+    assert_eq!(kept.len(), made.len(), "{file}: number of lines");
+}
+
+/// Each line is read, and written back to the same bytes.
+fn check_records<T>(file: &str, read: impl Fn(Value) -> T, write: impl Fn(&T) -> Value) -> Vec<T> {
+    let values = lines(file).into_iter().map(|line| {
+        let value = serde_json::from_str(&line).expect(&line);
+        let read = read(value);
+        assert_eq!(write(&read).to_string(), line, "{file}");
+        read
+    });
+    let values: Vec<T> = values.collect();
+    assert!(!values.is_empty(), "{file}");
+    values
+}
+
+fn check_serde<T: Serialize + DeserializeOwned>(file: &str) -> Vec<T> {
+    check_records(
+        file,
+        |v| serde_json::from_value(v).expect(file),
+        |t| serde_json::to_value(t).expect("plain data"),
+    )
+}
+
+fn or_dash<T: ToString>(value: Option<T>) -> String {
+    value.map_or("-".into(), |v| v.to_string())
+}
+
+/// So that an empty text is seen.
+fn quoted(text: &str) -> String {
+    Value::from(text).to_string()
+}
+
+// ---- stored records ----
+
+#[test]
+fn keys_keep_their_spelling() {
+    let (small, large) = (JobId(412), JobId(1_234_567));
+    let made = [
+        bookkeeping::LEADER.to_string(),
+        bookkeeping::FOUNDED.to_string(),
+        bookkeeping::JOBS.to_string(),
+        bookkeeping::PROGRESS.to_string(),
+        bookkeeping::ROSTER.to_string(),
+        bookkeeping::DRAINS.to_string(),
+        bookkeeping::SILENCE.to_string(),
+        bookkeeping::job_key(small),
+        bookkeeping::job_key(large),
+        bookkeeping::terminal_key(small),
+        bookkeeping::progress_key(small, 0),
+        bookkeeping::progress_key(large, 12_345),
+        bookkeeping::roster_key(3),
+        bookkeeping::roster_key(123_456),
+        bookkeeping::silence_key(4),
+        bookkeeping::drain_key("vm-1"),
+    ];
+    check_lines("records/keys.txt", &made);
+}
+
+#[test]
+fn records_are_read_and_written_back() {
+    let jobs = check_records(
+        "records/jobs.txt",
+        |v| bookkeeping::parse_job_record(&v).expect("a job"),
+        |(spec, at)| bookkeeping::job_record(spec, *at),
+    );
+    let made: Vec<String> = jobs.iter().map(|(_, at)| at.to_string()).collect();
+    check_lines("records/jobs_at.txt", &made);
+
+    let ends = check_records(
+        "records/ends.txt",
+        |v| bookkeeping::parse_terminal(&v).expect("an end"),
+        |end| bookkeeping::terminal_record(*end),
+    );
+    let made: Vec<String> = ends
+        .iter()
+        .map(|e| format!("{} {}", e.phase == Phase::Done, e.done))
+        .collect();
+    check_lines("records/ends_read.txt", &made);
+
+    let bits = check_records(
+        "records/progress.txt",
+        |v| bitmap::from_record(&v).expect("a bitmap"),
+        |bits| bitmap::to_record(bits),
+    );
+    let numbers = |bits: &Vec<u8>| bits.iter().map(u8::to_string).collect::<Vec<_>>().join(" ");
+    let made: Vec<String> = bits.iter().map(numbers).collect();
+    check_lines("records/progress_read.txt", &made);
+    let made = [1024, 8 * 1024, 64 * 1024].map(|b| bitmap::tasks_per_chunk(b).to_string());
+    check_lines("records/progress_chunks.txt", &made);
+
+    let drains: Vec<DrainRecord> = check_serde("records/drains.txt");
+    let made: Vec<String> = drains
+        .iter()
+        .map(|d| format!("{} {}", d.at_ms, or_dash(d.until_ms)))
+        .collect();
+    check_lines("records/drains_read.txt", &made);
+
+    let machines: Vec<MachineRecord> = check_serde("records/machines.txt");
+    let made: Vec<String> = machines
+        .iter()
+        .map(|m| {
+            let images = m.images.join(",");
+            format!(
+                "{} {} {} {} {images}",
+                m.address, m.machine_type, m.zone, m.spot
+            )
+        })
+        .collect();
+    check_lines("records/machines_read.txt", &made);
+}
+
+/// What earlier versions stored, or what is not written in full, is read all the same.
+#[test]
+fn records_that_lack_something_are_read() {
+    let value = |file: &str| -> Vec<Value> {
+        let lines = lines(file).into_iter();
+        lines
+            .map(|l| serde_json::from_str(&l).expect("JSON"))
+            .collect()
+    };
+    let made: Vec<String> = value("records/lacking_ends.txt")
+        .iter()
+        .map(|v| or_dash(bookkeeping::parse_terminal(v).map(|e| e.done)))
+        .collect();
+    check_lines("records/lacking_ends_read.txt", &made);
+    let made: Vec<String> = value("records/lacking_jobs.txt")
+        .iter()
+        .map(|v| match bookkeeping::parse_job_record(v) {
+            Ok((spec, at)) => format!("{at} {}", spec.to_json()),
+            Err(why) => why,
+        })
+        .collect();
+    check_lines("records/lacking_jobs_read.txt", &made);
+    let made: Vec<String> = value("records/lacking_others.txt")
+        .into_iter()
+        .map(|v| {
+            let drain = serde_json::from_value::<DrainRecord>(v.clone()).is_ok();
+            let machine = serde_json::from_value::<MachineRecord>(v.clone()).is_ok();
+            format!("{drain} {machine} {}", bitmap::from_record(&v).is_some())
+        })
+        .collect();
+    check_lines("records/lacking_others_read.txt", &made);
+}
+
+#[test]
+fn stamps_of_silent_machines_stay() {
+    let made: Vec<String> = [0u64, 1, 999, 1000, 60_000, 3_600_000]
+        .iter()
+        .map(|&age| {
+            let at = stamp::of_age(age, 1_700_000_000_000);
+            let later = 1_700_000_012_345;
+            format!(
+                "{at} {} {}",
+                stamp::age(at, later, 0),
+                stamp::age(at, later, 250)
+            )
+        })
+        .collect();
+    check_lines("records/stamps.txt", &made);
+}
+
+/// Takes every request, and answers each with the same revision.
+#[derive(Default)]
+struct Recorder(Mutex<Vec<String>>);
+
+impl Network for Recorder {
+    fn call(
+        &self,
+        method: Method,
+        _to: SocketAddr,
+        path: &str,
+        body: Vec<u8>,
+        _deadline: Duration,
+    ) -> Exchange<'_> {
+        let body = String::from_utf8(body).expect("text");
+        let line = format!("{method} {path} {body}");
+        self.0.lock().expect("no panic").push(line);
+        let answer = pinned("records/answer.json").into_bytes();
+        Box::pin(async move {
+            Ok(Answer {
+                status: 200,
+                body: answer.into(),
+            })
+        })
+    }
+}
+
+fn writes() -> Vec<Write> {
+    let value: Value = serde_json::from_str(&pinned("records/value.json")).expect("JSON");
+    let until = [
+        None,
+        Some(DrainRecord {
+            at_ms: 1,
+            until_ms: Some(2),
+        }),
+        Some(DrainRecord {
+            at_ms: 3,
+            until_ms: None,
+        }),
+    ];
+    let drains = until
+        .into_iter()
+        .zip(20..)
+        .map(|(record, version)| Write::Drain {
+            node: format!("vm-{version}"),
+            record,
+            version,
+        });
+    let mut all = vec![
+        Write::Finish {
+            job: JobId(412),
+            version: 10,
+            done: 11,
+        },
+        Write::Progress {
+            job: JobId(413),
+            chunk: 12,
+            value: value.clone(),
+            version: 13,
+        },
+        Write::DropProgress {
+            job: JobId(414),
+            chunk: 14,
+            version: 15,
+        },
+        Write::Roster {
+            page: 16,
+            value,
+            version: 17,
+        },
+        Write::Silence {
+            page: 18,
+            ages: vec![("vm-1".into(), 0), ("vm-2".into(), 4321)],
+            version: 19,
+        },
+    ];
+    all.extend(drains);
+    all
+}
+
+/// What a leader writes, each kind alone and all in one.
+#[tokio::test(start_paused = true)]
+async fn transactions_of_a_leader_keep_their_bytes() {
+    let recorder = Arc::new(Recorder::default());
+    let at = SocketAddr::from(([10, 0, 0, 1], 1));
+    let store = Arc::new(Store::new(recorder.clone(), at, Vec::new(), 1000.0, 1000.0));
+    let mut batches: Vec<Vec<Write>> = writes().into_iter().map(|w| vec![w]).collect();
+    batches.push(writes());
+    for batch in batches {
+        let written = write(store.clone(), 7, batch, 1_700_000_000_000, || true).await;
+        assert!(written.is_ok());
+    }
+    check_lines(
+        "records/transactions.txt",
+        &recorder.0.lock().expect("no panic"),
+    );
+    let end = completed(5);
+    let same = Standing {
+        phase: Phase::Done,
+        done: 5,
+    };
+    assert!(end == same);
+}
+
+#[tokio::test(start_paused = true)]
+async fn requests_to_the_state_service_keep_their_bytes() {
+    let recorder = Arc::new(Recorder::default());
+    let at = SocketAddr::from(([10, 0, 0, 1], 1));
+    let store = Store::new(recorder.clone(), at, Vec::new(), 1000.0, 1000.0);
+    let some = Duration::from_millis(1234);
+    let _ = store.list("x/").await;
+    let _ = store.watch("x/", 5, some).await;
+    let _ = store.new_lease(some).await;
+    let _ = store.extend_lease(6, some).await;
+    store.end_lease(6).await;
+    let _ = store.standing(JobId(412)).await;
+    check_lines(
+        "records/requests.txt",
+        &recorder.0.lock().expect("no panic"),
+    );
+}
+
+// ---- settings ----
+
+fn settings_lines(s: &Settings) -> Vec<String> {
+    let c = &s.cluster;
+    let mut all = vec![
+        format!("{} {} {} {}", s.member, s.site, s.public_addr, s.peer_bind),
+        format!("{} {}", s.external.cloud, s.external.state),
+        c.zones.join(" "),
+    ];
+    for other in &s.others {
+        all.push(format!(
+            "{} {} {}",
+            other.member,
+            quoted(&other.site),
+            other.peer_addr
+        ));
+    }
+    for team in &c.teams {
+        all.push(format!(
+            "{} {} {} {} {}",
+            team.name, team.cpus, team.cpus_max, team.gpus, team.gpus_max
+        ));
+    }
+    for o in &c.objectives {
+        let class = or_dash(o.class.as_ref());
+        all.push(format!(
+            "{} {class} {} {}",
+            quoted(&o.kind),
+            or_dash(o.within_s),
+            or_dash(o.times)
+        ));
+    }
+    let w = &c.workers;
+    all.push(format!(
+        "{} {} {} {} {}",
+        w.report_s, w.lease_s, w.gang_wait_s, w.gang_peer_s, w.cancel_s
+    ));
+    let st = &c.state;
+    all.push(format!(
+        "{} {} {} {}",
+        st.rps, st.write_rps, st.value_kb, st.txn_ops
+    ));
+    all.push(format!("{} {}", c.cloud.rps, c.cloud.list_lag_s));
+    all.push(format!(
+        "{} {} {}",
+        c.limits.max_sockets, c.limits.memory_mb, c.clock_error_ms
+    ));
+    all.push(format!("{} {}", s.place(), quoted(s.node(0))));
+    all
+}
+
+fn tuning_lines(t: &Tuning) -> Vec<String> {
+    let d = &t.defragmentation;
+    let mut all = vec![
+        t.auction_cap.to_string(),
+        t.headroom_h0.to_string(),
+        t.headroom_kappa.to_string(),
+        t.slot_cpus.to_string(),
+        t.owned_price.to_string(),
+        t.spot_mean_life_s.to_string(),
+        t.idle_return_s.to_string(),
+        t.deserted_return_s.to_string(),
+        t.fleet_max.to_string(),
+        t.leader_ttl_ms.to_string(),
+        (t.shares == Switch::On).to_string(),
+        d.enabled.to_string(),
+        d.most_moves.to_string(),
+        d.lost_work_s.to_string(),
+        d.again_after_s.to_string(),
+        d.away_share.to_string(),
+        d.worth_s.to_string(),
+    ];
+    for (name, class) in &t.class {
+        all.push(format!(
+            "{name} {} {}",
+            or_dash(class.movable),
+            class.protected
+        ));
+    }
+    all.push(or_dash(t.operators.as_ref().map(|o| &o.key)));
+    all.push(format!(
+        "{} {}",
+        t.log.time,
+        t.log.format == LogFormat::Json
+    ));
+    all
+}
+
+#[test]
+fn settings_files_are_read_as_before() {
+    let read = |file: &str| Settings::load(&pinned_path(file)).expect(file);
+    let (full, least) = (read("settings/full.json"), read("settings/least.json"));
+    check_lines("settings/full.txt", &settings_lines(&full));
+    check_lines("settings/least.txt", &settings_lines(&least));
+    let tuning = Tuning::load(&pinned_path("settings/full.hcl")).expect("good");
+    check_lines("settings/full_hcl.txt", &tuning_lines(&tuning));
+    let other = Tuning::load(&pinned_path("settings/other.hcl")).expect("good");
+    check_lines("settings/other_hcl.txt", &tuning_lines(&other));
+    check_lines(
+        "settings/default_hcl.txt",
+        &tuning_lines(&Tuning::default()),
+    );
+    let refused = tuning.check_against(&full).expect_err("too long");
+    check_lines("settings/against.txt", &[refused]);
+}
+
+/// The first line of what is said of a settings file, without the file's name.
+fn said<T, E: std::fmt::Display>(
+    text: &str,
+    load: impl Fn(&std::path::Path) -> Result<T, E>,
+) -> String {
+    let name = format!("copperfield-pinned-{}", std::process::id());
+    let path = std::env::temp_dir().join(name);
+    std::fs::write(&path, text).expect("writable");
+    let said = load(&path).map_or_else(|e| e.to_string(), |_| "good".into());
+    std::fs::remove_file(&path).expect("ours");
+    said.replace(&path.display().to_string(), "FILE")
+}
+
+/// One wrong field each: where, what, and the text of the refusal.
+#[test]
+fn refusals_of_settings_keep_their_text() {
+    let full: Value = serde_json::from_str(&pinned("settings/full.json")).expect("JSON");
+    let wrong: Vec<Value> = serde_json::from_str(&pinned("settings/wrong.json")).expect("JSON");
+    let texts: Vec<String> = wrong
+        .iter()
+        .map(|case| {
+            let mut bad = full.clone();
+            let pointer = case["at"].as_str().expect("a place");
+            *bad.pointer_mut(pointer).expect(pointer) = case["is"].clone();
+            said(&bad.to_string(), Settings::load)
+        })
+        .collect();
+    check_lines("settings/wrong.txt", &texts);
+    let wrong: Vec<String> =
+        serde_json::from_str(&pinned("settings/wrong_hcl.json")).expect("JSON");
+    let texts: Vec<String> = wrong.iter().map(|text| said(text, Tuning::load)).collect();
+    check_lines("settings/wrong_hcl.txt", &texts);
+}
