--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -70,8 +70,19 @@
     pub answered_by: BTreeMap<String, Vec<usize>>,
     pub rng: StdRng,
     pub start: Instant,
+    /// What each controller's tuning has that differs from the usual one of these tests.
+    pub tune: fn(&mut Tuning),
+    /// Is given one line for each message as it leaves, and for each answer.
+    pub recorder: Option<Recorder>,
+    /// Messages that have left, while they are recorded.
+    pub messages: u64,
 }
 
+pub type Recorder = Box<dyn FnMut(String) + Send>;
+
+/// Set this in the tuning, and requests to the operators' endpoints are authorized.
+pub const OPERATOR_KEY: &str = "the-key-of-these-tests";
+
 /// Of a day's end, when all troubles are long over: the operators allow 75 s, users ask every
 /// second or two, and each question has its deadline.
 pub const FORGOTTEN_S: f64 = 12.0;
@@ -109,6 +120,21 @@
         !self.state.outage && !self.refused.contains(node)
     }
 
+    /// Returns the number that the answer is recorded under.
+    fn record_message(&mut self, head: std::fmt::Arguments, body: &[u8]) -> u64 {
+        self.messages += 1;
+        let number = self.messages;
+        self.record(format_args!("#{number} {head}"), body);
+        number
+    }
+
+    fn record(&mut self, head: std::fmt::Arguments, body: &[u8]) {
+        let at_ms = self.start.elapsed().as_millis();
+        if let Some(recorder) = &mut self.recorder {
+            recorder(format!("{at_ms} {head} {}\n", body.escape_ascii()));
+        }
+    }
+
     fn delay(&mut self) -> Duration {
         Duration::from_micros(self.rng.random_range(500..4000))
     }
@@ -272,6 +298,10 @@
     path: String,
     body: Vec<u8>,
 ) -> Result<Answer, CallError> {
+    let number = world
+        .lock()
+        .unwrap()
+        .record_message(format_args!("{from} -> {to}:{port} {method} {path}"), &body);
     pass(&world, &from, &to).await;
     let multi = path == "/multi";
     let answer = |(status, value): (u16, Value)| Answer {
@@ -354,11 +384,13 @@
         };
         let alive = world.lock().unwrap().alive[number].clone();
         thaw(&world, &to).await;
+        let authorized = path.starts_with("/operator/");
+        let authorization = authorized.then(|| format!("Bearer {OPERATOR_KEY}"));
         let request = Incoming {
             method,
             path,
             query: None,
-            authorization: None,
+            authorization,
             body: body.into(),
         };
         let out = if port == 8081 {
@@ -375,6 +407,10 @@
             body: out.body.into(),
         }
     };
+    world
+        .lock()
+        .unwrap()
+        .record(format_args!("#{number} = {}", reply.status), &reply.body);
     pass(&world, &to, &from).await;
     let lost = {
         let mut w = world.lock().unwrap();
@@ -413,11 +449,13 @@
         me: node_name(i),
         alive: alive.clone(),
     };
-    let tuning = Tuning {
+    let mut tuning = Tuning {
         leader_ttl_ms: 1500,
         shares: world.lock().unwrap().shares[i],
         ..Tuning::default()
     };
+    let tune = world.lock().unwrap().tune;
+    tune(&mut tuning);
     let mut settings = settings(i);
     let team = &mut settings.cluster.teams[0];
     let limit = world.lock().unwrap().site.limits.get(&team.name).copied();
@@ -893,6 +931,11 @@
 
 /// The same, and the team may use so many CPUs at once; 0 for no limit.
 pub fn limited_site(seed: u64, loss: f64, limit: f64) -> Shared2 {
+    tuned_site(seed, loss, limit, |_| ())
+}
+
+/// The same under controllers whose tuning is changed.
+pub fn tuned_site(seed: u64, loss: f64, limit: f64, tune: fn(&mut Tuning)) -> Shared2 {
     let world: Shared2 = Arc::new(Mutex::new(World {
         site: Site::default(),
         state: StateService::default(),
@@ -918,6 +961,9 @@
         answered_by: BTreeMap::new(),
         rng: StdRng::seed_from_u64(seed),
         start: Instant::now(),
+        tune,
+        recorder: None,
+        messages: 0,
     }));
     if limit > 0.0 {
         let team = ("team".to_string(), limit);
