--- a/tests/wire_fingerprint.rs
+++ b/tests/wire_fingerprint.rs
@@ -53,11 +53,13 @@
     "host-cut",
     "scale-in",
     "no-shares",
+    "placement",
     "lease-length",
     "auction-cap",
+    "headroom",
     "idle-time",
 ];
-const RUNTIMES_COUNT: usize = 16;
+const RUNTIMES_COUNT: usize = 18;
 
 /// How a runtime is seeded also depends on how many were made in this process before, and on the
 /// thread: so all are made in a row before any is used, on a thread of their own.
@@ -133,48 +135,57 @@
 const FIRST_ID: usize = 100;
 const ID_STEP: usize = 4;
 
-/// The hash over a day's messages and the number of lines hashed.
-struct Fingerprint {
-    hash: u64,
+/// What was recorded of a day.
+struct Wire {
+    hash: Fnv,
     lines: u64,
+    log: Option<BufWriter<File>>,
+}
+
+impl Wire {
+    /// With a log of the day if `WIRE_LOG` asks for one.
+    fn of_day(name: &str) -> Self {
+        let create = |prefix| File::create(format!("{prefix}.{name}")).expect("a writable path");
+        Self {
+            hash: Fnv(Fnv::OFFSET),
+            lines: 0,
+            log: std::env::var("WIRE_LOG")
+                .ok()
+                .map(create)
+                .map(BufWriter::new),
+        }
+    }
+
+    fn take(&mut self, line: &str) {
+        self.hash.update(line.as_bytes());
+        self.lines += 1;
+        if let Some(log) = &mut self.log {
+            log.write_all(line.as_bytes()).expect("a writable path");
+        }
+    }
 }
 
 impl Day {
-    fn play(&self) -> Fingerprint {
-        let log = std::env::var("WIRE_LOG").ok().map(|prefix| {
-            let file = File::create(format!("{prefix}.{}", self.name)).expect("a writable path");
-            BufWriter::new(file)
-        });
-        let seen = Arc::new(Mutex::new((Fnv(Fnv::OFFSET), 0u64, log)));
+    /// Plays the day; its hash, and the number of lines that it is over.
+    fn play(&self) -> (u64, u64) {
+        let wire = Arc::new(Mutex::new(Wire::of_day(self.name)));
         let runtime = take_runtime(self.name);
         // A new thread: its hash maps have the same keys in every run.
         std::thread::scope(|scope| {
-            scope
-                .spawn(|| runtime.block_on(self.live(seen.clone())))
-                .join()
-        })
-        .expect("no panic");
-        let mut seen = seen.lock().unwrap();
-        let (hash, lines, log) = &mut *seen;
-        if let Some(log) = log {
+            let day = scope.spawn(|| runtime.block_on(self.live(wire.clone())));
+            day.join().expect("no panic");
+        });
+        let mut wire = wire.lock().unwrap();
+        if let Some(log) = &mut wire.log {
             log.flush().expect("a writable path");
         }
-        Fingerprint {
-            hash: hash.0,
-            lines: *lines,
-        }
+        (wire.hash.0, wire.lines)
     }
 
-    async fn live(&self, seen: Arc<Mutex<(Fnv, u64, Option<BufWriter<File>>)>>) {
+    async fn live(&self, wire: Arc<Mutex<Wire>>) {
         let world = tuned_site(self.seed, self.loss, self.limit, self.tune);
-        world.lock().unwrap().recorder = Some(Box::new(move |line| {
-            let (hash, lines, log) = &mut *seen.lock().unwrap();
-            hash.update(line.as_bytes());
-            *lines += 1;
-            if let Some(log) = log {
-                log.write_all(line.as_bytes()).expect("a writable path");
-            }
-        }));
+        world.lock().unwrap().recorder =
+            Some(Box::new(move |line| wire.lock().unwrap().take(&line)));
         for (i, (at, run_s, shape, tasks, extra)) in self.jobs.iter().enumerate() {
             let number = FIRST_ID + i * ID_STEP;
             let body = job(number, shape, *tasks, extra.clone());
@@ -198,7 +209,7 @@
     }
 
     fn expect(self, pinned: u64) {
-        let Fingerprint { hash, lines } = self.play();
+        let (hash, lines) = self.play();
         println!("{}: {hash:#018x}, {lines} lines", self.name);
         assert_eq!(
             hash, pinned,
@@ -227,6 +238,8 @@
 
 /// The hash of [`normal`].
 const NORMAL: u64 = 0xc568_433b_1e21_84ec;
+/// The hash of [`placement`].
+const PLACEMENT: u64 = 0x676f_9117_b5a7_c29f;
 /// The hash of [`scale_in`].
 const SCALE_IN: u64 = 0x8d95_e1ac_4e73_96d0;
 
@@ -317,7 +330,7 @@
 
 #[test]
 fn operators_drain() {
-    let saves = json!({"cpus": 1.0, "snapshot_every_s": 3.0, "snapshot_s": 0.5});
+    let saves = json!({"cpus": 1.0, "runtime_s": 40.0, "snapshot_every_s": 3.0, "snapshot_s": 0.5});
     let drain_now = r#"{"deadline_s": 6.0, "yes": true}"#;
     let day = Day {
         name: "drains",
@@ -344,7 +357,7 @@
         tune: with_operators,
         ..Day::default()
     };
-    day.expect(0x84de_bd90_6987_507c);
+    day.expect(0xe735_5f2c_8a68_d41c);
 }
 
 #[test]
@@ -478,18 +491,50 @@
     day.expect(0xe5a8_549d_ab0f_ff91);
 }
 
+/// Arrays of many sizes at once, of which not all fit at first.
+fn placement() -> Day {
+    let spot = json!({"preemptibles": true, "snapshot_every_s": 3.0, "snapshot_s": 0.5});
+    let large = json!({"cpus": 3.0, "memory_gb": 10.0, "preemptibles": true});
+    let small = json!({"cpus": 0.5, "memory_gb": 1.0, "rank": "urgent"});
+    let whole = json!({"cpus": 6.0, "gpus": 1.0});
+    let jobs = (0..6u32).flat_map(|i| {
+        let at = 1.0 + f64::from(i) * 7.0;
+        [
+            (at, 9.0, "sweep", 9, spot.clone()),
+            (at + 0.1, 6.0, "sweep", 4, large.clone()),
+            (at + 0.2, 4.0, "sweep", 7, small.clone()),
+            (at + 0.3, 8.0, "sweep", 2, whole.clone()),
+        ]
+    });
+    Day {
+        name: "placement",
+        seed: 14,
+        rounds: 0,
+        jobs: jobs.collect(),
+        until_s: 70.0,
+        ..Day::default()
+    }
+}
+
+#[test]
+fn arrays_of_many_sizes_are_placed() {
+    placement().expect(PLACEMENT);
+}
+
 /// Sensitive: values that move an election, a placement or a return a little show in the hash.
 #[test]
 fn one_tuning_value_changes_the_fingerprint() {
     let variant = |name, day: Day, tune| Day { name, tune, ..day };
     let longer_lease = variant("lease-length", normal(), |t| t.leader_ttl_ms += 1);
     let fewer_bids = variant("auction-cap", normal(), |t| t.auction_cap = 2);
+    let older_reports = variant("headroom", placement(), |t| t.headroom_kappa = 0.011);
     let sooner_returned = variant("idle-time", scale_in(), |t| t.idle_return_s = 7.0);
     for (day, pinned) in [
         (longer_lease, NORMAL),
         (fewer_bids, NORMAL),
+        (older_reports, PLACEMENT),
         (sooner_returned, SCALE_IN),
     ] {
-        assert_ne!(day.play().hash, pinned, "{}", day.name);
+        assert_ne!(day.play().0, pinned, "{}", day.name);
     }
 }
