--- a/benches/batch.rs
+++ b/benches/batch.rs
@@ -1,4 +1,4 @@
-//! Time of one batch: 500 tasks on 1,000 machines (the paper's AR-2 target is 30 ms).
+//! Time of one batch: 500 tasks on 1,000 workers (the paper's AR-2 target is 30 ms).
 
 use std::time::Instant;
 
--- a/benches/core.rs
+++ b/benches/core.rs
@@ -1,9 +1,9 @@
 //! Processor time of the leader's core where more is wanted than there is: reports,
-//! batches and writes together, at 1,000, 3,000 and 10,000 machines, and what the next
+//! batches and writes together, at 1,000, 3,000 and 10,000 workers, and what the next
 //! leader takes when a third of them is silent. The workers obey at once; what is
 //! measured is the core alone, without HTTP.
 
-use copperfield_standins::crew::Crew;
+use copperfield_simulation::core_harness::CoreHarness;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -44,17 +44,17 @@
 
 fn main() {
     // `cargo bench --bench core -- 3000` plays that size alone.
-    if let Some(machines) = std::env::args().find_map(|a| a.parse().ok()) {
-        return play("ordinary work", Visitor::Nobody, machines);
+    if let Some(workers) = std::env::args().find_map(|a| a.parse().ok()) {
+        return play("ordinary work", Visitor::Nobody, workers);
     }
-    for machines in [1000, 3000, 10_000] {
-        play("ordinary work", Visitor::Nobody, machines);
+    for workers in [1000, 3000, 10_000] {
+        play("ordinary work", Visitor::Nobody, workers);
     }
     play("a huge array", Visitor::HugeArray, 1000);
     play("a swarm", Visitor::Swarm, 1000);
 }
 
-fn visitors(crew: &mut Crew, visitor: Visitor) {
+fn visitors(crew: &mut CoreHarness, visitor: Visitor) {
     let low = |id: u32, shards: u32| {
         json!({"uid": format!("wk-{id:06}"), "rank": "best_effort", "shards": shards, "cpus": 0.25,
             "memory_gb": 1.0, "runtime_s": 4.0, "jobclass": "guest", "bundle": "guest"})
@@ -72,8 +72,8 @@
     }
 }
 
-fn play(name: &str, visitor: Visitor, machines: usize) {
-    let times = machines / PROPORTION;
+fn play(name: &str, visitor: Visitor, workers: usize) {
+    let times = workers / PROPORTION;
     let cluster = json!({"zones": ["a", "b", "c"], "teams": [{"name": "team"}],
         "objectives": [{"kind": "wait", "class": "service", "within_s": 1.0},
             {"kind": "wait", "class": "group", "within_s": 35.0}],
@@ -81,8 +81,8 @@
         "state": {"rps": 200, "write_rps": 50, "value_kb": 16, "txn_ops": 16}, "cloud": {"rps": 5},
         "limits": {"max_sockets": 2000}});
     let mut rng = StdRng::seed_from_u64(1);
-    let mut crew = Crew::new(TYPES, cluster, 99);
-    for i in 0..machines {
+    let mut crew = CoreHarness::new(TYPES, cluster, 99);
+    for i in 0..workers {
         let flavor = match i % 10 {
             0 => "big",
             1..=4 => "mid",
@@ -97,7 +97,7 @@
         );
     }
     let mut id = 0;
-    let mut submit = |crew: &mut Crew, shape: &str, rng: &mut StdRng| {
+    let mut submit = |crew: &mut CoreHarness, shape: &str, rng: &mut StdRng| {
         id += 1;
         crew.submit(&job(shape, id, rng));
     };
@@ -122,7 +122,7 @@
     }
     let total: f64 = crew.steps.iter().sum();
     println!(
-        "{name}: {machines} machines, {SECONDS} s: {} starts, {} changes, {} steps",
+        "{name}: {workers} machines, {SECONDS} s: {} starts, {} changes, {} steps",
         crew.starts,
         crew.changes,
         crew.steps.len()
@@ -133,7 +133,7 @@
         worst_second * 1e3,
         quantiles(&crew.steps),
     );
-    for i in (0..machines).filter(|i| i % 3 == 0) {
+    for i in (0..workers).filter(|i| i % 3 == 0) {
         crew.silent.insert(format!("vm-{i:06}"));
     }
     crew.run(10.0);
--- a/crates/operators/src/cli.rs
+++ b/crates/admin/src/cli.rs
@@ -27,7 +27,7 @@
     Nodes {
         /// Count the nodes that each controller speaks with instead.
         #[arg(long, conflicts_with = "json")]
-        by_holder: bool,
+        by_shard_owner: bool,
         #[command(flatten)]
         at: At,
     },
@@ -49,7 +49,7 @@
         #[command(flatten)]
         at: At,
     },
-    /// Show moves, and what waits for whole machines.
+    /// Show moves, and what waits for whole workers.
     Moves(At),
 }
 
@@ -118,7 +118,7 @@
                 return 2;
             }
         };
-        match self.carry_out(&client).await {
+        match self.execute_effect(&client).await {
             Ok(()) => 0,
             Err(error) => {
                 eprintln!("copperfield: {error}");
@@ -131,12 +131,12 @@
         }
     }
 
-    async fn carry_out(&self, client: &Client) -> Result<(), ClientError> {
+    async fn execute_effect(&self, client: &Client) -> Result<(), ClientError> {
         let at = self.at();
         match self {
-            Self::Nodes { by_holder, .. } => {
-                let table = if *by_holder {
-                    table::by_holder
+            Self::Nodes { by_shard_owner, .. } => {
+                let table = if *by_shard_owner {
+                    table::by_shard_owner
                 } else {
                     table::nodes
                 };
--- a/crates/operators/src/table.rs
+++ b/crates/admin/src/table.rs
@@ -64,17 +64,17 @@
 }
 
 /// Which controller speaks with how many nodes, and how many of them are well.
-pub fn by_holder(all: &[Node]) -> String {
-    let mut holders: BTreeMap<&str, [u32; 3]> = BTreeMap::new();
+pub fn by_shard_owner(all: &[Node]) -> String {
+    let mut shard_owners: BTreeMap<&str, [u32; 3]> = BTreeMap::new();
     for n in all {
         let with = n.controller.as_deref().unwrap_or("-");
-        let [nodes, ready, tasks] = holders.entry(with).or_default();
+        let [nodes, ready, tasks] = shard_owners.entry(with).or_default();
         *nodes += 1;
         *ready += u32::from(n.state == NodeState::Ready);
         *tasks += n.tasks;
     }
     let mut t = table(&["CONTROLLER", "NODES", "READY", "TASKS"]);
-    for (with, [nodes, ready, tasks]) in holders {
+    for (with, [nodes, ready, tasks]) in shard_owners {
         t.add_row([
             with.to_string(),
             nodes.to_string(),
--- a/crates/operators/src/views.rs
+++ b/crates/admin/src/views.rs
@@ -33,7 +33,7 @@
     /// Since it was last heard.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub heard_s: Option<f64>,
-    /// Which controller speaks with it, where the machines are shared.
+    /// Which controller speaks with it, where the workers are shared.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub controller: Option<String>,
 }
@@ -86,12 +86,12 @@
 /// `GET /operator/moves`
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Moves {
-    /// Whether work is moved for whole-machine tasks.
+    /// Whether work is moved for whole-worker tasks.
     pub enabled: bool,
     pub live: Vec<Move>,
     /// The last ones that ended, the newest first.
     pub recent: Vec<Move>,
-    /// Jobs that wait for whole machines, and why nothing is moved for them.
+    /// Jobs that wait for whole workers, and why nothing is moved for them.
     pub waiting: Vec<Waiting>,
 }
 
@@ -101,7 +101,7 @@
     pub task: String,
     pub from: String,
     pub to: String,
-    /// The job that waits for the machine, or `drain`.
+    /// The job that waits for the worker, or `drain`.
     pub purpose: String,
     /// How far it is, or how it ended.
     pub state: String,
--- a/crates/operators/tests/pinned_bytes.rs
+++ b/crates/admin/tests/pinned_bytes.rs
@@ -3,8 +3,8 @@
 
 use std::path::PathBuf;
 
-use copperfield_operators::table;
-use copperfield_operators::views::{Confirm, DrainOrder, Moves, Node, Nodes};
+use copperfield_admin::table;
+use copperfield_admin::views::{Confirm, DrainOrder, Moves, Node, Nodes};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -60,7 +60,10 @@
 fn tables_for_people_stay() {
     let nodes = read::<Nodes>("nodes.json").nodes;
     check_text("nodes.txt", &format!("{}\n", table::nodes(&nodes)));
-    check_text("by_holder.txt", &format!("{}\n", table::by_holder(&nodes)));
+    check_text(
+        "by_holder.txt",
+        &format!("{}\n", table::by_shard_owner(&nodes)),
+    );
     check_text("nodes_none.txt", &format!("{}\n", table::nodes(&[])));
     for (from, to) in [
         ("moves.json", "moves.txt"),
--- a/crates/defrag/benches/plan.rs
+++ b/crates/defrag/benches/plan.rs
@@ -1,22 +1,22 @@
-//! How long a plan takes, and how that grows: a gang of four whole machines of eight
-//! GPUs in one of three zones, on fleets where every machine holds ten small tasks.
+//! How long a plan takes, and how that grows: a gang of four whole workers of eight
+//! GPUs in one of three zones, on fleets where every worker holds ten small tasks.
 
 use std::time::Instant;
 
-use copperfield_defrag::{Copy, Fleet, Limits, Machine, Want, Work, free};
-use copperfield_protocol::job::Amounts;
+use copperfield_defrag::{Fleet, Limits, TaskInstance, Want, Work, Worker, free};
+use copperfield_protocol::job::Resources;
 use criterion::{BenchmarkId, Criterion};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 
-fn fleet(machines: u32, tasks: u32, seed: u64) -> Fleet {
+fn fleet(workers: u32, tasks: u32, seed: u64) -> Fleet {
     let mut rng = StdRng::seed_from_u64(seed);
-    let whole = Amounts::new(64.0, 8.0, 512.0);
+    let whole = Resources::new(64.0, 8.0, 512.0);
     let mut fleet = Fleet {
-        machines: (0..machines)
-            .map(|m| Machine {
+        workers: (0..workers)
+            .map(|m| Worker {
                 zone: m % 3,
                 kind: m % 2,
                 spot: m % 5 == 0,
@@ -31,16 +31,16 @@
             })
             .collect(),
         works: Vec::new(),
-        copies: Vec::new(),
+        instances: Vec::new(),
     };
     let left = LogNormal::new(4.0, 1.0).expect("valid");
     // A job has about forty tasks; one in ten wants a GPU or two.
     for w in 0..(tasks / 40).max(20) {
         let small = w % 10 > 0;
         let needs = if small {
-            Amounts::new(rng.random_range(1..=8).into(), 0.0, 8.0)
+            Resources::new(rng.random_range(1..=8).into(), 0.0, 8.0)
         } else {
-            Amounts::new(4.0, rng.random_range(1..=2).into(), 32.0)
+            Resources::new(4.0, rng.random_range(1..=2).into(), 32.0)
         };
         fleet.works.push(Work {
             needs,
@@ -60,16 +60,16 @@
         });
     }
     let works = fleet.works.len() as u32;
-    for m in 0..machines {
-        let machine = &mut fleet.machines[m as usize];
-        for i in 0..tasks / machines {
+    for m in 0..workers {
+        let worker = &mut fleet.workers[m as usize];
+        for i in 0..tasks / workers {
             let w = rng.random_range(0..works / 10) * 10 + if i == 0 { 0 } else { 1 + i % 9 };
             let work = &mut fleet.works[w.min(works - 1) as usize];
-            if work.needs.fits_in(&machine.room) {
-                machine.room.sub(&work.needs);
-                work.by_zone[machine.zone as usize] += 1;
-                fleet.copies.push(Copy {
-                    machine: m,
+            if work.needs.fits_in(&worker.room) {
+                worker.room.sub(&work.needs);
+                work.by_zone[worker.zone as usize] += 1;
+                fleet.instances.push(TaskInstance {
+                    worker: m,
                     work: w.min(works - 1),
                     movable: rng.random_bool(0.9),
                     ends_in_s: left.sample(&mut rng) + 5.0,
@@ -83,7 +83,7 @@
 
 fn want() -> Want {
     Want {
-        needs: Amounts::new(48.0, 8.0, 256.0),
+        needs: Resources::new(48.0, 8.0, 256.0),
         rank: 1,
         tasks: 4,
         one_zone: true,
@@ -105,11 +105,11 @@
 
 fn main() {
     println!("machines  tasks  plans  moves   p50 ms   p99 ms   max ms");
-    for machines in [100, 300, 1000, 3000, 10_000] {
+    for workers in [100, 300, 1000, 3000, 10_000] {
         let mut times = Histogram::<u64>::new(3).expect("valid");
         let (mut plans, mut moves) = (0, 0);
         for seed in 0..200 {
-            let fleet = fleet(machines, machines * 10, seed);
+            let fleet = fleet(workers, workers * 10, seed);
             let began = Instant::now();
             let plan = free(&fleet, &want(), &LIMITS);
             times
@@ -120,8 +120,8 @@
         }
         let ms = |us: u64| us as f64 / 1000.0;
         println!(
-            "{machines:8} {:6} {plans:6} {moves:6} {:8.3} {:8.3} {:8.3}",
-            machines * 10,
+            "{workers:8} {:6} {plans:6} {moves:6} {:8.3} {:8.3} {:8.3}",
+            workers * 10,
             ms(times.value_at_quantile(0.5)),
             ms(times.value_at_quantile(0.99)),
             ms(times.max())
@@ -129,9 +129,9 @@
     }
     let mut criterion = Criterion::default().sample_size(20).configure_from_args();
     let mut group = criterion.benchmark_group("plan");
-    for machines in [1000, 10_000] {
-        let fleet = fleet(machines, machines * 10, 1);
-        group.bench_with_input(BenchmarkId::from_parameter(machines), &fleet, |b, fleet| {
+    for workers in [1000, 10_000] {
+        let fleet = fleet(workers, workers * 10, 1);
+        group.bench_with_input(BenchmarkId::from_parameter(workers), &fleet, |b, fleet| {
             b.iter(|| free(fleet, &want(), &LIMITS));
         });
     }
--- a/crates/defrag/src/choose.rs
+++ b/crates/defrag/src/choose.rs
@@ -1,19 +1,19 @@
-//! The cheapest copies to take off one machine so that a task fits.
+//! The cheapest copies to take off one worker so that a task fits.
 
 use std::collections::BTreeSet;
 
-use copperfield_protocol::job::Amounts;
+use copperfield_protocol::job::Resources;
 
 use crate::fleet::{Fleet, Limits, Want};
 use crate::place::Targets;
 
-/// Machines hold a few dozen tasks at most; past so many steps of the search the best
+/// Workers hold a few dozen tasks at most; past so many steps of the search the best
 /// found so far stands. Greedy with pruning is found first, so there always is one.
 const STEPS: usize = 1000;
 
-/// Copies by machine and by job, and where they could go, made once for a plan.
+/// Copies by worker and by job, and where they could go, made once for a plan.
 pub(crate) struct Index {
-    pub by_machine: Vec<Vec<u32>>,
+    pub by_worker: Vec<Vec<u32>>,
     pub by_work: Vec<Vec<u32>>,
     /// Of a gang: it may move, with all of its copies.
     gang_moves: Vec<bool>,
@@ -24,25 +24,25 @@
 
 impl Index {
     pub fn new(fleet: &Fleet, limits: &Limits) -> Self {
-        let mut by_machine = vec![Vec::new(); fleet.machines.len()];
+        let mut by_worker = vec![Vec::new(); fleet.workers.len()];
         let mut by_work = vec![Vec::new(); fleet.works.len()];
-        for (c, copy) in (0u32..).zip(&fleet.copies) {
-            by_machine[copy.machine as usize].push(c);
-            by_work[copy.work as usize].push(c);
+        for (c, instance) in (0u32..).zip(&fleet.instances) {
+            by_worker[instance.worker as usize].push(c);
+            by_work[instance.work as usize].push(c);
         }
         let works = (0..).zip(&fleet.works);
         let (gang_moves, gang_cost) = works
             .map(|(w, work): (usize, _)| {
-                let copies: &Vec<u32> = &by_work[w];
+                let instances: &Vec<u32> = &by_work[w];
                 let moves = work.gang
-                    && copies.len() <= limits.moves
-                    && copies.len() <= work.may_leave as usize
-                    && copies.iter().all(|&c| {
-                        let copy = &fleet.copies[c as usize];
-                        copy.movable && copy.ends_in_s > limits.soon_s
+                    && instances.len() <= limits.moves
+                    && instances.len() <= work.may_leave as usize
+                    && instances.iter().all(|&c| {
+                        let instance = &fleet.instances[c as usize];
+                        instance.movable && instance.ends_in_s > limits.soon_s
                     });
                 let cost = if moves {
-                    copies.iter().map(|&c| fleet.cost(c, limits)).sum()
+                    instances.iter().map(|&c| fleet.cost(c, limits)).sum()
                 } else {
                     f64::INFINITY
                 };
@@ -50,7 +50,7 @@
             })
             .unzip();
         Self {
-            by_machine,
+            by_worker,
             by_work,
             gang_moves,
             gang_cost,
@@ -60,18 +60,18 @@
 
     /// Whether a copy may be moved, alone or with its gang.
     pub fn moves(&self, fleet: &Fleet, c: u32, limits: &Limits) -> bool {
-        let copy = &fleet.copies[c as usize];
-        let work = &fleet.works[copy.work as usize];
+        let instance = &fleet.instances[c as usize];
+        let work = &fleet.works[instance.work as usize];
         if work.gang {
-            self.gang_moves[copy.work as usize]
+            self.gang_moves[instance.work as usize]
         } else {
-            copy.movable && copy.ends_in_s > limits.soon_s && work.may_leave > 0
+            instance.movable && instance.ends_in_s > limits.soon_s && work.may_leave > 0
         }
     }
 
     /// A copy and all that must move with it.
     pub fn with_gang(&self, fleet: &Fleet, c: u32) -> Vec<u32> {
-        let w = fleet.copies[c as usize].work as usize;
+        let w = fleet.instances[c as usize].work as usize;
         if fleet.works[w].gang {
             self.by_work[w].clone()
         } else {
@@ -80,7 +80,7 @@
     }
 
     fn cost(&self, fleet: &Fleet, c: u32, limits: &Limits) -> f64 {
-        let w = fleet.copies[c as usize].work as usize;
+        let w = fleet.instances[c as usize].work as usize;
         if fleet.works[w].gang {
             self.gang_cost[w]
         } else {
@@ -89,17 +89,17 @@
     }
 }
 
-/// What to take off a machine, and for how much.
+/// What to take off a worker, and for how much.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Choice {
     pub cost: f64,
-    pub copies: Vec<u32>,
+    pub instances: Vec<u32>,
 }
 
 /// A copy that may go: what that costs, and what it frees.
-type Item = (f64, u32, Amounts);
+type Item = (f64, u32, Resources);
 
-/// What may go from a machine, and the room there is without that.
+/// What may go from a worker, and the room there is without that.
 fn items(
     fleet: &Fleet,
     index: &Index,
@@ -108,15 +108,15 @@
     limits: &Limits,
     gone: &BTreeSet<u32>,
     stuck: &BTreeSet<u32>,
-) -> (Amounts, Vec<Item>) {
-    let mut room = fleet.machines[m as usize].room;
+) -> (Resources, Vec<Item>) {
+    let mut room = fleet.workers[m as usize].room;
     let mut items: Vec<Item> = Vec::new();
-    for &c in &index.by_machine[m as usize] {
-        let copy = &fleet.copies[c as usize];
-        let work = &fleet.works[copy.work as usize];
+    for &c in &index.by_worker[m as usize] {
+        let instance = &fleet.instances[c as usize];
+        let work = &fleet.works[instance.work as usize];
         let frees = work.needs;
         let gives_way = work.rank < want.rank && !work.gang;
-        if gone.contains(&c) || copy.ends_in_s <= limits.soon_s || gives_way {
+        if gone.contains(&c) || instance.ends_in_s <= limits.soon_s || gives_way {
             room.add(&frees);
         } else if !stuck.contains(&c) && index.moves(fleet, c, limits) {
             items.push((index.cost(fleet, c, limits), c, frees));
@@ -125,8 +125,8 @@
     (room, items)
 }
 
-/// At least what freeing a machine costs, 0 if nothing must go, `None` if it cannot be
-/// freed. Much cheaper than [`cheapest`], which is asked of few machines only.
+/// At least what freeing a worker costs, 0 if nothing must go, `None` if it cannot be
+/// freed. Much cheaper than [`cheapest`], which is asked of few workers only.
 pub(crate) fn at_least(
     fleet: &Fleet,
     index: &Index,
@@ -167,11 +167,11 @@
     Some(bound)
 }
 
-fn dims(a: &Amounts) -> [i64; 3] {
+fn dims(a: &Resources) -> [i64; 3] {
     [a.cpus, a.gpus, a.memory]
 }
 
-fn missing(needs: &Amounts, room: &Amounts) -> [i64; 3] {
+fn missing(needs: &Resources, room: &Resources) -> [i64; 3] {
     let (needs, room) = (dims(needs), dims(room));
     std::array::from_fn(|d| needs[d] - room[d])
 }
@@ -193,13 +193,13 @@
     if needs.fits_in(&room) {
         return Some(Choice {
             cost: 0.0,
-            copies: Vec::new(),
+            instances: Vec::new(),
         });
     }
     items.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     // What is left to take at each depth, and the least that a thousandth of it costs,
     // to see early that nothing more can come of it.
-    let mut left = vec![Amounts::default(); items.len() + 1];
+    let mut left = vec![Resources::default(); items.len() + 1];
     let mut least = vec![[f64::INFINITY; 3]; items.len() + 1];
     for i in (0..items.len()).rev() {
         left[i] = left[i + 1];
@@ -227,13 +227,13 @@
     let (cost, taken) = search.best;
     Some(Choice {
         cost,
-        copies: taken.into_iter().map(|i| items[i].1).collect(),
+        instances: taken.into_iter().map(|i| items[i].1).collect(),
     })
 }
 
 /// Cheap ones first until it fits, then the dearest that turn out not to be needed
 /// are left where they are.
-fn greedy(items: &[Item], needs: &Amounts, mut room: Amounts) -> Option<(f64, Vec<usize>)> {
+fn greedy(items: &[Item], needs: &Resources, mut room: Resources) -> Option<(f64, Vec<usize>)> {
     let mut taken = Vec::new();
     for (i, item) in items.iter().enumerate() {
         if needs.fits_in(&room) {
@@ -258,25 +258,25 @@
     Some((taken.iter().map(|&i| items[i].0).sum(), taken))
 }
 
-fn helps(needs: &Amounts, room: &Amounts, frees: &Amounts) -> bool {
+fn helps(needs: &Resources, room: &Resources, frees: &Resources) -> bool {
     (needs.cpus > room.cpus && frees.cpus > 0)
         || (needs.memory > room.memory && frees.memory > 0)
         || (needs.gpus > room.gpus && frees.gpus > 0)
 }
 
-/// Branch and bound over the copies of one machine.
+/// Branch and bound over the copies of one worker.
 struct Search<'a> {
     items: &'a [Item],
-    left: &'a [Amounts],
+    left: &'a [Resources],
     least: &'a [[f64; 3]],
-    needs: &'a Amounts,
+    needs: &'a Resources,
     best: (f64, Vec<usize>),
     taken: Vec<usize>,
     steps: usize,
 }
 
 impl Search<'_> {
-    fn go(&mut self, i: usize, room: Amounts, cost: f64) {
+    fn go(&mut self, i: usize, room: Resources, cost: f64) {
         self.steps += 1;
         if cost >= self.best.0 || self.steps > STEPS {
             return;
@@ -285,9 +285,9 @@
             self.best = (cost, self.taken.clone());
             return;
         }
-        let mut most = room;
-        most.add(&self.left[i]);
-        if i == self.items.len() || !self.needs.fits_in(&most) {
+        let mut limit = room;
+        limit.add(&self.left[i]);
+        if i == self.items.len() || !self.needs.fits_in(&limit) {
             return;
         }
         let missing = missing(self.needs, &room);
--- a/crates/defrag/src/fleet.rs
+++ b/crates/defrag/src/fleet.rs
@@ -1,10 +1,10 @@
 //! What a plan is made from.
 
-use copperfield_protocol::job::Amounts;
+use copperfield_protocol::job::Resources;
 
-/// One machine, as far as a plan cares.
+/// One worker, as far as a plan cares.
 #[derive(Debug, Clone)]
-pub struct Machine {
+pub struct Worker {
     pub zone: u32,
     /// Index of its type.
     pub kind: u32,
@@ -15,10 +15,10 @@
     /// May be freed: as `receives`, and no other job has a claim on it.
     pub frees: bool,
     /// All of it.
-    pub whole: Amounts,
+    pub whole: Resources,
     /// What is free of it now, less what is claimed for others.
-    pub room: Amounts,
-    /// Money per second for the whole machine.
+    pub room: Resources,
+    /// Money per second for the whole worker.
     pub price: f64,
     /// Gigabytes of images per second.
     pub fetch_gb_per_s: f64,
@@ -32,16 +32,16 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Yield {
     pub rank: u8,
-    pub needs: Amounts,
+    pub needs: Resources,
     /// What stopping it costs, in money.
     pub cost: f64,
 }
 
-/// A job with tasks on machines.
+/// A job with tasks on workers.
 #[derive(Debug, Clone)]
 pub struct Work {
     /// What each task takes.
-    pub needs: Amounts,
+    pub needs: Resources,
     /// Work of a higher rank may have it stopped; never of the same.
     pub rank: u8,
     /// How much a second of it counts beside other work (the auction's π·w).
@@ -50,7 +50,7 @@
     pub kinds: Option<Vec<u32>>,
     /// The only zone it may run in.
     pub zone: Option<u32>,
-    /// May run on spot machines.
+    /// May run on spot workers.
     pub spot: bool,
     /// All its tasks must be in one zone.
     pub one_zone: bool,
@@ -64,15 +64,15 @@
     pub gang: bool,
     /// How many of its tasks may still be taken away now.
     pub may_leave: u32,
-    /// Machines it must keep off, as it failed there.
+    /// Workers it must keep off, as it failed there.
     pub avoid: Vec<u32>,
 }
 
-/// One task on one machine.
+/// One task on one worker.
 #[derive(Debug, Clone)]
-pub struct Copy {
-    /// Index into [`Fleet::machines`].
-    pub machine: u32,
+pub struct TaskInstance {
+    /// Index into [`Fleet::workers`].
+    pub worker: u32,
     /// Index into [`Fleet::works`].
     pub work: u32,
     /// May be moved at all: by its marks, its class, and when it last moved.
@@ -85,17 +85,17 @@
 
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
-    pub machines: Vec<Machine>,
+    pub workers: Vec<Worker>,
     pub works: Vec<Work>,
-    pub copies: Vec<Copy>,
+    pub instances: Vec<TaskInstance>,
 }
 
-/// Who waits for machines.
+/// Who waits for workers.
 #[derive(Debug, Clone)]
 pub struct Want {
-    /// What each of its tasks takes of its machine.
-    pub needs: Amounts,
-    /// What is of a lower rank on a machine gives way to it, unless it is a gang.
+    /// What each of its tasks takes of its worker.
+    pub needs: Resources,
+    /// What is of a lower rank on a worker gives way to it, unless it is a gang.
     pub rank: u8,
     /// Tasks that wait for a place at once.
     pub tasks: u32,
@@ -125,63 +125,63 @@
 }
 
 impl Work {
-    /// Whether a task of it may run on the machine, whatever else runs there.
-    pub fn suits(&self, m: u32, machine: &Machine) -> bool {
-        suits(&self.kinds, self.zone, self.spot, machine) && !self.avoid.contains(&m)
+    /// Whether a task of it may run on the worker, whatever else runs there.
+    pub fn suits(&self, m: u32, worker: &Worker) -> bool {
+        suits(&self.kinds, self.zone, self.spot, worker) && !self.avoid.contains(&m)
     }
 }
 
 impl Want {
-    pub fn suits(&self, machine: &Machine) -> bool {
-        suits(&self.kinds, self.zone, self.spot, machine) && self.needs.fits_in(&machine.whole)
+    pub fn suits(&self, worker: &Worker) -> bool {
+        suits(&self.kinds, self.zone, self.spot, worker) && self.needs.fits_in(&worker.whole)
     }
 }
 
-fn suits(kinds: &Option<Vec<u32>>, zone: Option<u32>, spot: bool, machine: &Machine) -> bool {
-    (spot || !machine.spot)
-        && zone.is_none_or(|z| z == machine.zone)
-        && kinds.as_ref().is_none_or(|k| k.contains(&machine.kind))
+fn suits(kinds: &Option<Vec<u32>>, zone: Option<u32>, spot: bool, worker: &Worker) -> bool {
+    (spot || !worker.spot)
+        && zone.is_none_or(|z| z == worker.zone)
+        && kinds.as_ref().is_none_or(|k| k.contains(&worker.kind))
 }
 
 impl Fleet {
-    /// Seconds until a machine has the image of a job, 0 if it has it.
+    /// Seconds until a worker has the image of a job, 0 if it has it.
     pub fn fetch_s(&self, work: &Work, m: u32) -> f64 {
-        let machine = &self.machines[m as usize];
-        if work.image_gb <= 0.0 || machine.images.contains(&work.image) {
+        let worker = &self.workers[m as usize];
+        if work.image_gb <= 0.0 || worker.images.contains(&work.image) {
             0.0
         } else {
-            work.image_gb / machine.fetch_gb_per_s.max(1e-3)
+            work.image_gb / worker.fetch_gb_per_s.max(1e-3)
         }
     }
 
     /// Money that a second of a copy's work is worth where it runs.
-    fn rate(&self, copy: &Copy) -> f64 {
-        let work = &self.works[copy.work as usize];
-        let machine = &self.machines[copy.machine as usize];
-        work.weight * machine.price * work.needs.share_of(&machine.whole)
+    fn rate(&self, instance: &TaskInstance) -> f64 {
+        let work = &self.works[instance.work as usize];
+        let worker = &self.workers[instance.worker as usize];
+        work.weight * worker.price * work.needs.share_of(&worker.whole)
     }
 
     /// What a move costs before the fetch at its target is known.
     pub fn cost(&self, c: u32, limits: &Limits) -> f64 {
-        let copy = &self.copies[c as usize];
-        self.rate(copy) * (copy.lost_s + limits.move_s)
+        let instance = &self.instances[c as usize];
+        self.rate(instance) * (instance.lost_s + limits.move_s)
     }
 
     /// What a move costs in all.
     pub fn cost_to(&self, c: u32, to: u32, limits: &Limits) -> f64 {
-        let copy = &self.copies[c as usize];
-        let work = &self.works[copy.work as usize];
+        let instance = &self.instances[c as usize];
+        let work = &self.works[instance.work as usize];
         let stops = self.stops(work, to).unwrap_or(f64::INFINITY);
-        self.cost(c, limits) + self.rate(copy) * self.fetch_s(work, to) + stops
+        self.cost(c, limits) + self.rate(instance) * self.fetch_s(work, to) + stops
     }
 
-    /// What has to be stopped on a machine so that a task fits, in money; 0 where there
+    /// What has to be stopped on a worker so that a task fits, in money; 0 where there
     /// is room, `None` if it cannot.
     pub(crate) fn stops(&self, work: &Work, m: u32) -> Option<f64> {
-        let machine = &self.machines[m as usize];
-        let mut room = machine.room;
+        let worker = &self.workers[m as usize];
+        let mut room = worker.room;
         let mut cost = 0.0;
-        for y in &machine.yields {
+        for y in &worker.yields {
             if work.needs.fits_in(&room) {
                 break;
             }
@@ -193,11 +193,11 @@
         work.needs.fits_in(&room).then_some(cost)
     }
 
-    /// Room of a machine for work of a rank, what gives way to it included.
-    pub(crate) fn room_for(&self, rank: u8, m: u32) -> Amounts {
-        let machine = &self.machines[m as usize];
-        let mut room = machine.room;
-        for y in machine.yields.iter().filter(|y| y.rank < rank) {
+    /// Room of a worker for work of a rank, what gives way to it included.
+    pub(crate) fn room_for(&self, rank: u8, m: u32) -> Resources {
+        let worker = &self.workers[m as usize];
+        let mut room = worker.room;
+        for y in worker.yields.iter().filter(|y| y.rank < rank) {
             room.add(&y.needs);
         }
         room
--- a/crates/defrag/src/lib.rs
+++ b/crates/defrag/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which running tasks to move so that whole machines come free.
+//! Which running tasks to move so that whole workers come free.
 //!
-//! A task that takes most of a machine waits while capacity lies about in
+//! A task that takes most of a worker waits while capacity lies about in
 //! pieces. [`free`] finds the moves that make room for it with the least work
 //! lost, and only if what they free is worth more than they cost; [`empty`]
-//! finds places for what runs on a machine that drains.
+//! finds places for what runs on a worker that drains.
 //!
 //! Everything is in the controllers' own terms: amounts in thousandths, times
 //! in seconds, costs in money (price per second × seconds × the weight of the
@@ -12,15 +12,15 @@
 //!
 //! | module | what |
 //! | --- | --- |
-//! | [`fleet`] | what goes in: machines, work, copies of tasks, a want |
-//! | `choose` | the cheapest copies to take off one machine |
+//! | [`fleet`] | what goes in: workers, work, copies of tasks, a want |
+//! | `choose` | the cheapest copies to take off one worker |
 //! | `place` | where each of them goes |
-//! | `plan` | which machines to free, and for how much |
+//! | `plan` | which workers to free, and for how much |
 
 mod choose;
 pub mod fleet;
 mod place;
 mod plan;
 
-pub use fleet::{Copy, Fleet, Limits, Machine, Want, Work, Yield};
+pub use fleet::{Fleet, Limits, TaskInstance, Want, Work, Worker, Yield};
 pub use plan::{Move, Plan, Reason, empty, free};
--- a/crates/defrag/src/place.rs
+++ b/crates/defrag/src/place.rs
@@ -9,11 +9,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use copperfield_protocol::job::Amounts;
+use copperfield_protocol::job::Resources;
 
 use crate::fleet::{Fleet, Limits};
 
-/// So many of the machines that a task could go to are put in order; the rest, of which
+/// So many of the workers that a task could go to are put in order; the rest, of which
 /// a plan hardly ever needs one, come as they are.
 const BEST: usize = 64;
 
@@ -23,7 +23,7 @@
 /// Room and zones as a plan has spoken for them so far.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Spoken {
-    room: BTreeMap<u32, Amounts>,
+    room: BTreeMap<u32, Resources>,
     /// By job and zone: tasks that come less tasks that go.
     zones: BTreeMap<(u32, u32), i64>,
     leaving: BTreeMap<u32, u32>,
@@ -31,7 +31,7 @@
 }
 
 impl Spoken {
-    fn room(&self, fleet: &Fleet, rank: u8, m: u32) -> Amounts {
+    fn room(&self, fleet: &Fleet, rank: u8, m: u32) -> Resources {
         let taken = self.room.get(&m).copied().unwrap_or_default();
         let mut room = fleet.room_for(rank, m);
         room.sub(&taken);
@@ -40,7 +40,7 @@
 }
 
 /// Finds a target for each copy of a unit (one task, or a whole gang), or for none.
-/// `kept` are machines that nothing may move to: those that the plan frees.
+/// `kept` are workers that nothing may move to: those that the plan frees.
 pub(crate) fn place(
     fleet: &Fleet,
     targets: &Targets,
@@ -49,7 +49,7 @@
     limits: &Limits,
     spoken: &Spoken,
 ) -> Option<(Spoken, Vec<(u32, u32)>)> {
-    let w = fleet.copies[*unit.first()? as usize].work;
+    let w = fleet.instances[*unit.first()? as usize].work;
     let work = &fleet.works[w as usize];
     let mut after = spoken.clone();
     let leaving = after.leaving.entry(w).or_default();
@@ -63,13 +63,13 @@
         (0..work.by_zone.len() as u32).map(Some).collect()
     } else if work.one_zone {
         vec![Some(
-            fleet.machines[fleet.copies[unit[0] as usize].machine as usize].zone,
+            fleet.workers[fleet.instances[unit[0] as usize].worker as usize].zone,
         )]
     } else {
         vec![None]
     };
     for &c in unit {
-        let zone = fleet.machines[fleet.copies[c as usize].machine as usize].zone;
+        let zone = fleet.workers[fleet.instances[c as usize].worker as usize].zone;
         *after.zones.entry((w, zone)).or_default() -= 1;
     }
     let list = targets.of(fleet, w);
@@ -81,7 +81,7 @@
             let Some(to) = target(fleet, &list, c, zone, kept, &tried) else {
                 break;
             };
-            let there = fleet.machines[to as usize].zone;
+            let there = fleet.workers[to as usize].zone;
             tried.room.entry(to).or_default().add(&work.needs);
             *tried.zones.entry((w, there)).or_default() += 1;
             tried.cost += fleet.cost_to(c, to, limits);
@@ -94,7 +94,7 @@
     best
 }
 
-/// For each job the machines that could run a task of it, best first: the one where
+/// For each job the workers that could run a task of it, best first: the one where
 /// the least is lost to the fetch and to what gives way; between equals the one whose share costs least, then the
 /// one that is left with the least room. Made when first asked for, and then kept: one
 /// plan tries the same tasks many times.
@@ -114,20 +114,20 @@
 fn list(fleet: &Fleet, w: u32) -> Rc<[u32]> {
     let work = &fleet.works[w as usize];
     let mut all: Vec<(f64, u32)> = Vec::new();
-    for (m, machine) in (0u32..).zip(&fleet.machines) {
-        if !machine.receives {
+    for (m, worker) in (0u32..).zip(&fleet.workers) {
+        if !worker.receives {
             continue;
         }
         let Some(stops) = fleet.stops(work, m) else {
             continue;
         };
-        if !work.suits(m, machine) {
+        if !work.suits(m, worker) {
             continue;
         }
-        let rent = machine.price * work.needs.share_of(&machine.whole);
-        // The fetch in money, as for a machine of this price.
+        let rent = worker.price * work.needs.share_of(&worker.whole);
+        // The fetch in money, as for a worker of this price.
         let loses = stops + work.weight * rent * fleet.fetch_s(work, m);
-        let mut after = machine.room;
+        let mut after = worker.room;
         after.sub(&work.needs);
         let slack = (after.cpus + 8 * after.gpus) as f64;
         // One number for all three, as a plan sorts thousands of these.
@@ -142,7 +142,7 @@
     all.into_iter().map(|t| t.1).collect()
 }
 
-/// The first of the machines that could take a copy, as things stand in this plan.
+/// The first of the workers that could take a copy, as things stand in this plan.
 fn target(
     fleet: &Fleet,
     targets: &[u32],
@@ -151,15 +151,19 @@
     kept: &BTreeSet<u32>,
     spoken: &Spoken,
 ) -> Option<u32> {
-    let copy = &fleet.copies[c as usize];
-    let work = &fleet.works[copy.work as usize];
+    let instance = &fleet.instances[c as usize];
+    let work = &fleet.works[instance.work as usize];
     targets.iter().copied().find(|&m| {
-        let there = fleet.machines[m as usize].zone;
-        if m == copy.machine || zone.is_some_and(|z| z != there) || kept.contains(&m) {
+        let there = fleet.workers[m as usize].zone;
+        if m == instance.worker || zone.is_some_and(|z| z != there) || kept.contains(&m) {
             return false;
         }
         let here = work.by_zone.get(there as usize).copied().unwrap_or(0);
-        let planned = spoken.zones.get(&(copy.work, there)).copied().unwrap_or(0);
+        let planned = spoken
+            .zones
+            .get(&(instance.work, there))
+            .copied()
+            .unwrap_or(0);
         i64::from(here) + planned < i64::from(work.zone_cap)
             && work.needs.fits_in(&spoken.room(fleet, work.rank, m))
     })
--- a/crates/defrag/src/plan.rs
+++ b/crates/defrag/src/plan.rs
@@ -1,7 +1,7 @@
-//! Which machines to free, and whether it is worth it.
+//! Which workers to free, and whether it is worth it.
 //!
-//! For each zone machines are taken cheapest first until all places are there;
-//! a machine whose tasks find no target is left out and the next one is
+//! For each zone workers are taken cheapest first until all places are there;
+//! a worker whose tasks find no target is left out and the next one is
 //! looked at. The zone that costs the least in all is the plan.
 
 use std::cell::RefCell;
@@ -17,15 +17,15 @@
 /// So often a task that finds no target is left where it is and the next best is tried,
 /// before a zone is given up.
 const IN_VAIN: usize = 12;
-/// Machines of a plan that are each tried to do without.
+/// Workers of a plan that are each tried to do without.
 const LOOK_AHEAD: usize = 2;
 
-/// One task that goes to another machine.
+/// One task that goes to another worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Move {
-    /// Index into [`Fleet::copies`].
-    pub copy: u32,
-    /// Index into [`Fleet::machines`].
+    /// Index into [`Fleet::instances`].
+    pub instance: u32,
+    /// Index into [`Fleet::workers`].
     pub to: u32,
 }
 
@@ -33,10 +33,10 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
     pub moves: Vec<Move>,
-    /// Machines on which a place comes free by these moves, one place each.
+    /// Workers on which a place comes free by these moves, one place each.
     pub frees: Vec<u32>,
     /// Places that are there without a move, or come by themselves within
-    /// [`Limits::soon_s`]: a machine for each place.
+    /// [`Limits::soon_s`]: a worker for each place.
     pub free_already: Vec<u32>,
     /// What the moves cost, in money.
     pub cost: f64,
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum Reason {
     #[error("no machine suits it")]
-    NoMachine,
+    NoWorker,
     #[error("the places are there, or come free by themselves")]
     ComesFree,
     #[error("work that may not move is in the way")]
@@ -76,7 +76,7 @@
         vec![None]
     };
     let mut best: Option<Plan> = None;
-    let mut why = Reason::NoMachine;
+    let mut why = Reason::NoWorker;
     for zone in zones {
         match free_in(fleet, &index, want, limits, zone) {
             Ok(plan) => {
@@ -99,7 +99,7 @@
 
 fn nearer(a: Reason, b: Reason) -> Reason {
     let rank = |r: &Reason| match r {
-        Reason::NoMachine => 0,
+        Reason::NoWorker => 0,
         Reason::InTheWay => 1,
         Reason::NoTarget => 2,
         Reason::TooMany => 3,
@@ -109,7 +109,7 @@
     if rank(&b) >= rank(&a) { b } else { a }
 }
 
-/// A machine that may be freed, by what that costs.
+/// A worker that may be freed, by what that costs.
 #[derive(PartialEq)]
 struct Candidate(f64, u32);
 
@@ -133,22 +133,22 @@
     index: &'a Index,
     want: &'a Want,
     limits: &'a Limits,
-    /// A machine for each place that is there without a move.
+    /// A worker for each place that is there without a move.
     free_already: Vec<u32>,
     /// The rest that suit, with what freeing them costs at least.
     candidates: Vec<(f64, u32)>,
     /// Places taken in each zone, those above included.
     zones: Zones,
-    /// What is best to take off a machine, as long as nothing else has been moved.
+    /// What is best to take off a worker, as long as nothing else has been moved.
     known: RefCell<BTreeMap<u32, Option<Choice>>>,
 }
 
-/// A machine to free, and what must leave it that no machine before it moves already.
+/// A worker to free, and what must leave it that no worker before it moves already.
 type Picked = (u32, Vec<u32>);
 
 impl Offer<'_> {
-    /// The cheapest machines for the places that are missing. `stuck` are copies that
-    /// found no target, `without` a machine to do without.
+    /// The cheapest workers for the places that are missing. `stuck` are copies that
+    /// found no target, `without` a worker to do without.
     fn pick(&self, stuck: &BTreeSet<u32>, without: Option<u32>) -> Result<Vec<Picked>, Reason> {
         let missing = self.want.tasks as usize - self.free_already.len();
         let mut zones = self.zones.clone();
@@ -173,7 +173,7 @@
                 heap.push(Reverse(Candidate(choice.cost, m)));
                 continue;
             }
-            if !zones.take(self.fleet.machines[m as usize].zone) {
+            if !zones.take(self.fleet.workers[m as usize].zone) {
                 continue;
             }
             cost += choice.cost;
@@ -185,17 +185,17 @@
                     false => Ok(picked),
                 };
             }
-            for &c in &choice.copies {
+            for &c in &choice.instances {
                 for c in self.index.with_gang(self.fleet, c) {
                     gone.insert(c);
                     // What a gang leaves behind elsewhere may now be the cheapest.
-                    let from = self.fleet.copies[c as usize].machine;
+                    let from = self.fleet.instances[c as usize].worker;
                     if from != m && self.candidates.iter().any(|&(_, o)| o == from) {
                         heap.push(Reverse(Candidate(0.0, from)));
                     }
                 }
             }
-            picked.push((m, choice.copies));
+            picked.push((m, choice.instances));
         }
         if picked.is_empty() || (self.want.whole && picked.len() < missing) {
             return Err(Reason::InTheWay);
@@ -203,10 +203,12 @@
         Ok(picked)
     }
 
-    /// The same machines come up again and again while nothing on them has changed.
+    /// The same workers come up again and again while nothing on them has changed.
     fn choose(&self, m: u32, gone: &BTreeSet<u32>, stuck: &BTreeSet<u32>) -> Option<Choice> {
-        let copies = &self.index.by_machine[m as usize];
-        let same = !copies.iter().any(|c| gone.contains(c) || stuck.contains(c));
+        let instances = &self.index.by_worker[m as usize];
+        let same = !instances
+            .iter()
+            .any(|c| gone.contains(c) || stuck.contains(c));
         if same && let Some(known) = self.known.borrow().get(&m) {
             return known.clone();
         }
@@ -225,14 +227,14 @@
         choice
     }
 
-    /// Targets for all that must leave the machines picked.
+    /// Targets for all that must leave the workers picked.
     fn settle(&self, picked: &[Picked]) -> Result<Plan, (Option<u32>, Reason)> {
         let frees: Vec<u32> = picked.iter().map(|p| p.0).collect();
         let mut kept: BTreeSet<u32> = frees.iter().copied().collect();
         kept.extend(&self.free_already);
-        let copies = picked.iter().flat_map(|p| p.1.iter().copied()).collect();
-        let (cost, moves) = move_off(self.fleet, self.index, copies, &kept, self.limits)?;
-        let lost = |mv: &Move| self.fleet.copies[mv.copy as usize].lost_s;
+        let instances = picked.iter().flat_map(|p| p.1.iter().copied()).collect();
+        let (cost, moves) = move_off(self.fleet, self.index, instances, &kept, self.limits)?;
+        let lost = |mv: &Move| self.fleet.instances[mv.instance as usize].lost_s;
         Ok(Plan {
             lost_s: moves.iter().map(lost).sum(),
             moves,
@@ -242,7 +244,7 @@
         })
     }
 
-    /// The cheapest machines that can be freed: where something finds no target, the
+    /// The cheapest workers that can be freed: where something finds no target, the
     /// next best is tried without it.
     fn plan(&self, without: Option<u32>) -> Result<Plan, Reason> {
         let mut stuck = BTreeSet::new();
@@ -260,10 +262,10 @@
                     let cost = plan.cost;
                     return Err(nearer(why, Reason::NotWorth { cost, worth }));
                 }
-                Err((copy, reason)) => {
+                Err((instance, reason)) => {
                     why = nearer(why, reason);
-                    let Some(copy) = copy else { break };
-                    stuck.insert(copy);
+                    let Some(instance) = instance else { break };
+                    stuck.insert(instance);
                 }
             }
         }
@@ -292,8 +294,8 @@
         known: RefCell::default(),
     };
     let mut suitable = false;
-    for (m, machine) in (0u32..).zip(&fleet.machines) {
-        if zone.is_some_and(|z| z != machine.zone) || !machine.frees || !want.suits(machine) {
+    for (m, worker) in (0u32..).zip(&fleet.workers) {
+        if zone.is_some_and(|z| z != worker.zone) || !worker.frees || !want.suits(worker) {
             continue;
         }
         suitable = true;
@@ -309,7 +311,7 @@
         loop {
             offer.free_already.push(m);
             room.sub(&want.needs);
-            if !offer.zones.take(machine.zone) {
+            if !offer.zones.take(worker.zone) {
                 offer.free_already.pop();
                 break;
             }
@@ -322,7 +324,7 @@
         }
     }
     if !suitable {
-        return Err(Reason::NoMachine);
+        return Err(Reason::NoWorker);
     }
     let mut best = offer.plan(None)?;
     // Looking ahead: what was cheapest before its targets were known may not be.
@@ -377,19 +379,19 @@
 fn move_off(
     fleet: &Fleet,
     index: &Index,
-    mut copies: Vec<u32>,
+    mut instances: Vec<u32>,
     kept: &BTreeSet<u32>,
     limits: &Limits,
 ) -> Result<(f64, Vec<Move>), (Option<u32>, Reason)> {
     let mut spoken = Spoken::default();
     let mut moves: Vec<Move> = Vec::new();
     // The largest first: they find the fewest places.
-    copies.sort_by_key(|&c| {
-        let needs = &fleet.works[fleet.copies[c as usize].work as usize].needs;
+    instances.sort_by_key(|&c| {
+        let needs = &fleet.works[fleet.instances[c as usize].work as usize].needs;
         (Reverse((needs.gpus, needs.cpus, needs.memory)), c)
     });
-    for c in copies {
-        if moves.iter().any(|mv| mv.copy == c) {
+    for c in instances {
+        if moves.iter().any(|mv| mv.instance == c) {
             continue;
         }
         let unit = index.with_gang(fleet, c);
@@ -401,27 +403,31 @@
             return Err((Some(c), Reason::NoTarget));
         };
         spoken = after;
-        moves.extend(targets.into_iter().map(|(copy, to)| Move { copy, to }));
+        moves.extend(
+            targets
+                .into_iter()
+                .map(|(instance, to)| Move { instance, to }),
+        );
     }
     Ok((spoken.cost, moves))
 }
 
-/// Moves that take off a machine what may move, as far as there are places for it.
-/// What stays behind runs on; a machine that must be empty by some time is a matter
+/// Moves that take off a worker what may move, as far as there are places for it.
+/// What stays behind runs on; a worker that must be empty by some time is a matter
 /// for whoever set it.
-pub fn empty(fleet: &Fleet, machine: u32, limits: &Limits) -> Vec<Move> {
+pub fn empty(fleet: &Fleet, worker: u32, limits: &Limits) -> Vec<Move> {
     let index = Index::new(fleet, limits);
-    let kept = BTreeSet::from([machine]);
-    let mut copies = index.by_machine[machine as usize].clone();
-    copies.retain(|&c| index.moves(fleet, c, limits));
+    let kept = BTreeSet::from([worker]);
+    let mut instances = index.by_worker[worker as usize].clone();
+    instances.retain(|&c| index.moves(fleet, c, limits));
     // What loses the least first, as not all may be allowed at once.
-    copies.sort_by(|&a, &b| {
+    instances.sort_by(|&a, &b| {
         let cost = |c| fleet.cost(c, limits);
         cost(a).total_cmp(&cost(b)).then(a.cmp(&b))
     });
     let mut taken: Vec<u32> = Vec::new();
     let mut moves = Vec::new();
-    for c in copies {
+    for c in instances {
         taken.push(c);
         match move_off(fleet, &index, taken.clone(), &kept, limits) {
             Ok((_, all)) => moves = all,
--- a/crates/defrag/tests/quality.rs
+++ b/crates/defrag/tests/quality.rs
@@ -1,7 +1,9 @@
 //! What every plan must keep, and how far plans are from the best there are.
 
-use copperfield_defrag::{Copy, Fleet, Limits, Machine, Reason, Want, Work, Yield, empty, free};
-use copperfield_protocol::job::Amounts;
+use copperfield_defrag::{
+    Fleet, Limits, Reason, TaskInstance, Want, Work, Worker, Yield, empty, free,
+};
+use copperfield_protocol::job::Resources;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -11,12 +13,12 @@
     move_s: 1.0,
 };
 
-fn gpus(n: i64) -> Amounts {
-    Amounts::new(n as f64, n as f64, 4.0 * n as f64)
+fn gpus(n: i64) -> Resources {
+    Resources::new(n as f64, n as f64, 4.0 * n as f64)
 }
 
-fn machine(zone: u32, whole: i64) -> Machine {
-    Machine {
+fn worker(zone: u32, whole: i64) -> Worker {
+    Worker {
         zone,
         kind: 0,
         spot: false,
@@ -67,30 +69,30 @@
 }
 
 impl Site {
-    fn put(&mut self, machine: u32, w: usize, lost_s: f64) -> u32 {
-        let zone = self.0.machines[machine as usize].zone as usize;
+    fn put(&mut self, worker: u32, w: usize, lost_s: f64) -> u32 {
+        let zone = self.0.workers[worker as usize].zone as usize;
         let needs = self.0.works[w].needs;
         self.0.works[w].by_zone[zone] += 1;
-        self.0.machines[machine as usize].room.sub(&needs);
-        self.0.copies.push(Copy {
-            machine,
+        self.0.workers[worker as usize].room.sub(&needs);
+        self.0.instances.push(TaskInstance {
+            worker,
             work: w as u32,
             movable: true,
             ends_in_s: 100.0,
             lost_s,
         });
-        self.0.copies.len() as u32 - 1
+        self.0.instances.len() as u32 - 1
     }
 }
 
 struct Site(Fleet);
 
-/// Two zones of two machines with four GPUs each; every machine holds one task of two.
+/// Two zones of two workers with four GPUs each; every worker holds one task of two.
 fn scattered() -> Site {
     let mut site = Site(Fleet {
-        machines: (0..4).map(|m| machine(m / 2, 4)).collect(),
+        workers: (0..4).map(|m| worker(m / 2, 4)).collect(),
         works: vec![work(2)],
-        copies: Vec::new(),
+        instances: Vec::new(),
     });
     for m in 0..4 {
         site.put(m, 0, 1.0 + f64::from(m));
@@ -99,7 +101,7 @@
 }
 
 #[test]
-fn one_whole_machine_costs_the_cheapest_move() {
+fn one_whole_worker_costs_the_cheapest_move() {
     let plan = free(&scattered().0, &want(1, 4), &LIMITS).expect("a plan");
     assert_eq!(plan.frees, [0]);
     assert_eq!(plan.moves.len(), 1);
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn a_gang_gets_its_machines_in_one_zone() {
+fn a_gang_gets_its_workers_in_one_zone() {
     let plan = free(&scattered().0, &want(2, 4), &LIMITS).expect("a plan");
     assert_eq!(plan.frees, [0, 1]);
     let zone = |m: u32| m / 2;
@@ -117,30 +119,30 @@
 #[test]
 fn what_may_not_move_is_in_the_way() {
     let mut site = scattered();
-    site.0.copies.iter_mut().for_each(|c| c.movable = false);
+    site.0.instances.iter_mut().for_each(|c| c.movable = false);
     assert_eq!(free(&site.0, &want(1, 4), &LIMITS), Err(Reason::InTheWay));
 }
 
 #[test]
 fn what_ends_soon_is_waited_for() {
     let mut site = scattered();
-    site.0.copies[3].ends_in_s = 4.0;
+    site.0.instances[3].ends_in_s = 4.0;
     assert_eq!(free(&site.0, &want(1, 4), &LIMITS), Err(Reason::ComesFree));
 }
 
 #[test]
-fn nothing_goes_to_a_machine_that_takes_no_work_or_that_is_being_freed() {
+fn nothing_goes_to_a_worker_that_takes_no_work_or_that_is_being_freed() {
     let mut site = scattered();
     for m in 1..4 {
-        site.0.machines[m].receives = false;
+        site.0.workers[m].receives = false;
     }
-    // Only machine 0 takes anything, so it cannot be the one that is freed.
+    // Only worker 0 takes anything, so it cannot be the one that is freed.
     let plan = free(&site.0, &want(1, 4), &LIMITS).expect("a plan");
     assert!(
         plan.moves.iter().all(|mv| mv.to == 0) && plan.frees == [1],
         "{plan:?}"
     );
-    site.0.machines[0].receives = false;
+    site.0.workers[0].receives = false;
     assert_eq!(free(&site.0, &want(1, 4), &LIMITS), Err(Reason::NoTarget));
 }
 
@@ -166,7 +168,7 @@
     assert_eq!(free(&site.0, &want(1, 4), &LIMITS), Err(Reason::InTheWay));
 }
 
-/// Guests fill what is left of every machine: they give way to what moves, for a price,
+/// Guests fill what is left of every worker: they give way to what moves, for a price,
 /// and to the job that waits.
 #[test]
 fn lower_work_gives_way_to_what_moves_and_to_what_waits() {
@@ -178,7 +180,7 @@
         site.put(m, guest, 5.0);
         let cost = 10.0 - f64::from(m);
         let needs = gpus(2);
-        site.0.machines[m as usize].yields = vec![Yield {
+        site.0.workers[m as usize].yields = vec![Yield {
             rank: 0,
             needs,
             cost,
@@ -204,14 +206,14 @@
 }
 
 #[test]
-fn a_machine_that_drains_gives_away_what_finds_a_place() {
+fn a_worker_that_drains_gives_away_what_finds_a_place() {
     let mut site = scattered();
-    site.0.machines[0].receives = false;
+    site.0.workers[0].receives = false;
     site.0.works.push(work(3));
-    site.0.machines[1].room = gpus(4);
-    site.0.copies.remove(1);
-    site.0.machines[0].room = gpus(4);
-    site.0.copies.remove(0);
+    site.0.workers[1].room = gpus(4);
+    site.0.instances.remove(1);
+    site.0.workers[0].room = gpus(4);
+    site.0.instances.remove(0);
     site.put(0, 1, 1.0);
     site.put(0, 0, 1.0);
     let moves = empty(&site.0, 0, &LIMITS);
@@ -223,7 +225,7 @@
 /// Every way to move copies, tried one after another: the cheapest that frees all places.
 fn exhaustive(fleet: &Fleet, want: &Want) -> Option<f64> {
     fn go(fleet: &Fleet, want: &Want, c: usize, to: &mut Vec<Option<u32>>, best: &mut Option<f64>) {
-        if c == fleet.copies.len() {
+        if c == fleet.instances.len() {
             if let Some(cost) = cost(fleet, want, to)
                 && best.is_none_or(|b| cost < b)
             {
@@ -231,8 +233,8 @@
             }
             return;
         }
-        for t in std::iter::once(None).chain((0..fleet.machines.len() as u32).map(Some)) {
-            if t != Some(fleet.copies[c].machine) {
+        for t in std::iter::once(None).chain((0..fleet.workers.len() as u32).map(Some)) {
+            if t != Some(fleet.instances[c].worker) {
                 to.push(t);
                 go(fleet, want, c + 1, to, best);
                 to.pop();
@@ -240,27 +242,27 @@
         }
     }
     fn cost(fleet: &Fleet, want: &Want, to: &[Option<u32>]) -> Option<f64> {
-        let mut claimed = vec![Amounts::default(); fleet.machines.len()];
-        let mut freed = claimed.clone();
+        let mut reserved = vec![Resources::default(); fleet.workers.len()];
+        let mut freed = reserved.clone();
         let mut cost = 0.0;
         for (c, t) in (0u32..).zip(to) {
-            let copy = &fleet.copies[c as usize];
-            let needs = &fleet.works[copy.work as usize].needs;
+            let instance = &fleet.instances[c as usize];
+            let needs = &fleet.works[instance.work as usize].needs;
             if let Some(t) = t {
-                claimed[*t as usize].add(needs);
-                freed[copy.machine as usize].add(needs);
+                reserved[*t as usize].add(needs);
+                freed[instance.worker as usize].add(needs);
                 cost += fleet.cost_to(c, *t, &LIMITS);
             }
         }
-        let fits = |(m, t): (&Machine, &Amounts)| t.fits_in(&m.room);
-        if !fleet.machines.iter().zip(&claimed).all(fits) {
+        let fits = |(m, t): (&Worker, &Resources)| t.fits_in(&m.room);
+        if !fleet.workers.iter().zip(&reserved).all(fits) {
             return None;
         }
         let mut places = [0; 2];
-        for (i, m) in fleet.machines.iter().enumerate() {
+        for (i, m) in fleet.workers.iter().enumerate() {
             let mut room = m.room;
             room.add(&freed[i]);
-            room.sub(&claimed[i]);
+            room.sub(&reserved[i]);
             if want.needs.fits_in(&room) {
                 places[m.zone as usize] += 1;
             }
@@ -280,11 +282,11 @@
     let mut missed = 0;
     for seed in 0..2000 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let machines = rng.random_range(3..=5);
+        let workers = rng.random_range(3..=5);
         let mut site = Site(Fleet {
-            machines: (0..machines).map(|m| machine(m % 2, 4)).collect(),
+            workers: (0..workers).map(|m| worker(m % 2, 4)).collect(),
             works: (1..=3).map(work).collect(),
-            copies: Vec::new(),
+            instances: Vec::new(),
         });
         for w in &mut site.0.works {
             w.weight = rng.random_range(1..=3).into();
@@ -292,14 +294,14 @@
             w.image_gb = 2.0;
         }
         for _ in 0..rng.random_range(2..=6) {
-            let (m, w) = (rng.random_range(0..machines), rng.random_range(0..3));
+            let (m, w) = (rng.random_range(0..workers), rng.random_range(0..3));
             if site.0.works[w]
                 .needs
-                .fits_in(&site.0.machines[m as usize].room)
+                .fits_in(&site.0.workers[m as usize].room)
             {
                 site.put(m, w, rng.random_range(1..30).into());
             }
-            site.0.machines[m as usize]
+            site.0.workers[m as usize]
                 .images
                 .push(rng.random_range(0..2));
         }
--- a/crates/silence/src/lib.rs
+++ b/crates/fencing/src/lib.rs
@@ -3,4 +3,4 @@
 mod record;
 pub mod stamp;
 
-pub use record::{PageWrite, Silence, StoredPage};
+pub use record::{FencingRecord, PageWrite, StoredPage};
--- a/crates/silence/src/record.rs
+++ b/crates/fencing/src/record.rs
@@ -8,7 +8,7 @@
 /// Of a name with its time in a stored page: quotes, colon, comma and 13 digits.
 const BYTES_PER_ENTRY: usize = 18;
 /// Larger pages are rewritten whole for one name more.
-const MOST_PAGE_BYTES: usize = 8 * 1024;
+const MAX_PAGE_BYTES: usize = 8 * 1024;
 
 /// A page as it is to be written.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -16,7 +16,7 @@
     pub page: u32,
     /// The version that the stored page has now, 0 if there is none.
     pub version: u64,
-    /// Machines, and when each was last answered.
+    /// Workers, and when each was last answered.
     pub entries: Vec<(String, u64)>,
 }
 
@@ -56,16 +56,16 @@
 
 /// The record of one leader.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Silence {
+pub struct FencingRecord {
     page_bytes: usize,
     pages: Vec<Page>,
 }
 
-impl Silence {
+impl FencingRecord {
     /// `value_bytes`: what the state service takes as one value at most.
     pub fn new(value_bytes: usize) -> Self {
         Self {
-            page_bytes: (value_bytes * 9 / 10).min(MOST_PAGE_BYTES),
+            page_bytes: (value_bytes * 9 / 10).min(MAX_PAGE_BYTES),
             pages: Vec::new(),
         }
     }
@@ -94,17 +94,17 @@
         &mut self.pages[ix]
     }
 
-    /// A machine that was last answered at `at` is silent: it is to be on the record from
+    /// A worker that was last answered at `at` is silent: it is to be on the record from
     /// `due` on. What is there already stays.
     pub fn silent(&mut self, name: &str, at: u64, due: u64) {
         if self.pages.iter().any(|p| p.wanted.contains_key(name)) {
             return;
         }
         let bytes = name.len() + BYTES_PER_ENTRY;
-        let most = self.page_bytes;
+        let limit = self.page_bytes;
         // Back to the page that may name it already: it must not stand on two.
         let known = self.pages.iter().position(|p| p.held.contains(name));
-        let room = |p: &Page| !p.unreadable && p.bytes() + bytes <= most;
+        let room = |p: &Page| !p.unreadable && p.bytes() + bytes <= limit;
         let ix = match known {
             // Full by now: asked again once the page names it no more.
             Some(ix) if !room(&self.pages[ix]) => return,
@@ -119,7 +119,7 @@
         page.due_by(due);
     }
 
-    /// A machine is heard again, or holds nothing any more: it is to be off the record from
+    /// A worker is heard again, or holds nothing any more: it is to be off the record from
     /// `due` on.
     pub fn heard(&mut self, name: &str, due: u64) {
         for page in &mut self.pages {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Whether the stored record may name a machine: then it is given no answer and no start.
+    /// Whether the stored record may name a worker: then it is given no answer and no start.
     pub fn holds(&self, name: &str) -> bool {
         self.pages
             .iter()
@@ -147,13 +147,13 @@
             .flat_map(|p| p.wanted.keys().map(String::as_str))
     }
 
-    /// The pages that are to be written now, `most` of them. What they name is held back from
+    /// The pages that are to be written now, `limit` of them. What they name is held back from
     /// here on, and one write of a page is out at a time.
-    pub fn writes(&mut self, now: u64, most: usize) -> Vec<PageWrite> {
+    pub fn writes(&mut self, now: u64, limit: usize) -> Vec<PageWrite> {
         let mut all = Vec::new();
         for (ix, page) in self.pages.iter_mut().enumerate() {
             let due = page.due.is_some_and(|at| at <= now) && page.writing.is_none();
-            if !due || all.len() == most {
+            if !due || all.len() == limit {
                 continue;
             }
             page.due = None;
@@ -203,8 +203,8 @@
     }
 
     #[test]
-    fn a_machine_is_held_from_the_write_until_its_removal_is_acknowledged() {
-        let mut s = Silence::new(8192);
+    fn a_worker_is_held_from_the_write_until_its_removal_is_acknowledged() {
+        let mut s = FencingRecord::new(8192);
         s.silent("vm-1", 100, 0);
         assert!(!s.holds("vm-1"), "nothing has left yet");
         assert_eq!(s.writes(0, 9).len(), 1);
@@ -221,7 +221,7 @@
     /// The lost write may have been carried out, so its names stay held whatever is wanted.
     #[test]
     fn a_lost_write_holds_its_names() {
-        let mut s = Silence::new(8192);
+        let mut s = FencingRecord::new(8192);
         s.silent("vm-1", 100, 0);
         s.writes(0, 9);
         s.again(0, 6, 1);
@@ -235,7 +235,7 @@
 
     #[test]
     fn a_promise_is_taken_over_and_a_page_that_does_not_parse_holds_everybody() {
-        let mut s = Silence::new(8192);
+        let mut s = FencingRecord::new(8192);
         s.restore(page(&[("vm-1", 3)]), 10);
         assert!(s.holds("vm-1") && !s.holds("vm-2"));
         assert!(s.writes(10, 9).is_empty(), "nothing has changed");
@@ -252,11 +252,11 @@
     }
 
     proptest! {
-        /// Whatever happens, no page is larger than a value may be, and a machine that the
+        /// Whatever happens, no page is larger than a value may be, and a worker that the
         /// stored value names is held. The store is kept beside it, writes may be lost.
         #[test]
         fn what_is_stored_is_held(steps in prop::collection::vec((0u8..5, 0usize..400), 1..300)) {
-            let mut s = Silence::new(2048);
+            let mut s = FencingRecord::new(2048);
             let mut store: BTreeMap<u32, BTreeSet<String>> = BTreeMap::new();
             let mut versions: BTreeMap<u32, u64> = BTreeMap::new();
             let mut out: Vec<PageWrite> = Vec::new();
--- a/crates/silence/src/stamp.rs
+++ b/crates/fencing/src/stamp.rs
@@ -1,6 +1,6 @@
 //! Ages on a steady clock as times of day, and back.
 //!
-//! The platform bounds how far the time of day of any machine is off (`clock_error_ms`), and
+//! The platform bounds how far the time of day of any worker is off (`clock_error_ms`), and
 //! how far steady clocks drift (0.05%). Both functions err towards a later end of a lease.
 //! The order of the two readings matters, as a process may stand still between them: the age
 //! is taken before the time of day where a stamp is made, and after it where one is read.
@@ -17,7 +17,7 @@
 }
 
 /// How long ago that was at least, in ms on a steady clock that is read after `unix_ms`.
-/// `error_ms` bounds how far any machine's time of day is off: the writer's and the reader's.
+/// `error_ms` bounds how far any worker's time of day is off: the writer's and the reader's.
 pub fn age(stamp: u64, unix_ms: u64, error_ms: u64) -> u64 {
     at_least(unix_ms.saturating_sub(stamp.saturating_add(2 * error_ms + 1)))
 }
--- a/crates/silence/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -10,8 +10,8 @@
 //! over. All short histories are explored, breadth first; the world has too many states for all
 //! long ones, so those are walked at random, seeded. Planted mistakes must each be found.
 
-use copperfield_explorer::{after, effort, explore, walk};
-use copperfield_silence::{PageWrite, Silence, StoredPage, stamp};
+use copperfield_fencing::{FencingRecord, PageWrite, StoredPage, stamp};
+use copperfield_model_checker::{after, effort, explore, walk};
 
 /// Milliseconds a step; everything below is a multiple of it, but for what `stamp` adds.
 const STEP: u64 = 1000;
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Mistake {
     None,
-    /// A machine is answered when its removal has been sent, not when it is acknowledged.
+    /// A worker is answered when its removal has been sent, not when it is acknowledged.
     AnswersBeforeTheAcknowledgement,
     /// Only what is known to be stored is held back, not a write without an answer.
     ForgetsALostWrite,
@@ -55,8 +55,8 @@
     node: usize,
     /// Valid until then; renewed or on the other node's word.
     valid_until: u64,
-    word_until: u64,
-    record: Silence,
+    lease_extended_until: u64,
+    record: FencingRecord,
     /// Last answer to the worker, the election if there was none.
     answered: u64,
     /// Taken for over, and given to somebody else.
@@ -89,12 +89,12 @@
     token: u8,
     /// An acknowledgement that has not arrived yet.
     ack: Option<u64>,
-    left: Left,
+    left: ReleasedWorker,
 }
 
 /// How often what costs many states may happen.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Left {
+struct ReleasedWorker {
     crashes: u8,
     outages: u8,
     losses: u8,
@@ -119,7 +119,7 @@
             late: None,
             token: 0,
             ack: None,
-            left: Left {
+            left: ReleasedWorker {
                 crashes: 2,
                 outages: 1,
                 losses: 2,
@@ -140,7 +140,7 @@
             Mistake::DisregardsTheClocks => 0,
             _ => ERROR,
         };
-        let mut record = Silence::new(1000);
+        let mut record = FencingRecord::new(1000);
         let mut answered = self.now;
         if let Some(at) = stamped {
             let age = stamp::age(at, self.day(node), error);
@@ -162,7 +162,7 @@
         self.leader = Some(Leader {
             node,
             valid_until: self.now + TTL,
-            word_until: 0,
+            lease_extended_until: 0,
             record,
             answered,
             over: false,
@@ -224,7 +224,7 @@
     }
 }
 
-impl copperfield_explorer::World for World {
+impl copperfield_model_checker::World for World {
     fn next(&self) -> Vec<(&'static str, World)> {
         let mistake = self.mistake;
         let mut all = Vec::new();
@@ -307,9 +307,9 @@
             let Some(l) = w.leader.as_mut().filter(|_| w.outage) else {
                 return false;
             };
-            let may = now < l.valid_until && l.word_until < now + TTL;
+            let may = now < l.valid_until && l.lease_extended_until < now + TTL;
             l.valid_until = l.valid_until.max(now + TTL);
-            l.word_until = now + TTL;
+            l.lease_extended_until = now + TTL;
             w.word[1 - l.node] = now + TTL;
             if mistake != Mistake::ForgetsWhatItDidOnTheWord {
                 w.word[l.node] = now + TTL;
@@ -339,7 +339,7 @@
                 Mistake::ForgetsALostWrite => w.stored.1.is_none(),
                 _ => !l.record.holds(NAME),
             };
-            if free || now < l.word_until {
+            if free || now < l.lease_extended_until {
                 l.answered = now;
                 w.answer = Some(now);
                 l.over = false;
--- a/crates/http/benches/held.rs
+++ b/crates/http/benches/held.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperfield_http::{Meter, Pool, Rules, Standing, serve};
+use copperfield_http::{ClientClass, Meter, Pool, Rules, serve};
 use http::{Method, Response};
 
 struct Counting;
@@ -53,13 +53,13 @@
         .build()
         .expect("a runtime");
     let rules = Rules {
-        most: 4 * CONNECTIONS,
+        limit: 4 * CONNECTIONS,
         idle: Duration::from_secs(60),
         whole: Duration::from_secs(10),
         most_body: 64 * 1024,
         spare: 4,
         meter: Meter::new(64 << 20),
-        standing: |_| Standing::Worker,
+        client_class: |_| ClientClass::Worker,
         refusal: |_, _| Response::new(Bytes::new()),
     };
     let port = runtime.block_on(async {
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -18,7 +18,7 @@
 
 const FIRST_READ: usize = 1024;
 /// Of a chunk: the line with its size.
-const MOST_LINE: usize = 256;
+const MAX_LINE: usize = 256;
 
 #[derive(Debug, Clone, Error)]
 pub enum Failure {
@@ -191,7 +191,7 @@
 }
 
 /// The answer, and whether the connection may be used again.
-async fn receive(stream: &mut TcpStream, most: usize) -> io::Result<(Reply, bool)> {
+async fn receive(stream: &mut TcpStream, limit: usize) -> io::Result<(Reply, bool)> {
     let mut bytes = Vec::with_capacity(FIRST_READ);
     let head = loop {
         match head::response(&bytes).map_err(|e| wrong(&e.to_string()))? {
@@ -206,7 +206,7 @@
         Some(Body::None) => {}
         Some(Body::Length(length)) => {
             let length = usize::try_from(length).map_err(|_| too_large())?;
-            if length > most {
+            if length > limit {
                 return Err(too_large());
             }
             bytes.reserve_exact(length.saturating_sub(bytes.len()));
@@ -217,9 +217,9 @@
                 return Err(wrong("more than the answer"));
             }
         }
-        Some(Body::Chunked) => bytes = chunked(stream, bytes, most).await?,
+        Some(Body::Chunked) => bytes = chunked(stream, bytes, limit).await?,
         None => loop {
-            if bytes.len() > most {
+            if bytes.len() > limit {
                 return Err(too_large());
             }
             match more(stream, &mut bytes).await {
@@ -236,20 +236,20 @@
     Ok((reply, head.keep_alive))
 }
 
-async fn chunked(stream: &mut TcpStream, mut bytes: Vec<u8>, most: usize) -> io::Result<Vec<u8>> {
+async fn chunked(stream: &mut TcpStream, mut bytes: Vec<u8>, limit: usize) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let (start, size) = loop {
             match httparse::parse_chunk_size(&bytes).map_err(|_| wrong("size of a chunk"))? {
                 httparse::Status::Complete(found) => break found,
-                httparse::Status::Partial if bytes.len() > MOST_LINE => {
+                httparse::Status::Partial if bytes.len() > MAX_LINE => {
                     return Err(wrong("size of a chunk"));
                 }
                 httparse::Status::Partial => more(stream, &mut bytes).await?,
             }
         };
         let size = usize::try_from(size).map_err(|_| wrong("size of a chunk"))?;
-        if size.saturating_add(body.len()) > most {
+        if size.saturating_add(body.len()) > limit {
             return Err(too_large());
         }
         // The chunk and the end of its line; after the last one no trailers are taken.
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -5,8 +5,8 @@
 use thiserror::Error;
 
 /// A head may be this long, and have so many lines.
-pub const MOST_HEAD: usize = 16 * 1024;
-const MOST_LINES: usize = 64;
+pub const MAX_HEAD: usize = 16 * 1024;
+const MAX_LINES: usize = 64;
 
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum Malformed {
@@ -14,7 +14,7 @@
     Syntax(String),
     #[error("content-length: not one number")]
     Length,
-    #[error("a head of over {MOST_HEAD} bytes")]
+    #[error("a head of over {MAX_HEAD} bytes")]
     TooLong,
 }
 
@@ -102,8 +102,8 @@
 /// The length of a head, `None` until all of it is there.
 fn whole(parsed: httparse::Result<usize>, bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     match parsed.map_err(|e| syntax(&e))? {
-        httparse::Status::Complete(length) if length <= MOST_HEAD => Ok(Some(length)),
-        httparse::Status::Partial if bytes.len() <= MOST_HEAD => Ok(None),
+        httparse::Status::Complete(length) if length <= MAX_HEAD => Ok(Some(length)),
+        httparse::Status::Partial if bytes.len() <= MAX_HEAD => Ok(None),
         _ => Err(Malformed::TooLong),
     }
 }
@@ -114,7 +114,7 @@
 
 /// The head at the start of `bytes`; `None` until all of it is there.
 pub fn request(bytes: &[u8]) -> Result<Option<Request>, Malformed> {
-    let mut lines = [httparse::EMPTY_HEADER; MOST_LINES];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_LINES];
     let mut parsed = httparse::Request::new(&mut lines);
     let Some(length) = whole(parsed.parse(bytes), bytes)? else {
         return Ok(None);
@@ -138,7 +138,7 @@
 
 /// The same of an answer.
 pub fn response(bytes: &[u8]) -> Result<Option<Response>, Malformed> {
-    let mut lines = [httparse::EMPTY_HEADER; MOST_LINES];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_LINES];
     let mut parsed = httparse::Response::new(&mut lines);
     let Some(length) = whole(parsed.parse(bytes), bytes)? else {
         return Ok(None);
@@ -178,7 +178,7 @@
         let good = good.expect("parses").expect("whole");
         assert_eq!(good.body, Body::Length(5));
         assert!(!good.keep_alive);
-        assert!(request(&vec![b'a'; MOST_HEAD + 1]).is_err());
+        assert!(request(&vec![b'a'; MAX_HEAD + 1]).is_err());
     }
 
     proptest! {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -6,5 +6,5 @@
 mod server;
 
 pub use client::{Failure, Pool, Reply};
-pub use meter::{Charge, Meter, Standing};
+pub use meter::{Charge, ClientClass, Meter};
 pub use server::{Rules, serve};
--- a/crates/http/src/meter.rs
+++ b/crates/http/src/meter.rs
@@ -12,19 +12,19 @@
 
 /// Who asks: the lower gives way first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum ClientClass {
     /// Can ask again in a second.
     User,
     /// Loses its lease, and its work, if it is refused for long.
     Worker,
 }
 
-impl Standing {
+impl ClientClass {
     /// Of the account, how much such a one may bring it to.
-    fn share(self, most: usize) -> usize {
+    fn share(self, limit: usize) -> usize {
         match self {
-            Self::User => most / 4 * 3,
-            Self::Worker => most,
+            Self::User => limit / 4 * 3,
+            Self::Worker => limit,
         }
     }
 }
@@ -32,15 +32,15 @@
 /// An account that several servers share.
 #[derive(Debug, Clone)]
 pub struct Meter {
-    most: usize,
+    limit: usize,
     held: Arc<AtomicUsize>,
 }
 
 impl Meter {
-    /// `most`: bytes that may be held at once.
-    pub fn new(most: usize) -> Self {
+    /// `limit`: bytes that may be held at once.
+    pub fn new(limit: usize) -> Self {
         Self {
-            most,
+            limit,
             held: Arc::default(),
         }
     }
@@ -50,13 +50,13 @@
         self.held.load(Ordering::Relaxed)
     }
 
-    pub fn most(&self) -> usize {
-        self.most
+    pub fn limit(&self) -> usize {
+        self.limit
     }
 
     /// How many idle connections the account has room for beside a quarter for requests.
     pub fn connections(&self) -> usize {
-        (self.most / 4 * 3 / CONNECTION_BYTES).max(1)
+        (self.limit / 4 * 3 / CONNECTION_BYTES).max(1)
     }
 
     /// An idle connection. It is open already, so it is counted whatever it brings the
@@ -70,10 +70,10 @@
     }
 
     /// A request with a body of `body` bytes, if there is room for it.
-    pub fn request(&self, body: usize, standing: Standing) -> Option<Charge> {
+    pub fn request(&self, body: usize, client_class: ClientClass) -> Option<Charge> {
         let bytes = REQUEST_BYTES + body.saturating_mul(TIMES_A_BODY);
-        let most = standing.share(self.most);
-        let fits = |held: usize| held.checked_add(bytes).filter(|&after| after <= most);
+        let limit = client_class.share(self.limit);
+        let fits = |held: usize| held.checked_add(bytes).filter(|&after| after <= limit);
         self.held
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, fits)
             .ok()?;
@@ -107,28 +107,28 @@
         /// workers, and when all are gone nothing is left on the account.
         #[test]
         fn the_sum_stays_below_whatever_is_asked(
-            most in 64usize * 1024..64 * 1024 * 1024,
+            limit in 64usize * 1024..64 * 1024 * 1024,
             crowd in 0usize..5_000,
             asked in prop::collection::vec((0usize..70_000, any::<bool>(), any::<bool>()), 1..400),
         ) {
-            let meter = Meter::new(most);
+            let meter = Meter::new(limit);
             let open: Vec<Charge> =
                 (0..crowd.min(meter.connections())).map(|_| meter.connection()).collect();
-            let mut in_flight = Vec::new();
+            let mut in_message_id = Vec::new();
             for (body, worker, ends) in asked {
-                let standing = if worker { Standing::Worker } else { Standing::User };
-                match meter.request(body, standing) {
-                    Some(charge) => in_flight.push(charge),
+                let client_class = if worker { ClientClass::Worker } else { ClientClass::User };
+                match meter.request(body, client_class) {
+                    Some(charge) => in_message_id.push(charge),
                     None => prop_assert!(
-                        meter.held() + REQUEST_BYTES + 3 * body > standing.share(most)
+                        meter.held() + REQUEST_BYTES + 3 * body > client_class.share(limit)
                     ),
                 }
-                prop_assert!(meter.held() <= most);
+                prop_assert!(meter.held() <= limit);
                 if ends {
-                    in_flight.pop();
+                    in_message_id.pop();
                 }
             }
-            drop((open, in_flight));
+            drop((open, in_message_id));
             prop_assert_eq!(meter.held(), 0);
         }
     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::head::{self, Body};
-use crate::meter::{Meter, Standing};
+use crate::meter::{ClientClass, Meter};
 
 /// The first read of a request; most fit.
 const FIRST_READ: usize = 1024;
@@ -27,7 +27,7 @@
 #[derive(Clone)]
 pub struct Rules {
     /// Connections at once. The next is left in the queue of the system.
-    pub most: usize,
+    pub limit: usize,
     /// A client that sends nothing for so long, or no whole head, is hung up on.
     pub idle: Duration,
     /// From the head of a request to the end of its answer.
@@ -39,7 +39,7 @@
     pub spare: usize,
     pub meter: Meter,
     /// Who asks for this path.
-    pub standing: fn(&str) -> Standing,
+    pub client_class: fn(&str) -> ClientClass,
     /// What those are told who are refused or time out.
     pub refusal: fn(StatusCode, &str) -> Response<Bytes>,
 }
@@ -50,8 +50,8 @@
     H: Fn(Request<Full<Bytes>>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Bytes>> + Send + 'static,
 {
-    let most = rules.most.min(rules.meter.connections());
-    let places = Arc::new(Semaphore::new(most));
+    let limit = rules.limit.min(rules.meter.connections());
+    let places = Arc::new(Semaphore::new(limit));
     let rules = Arc::new(rules);
     loop {
         let place = places.clone().acquire_owned().await;
@@ -67,7 +67,7 @@
             rules: rules.clone(),
             handler: handler.clone(),
             crowd: places.clone(),
-            most,
+            limit,
             rest: Vec::new(),
         };
         tokio::spawn(async move {
@@ -92,7 +92,7 @@
     rules: Arc<Rules>,
     handler: H,
     crowd: Arc<Semaphore>,
-    most: usize,
+    limit: usize,
     /// What came after the last request, in case there was anything.
     rest: Vec<u8>,
 }
@@ -157,7 +157,7 @@
         };
         bytes.drain(..request.length);
         let path = request.uri.path();
-        let standing = (self.rules.standing)(path);
+        let client_class = (self.rules.client_class)(path);
         let length = match request.body {
             Body::Length(length) if length <= self.rules.most_body => Some(length as usize),
             Body::None => Some(0),
@@ -167,7 +167,7 @@
         let of_head = request.method == http::Method::HEAD;
         let mut keep = request.keep_alive && length.is_some();
         let mut unread = length.is_none();
-        let Some(_charge) = self.rules.meter.request(length.unwrap_or(0), standing) else {
+        let Some(_charge) = self.rules.meter.request(length.unwrap_or(0), client_class) else {
             let what = "too much is under way";
             let refused = (self.rules.refusal)(StatusCode::SERVICE_UNAVAILABLE, what);
             // Told at once, and only then is its body read past. A client that waits for leave
@@ -214,8 +214,8 @@
                 (self.rules.refusal)(StatusCode::REQUEST_TIMEOUT, what)
             }
         };
-        let crowded = self.crowd.available_permits() < self.most / self.rules.spare;
-        keep &= !(standing == Standing::User && crowded);
+        let crowded = self.crowd.available_permits() < self.limit / self.rules.spare;
+        keep &= !(client_class == ClientClass::User && crowded);
         timeout(self.rules.whole, self.answer(answer, keep, of_head)).await??;
         Ok(match (keep, unread) {
             (true, _) => After::Next,
@@ -269,8 +269,8 @@
 async fn skip(stream: &mut TcpStream, mut left: usize) -> io::Result<()> {
     let mut buffer = [0; 1024];
     while left > 0 {
-        let most = left.min(buffer.len());
-        match stream.read(&mut buffer[..most]).await? {
+        let limit = left.min(buffer.len());
+        match stream.read(&mut buffer[..limit]).await? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
             n => left -= n,
         }
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperfield_http::{Failure, Meter, Pool, Rules, Standing, serve};
+use copperfield_http::{ClientClass, Failure, Meter, Pool, Rules, serve};
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -20,15 +20,15 @@
 
 fn rules(meter: Meter) -> Rules {
     Rules {
-        most: 500,
+        limit: 500,
         idle: Duration::from_millis(400),
         whole: Duration::from_millis(600),
         most_body: 64 * 1024,
         spare: 4,
         meter,
-        standing: |path| match path {
-            "/hello" => Standing::Worker,
-            _ => Standing::User,
+        client_class: |path| match path {
+            "/hello" => ClientClass::Worker,
+            _ => ClientClass::User,
         },
         refusal,
     }
@@ -159,11 +159,11 @@
             (path, reply.expect("answered").status, began.elapsed())
         });
     }
-    let mut most = 0;
+    let mut limit = 0;
     let (mut served, mut refused, mut workers) = (0, 0, 0);
     while let Some(done) = flood.join_next().await {
         let (path, status, took) = done.expect("no panic");
-        most = most.max(meter.held());
+        limit = limit.max(meter.held());
         match (path, status) {
             ("/hello", 200) => workers += 1,
             ("/slow", 200) => served += 1,
@@ -171,7 +171,7 @@
             other => panic!("{other:?} after {took:?}"),
         }
     }
-    assert!(most <= meter.most(), "{most} bytes of {}", meter.most());
+    assert!(limit <= meter.limit(), "{limit} bytes of {}", meter.limit());
     assert!(refused > 50, "{served} served, {refused} refused");
     assert_eq!(workers, 5, "no worker is refused");
     drop(stalled);
@@ -306,7 +306,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let rules = Rules {
-        most: 8,
+        limit: 8,
         ..rules(Meter::new(1 << 20))
     };
     tokio::spawn(serve(listener, rules, echo));
--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -14,7 +14,7 @@
     /// Until when this node may act as leader.
     valid_until: u64,
     /// Until when it may on the word of all others.
-    word_until: u64,
+    lease_extended_until: u64,
     /// The token under which this node leads, 0 if it does not.
     leading: u64,
     /// Until when this node has promised not to campaign.
@@ -34,7 +34,7 @@
             ttl: ttl_ms,
             margin: margin_ms,
             valid_until: 0,
-            word_until: 0,
+            lease_extended_until: 0,
             leading: 0,
             promised_until: ttl_ms,
             campaigning: false,
@@ -58,11 +58,11 @@
 
     /// All others were asked at `asked` and have given their word. A gap ends the chain: once
     /// lapsed, only a renewal of the same lease brings a leader back.
-    pub fn vouched_for(&mut self, asked: u64, now: u64) -> bool {
+    pub fn lease_extended_by_peers(&mut self, asked: u64, now: u64) -> bool {
         let unbroken = self.is_valid(now);
         if unbroken {
             let until = self.until(asked);
-            self.word_until = self.word_until.max(until);
+            self.lease_extended_until = self.lease_extended_until.max(until);
             self.valid_until = self.valid_until.max(until);
         }
         unbroken
@@ -103,20 +103,20 @@
 
     /// Until when answers may have gone out on the word of all nodes: this one's, one that an
     /// earlier process of it gave, or this node's own leading on the word of the others.
-    pub fn word_held_until(&self) -> u64 {
-        self.promised_until.max(self.word_until)
+    pub fn vote_binding_until(&self) -> u64 {
+        self.promised_until.max(self.lease_extended_until)
     }
 
     /// Until when this leader acts on the word of all others.
-    pub fn word_until(&self) -> u64 {
-        self.word_until
+    pub fn lease_extended_until(&self) -> u64 {
+        self.lease_extended_until
     }
 
     /// Vouches for the leader of this token that cannot renew: the state service refuses this
     /// node too (`refused`), and it will not campaign for one TTL. A token newer than its own
     /// shows that its own key is gone: the leader that was refused alone once stayed suspended
     /// for as long, and so none was vouched for in an outage that began meanwhile.
-    pub fn vouch(&mut self, now: u64, refused: bool, token: u64) -> bool {
+    pub fn vote_to_extend_lease(&mut self, now: u64, refused: bool, token: u64) -> bool {
         if token > self.leading {
             self.step_down(self.leading);
         }
--- a/crates/leadership/tests/cancellation.rs
+++ b/crates/leadership/tests/cancellation.rs
@@ -1,18 +1,18 @@
 //! What is told to be cancelled ends, with the code of this package in it: users, leaders that
-//! are vouched for, holders of a share, processes that end, and transactions that land late.
+//! are vouched for, shard owners of a share, processes that end, and transactions that land late.
 //!
-//! One machine runs the only task of one job. Whoever may answer it renews its lease, and stops
+//! One worker runs the only task of one job. Whoever may answer it renews its lease, and stops
 //! the task if it knows that the job is to end. The property: told cancelled at t, the task is
-//! gone after t + a holder's grant + the machine's lease. That is the invariant of
+//! gone after t + a shard owner's grant + the worker's lease. That is the invariant of
 //! docs/notes/cancellation.md; each planted mistake breaks it.
 
-use copperfield_explorer::{History, after, effort, explore, walk};
 use copperfield_leadership::Leadership;
+use copperfield_model_checker::{History, after, effort, explore, walk};
 
 /// In steps of the model, without a margin.
 const TTL: u64 = 2;
 const LEASE: u64 = 2;
-/// Longest time that a holder answers on after the last word of its leader.
+/// Longest time that a shard owner answers on after the last word of its leader.
 const GRANT: u64 = TTL;
 const HORIZON: u64 = 10;
 
@@ -21,13 +21,13 @@
     None,
     /// A job whose cancellation is of unknown outcome runs on. This program did so.
     RunsOnUntilTheOutcomeIsKnown,
-    /// A leader answers machines before it has read the stored state.
+    /// A leader answers workers before it has read the stored state.
     AnswersUnread,
     /// It leads on what it has read before it was elected.
     ReadsBeforeItLeads,
-    /// A holder answers under a grant for longer than its leader is valid.
+    /// A shard owner answers under a grant for longer than its leader is valid.
     GrantsOutliveTheLeader,
-    /// A holder's grant for the machine is renewed though the job there is to end.
+    /// A shard owner's grant for the worker is renewed though the job there is to end.
     GrantsOnAfterACancellation,
     /// The leader's transaction is not guarded by its key.
     CancelsUnguarded,
@@ -81,18 +81,18 @@
     out: Option<Sent>,
     outage: bool,
     told: Option<u64>,
-    /// The task is there, on a lease from then on, on a machine that has seen this token.
+    /// The task is there, on a lease from then on, on a worker that has seen this token.
     runs: bool,
     leased: u64,
     token: u8,
-    /// Node 1, or 0 if 1 leads, may answer the machine under this token until then.
+    /// Node 1, or 0 if 1 leads, may answer the worker under this token until then.
     grant: (u8, u64),
     troubles: u8,
     crashes: u8,
 }
 
 impl World {
-    /// Node 0 leads and knows the job, and the machine reports to it.
+    /// Node 0 leads and knows the job, and the worker reports to it.
     fn new(mistake: Mistake) -> Self {
         let node = |view| Node {
             process: 0,
@@ -142,7 +142,7 @@
         (1..=self.founded).find(|v| self.nodes[n].own.leads(u64::from(*v)))
     }
 
-    /// A node answers the machine: its lease is renewed, and the task perhaps stopped.
+    /// A node answers the worker: its lease is renewed, and the task perhaps stopped.
     fn answer(&mut self, token: u8, stops: bool) -> bool {
         if token < self.token || !self.runs {
             return false;
@@ -155,7 +155,7 @@
     }
 
     /// The service carries the transaction out, if it serves; whether its guards held.
-    fn carry_out(&mut self) -> Option<(Sent, bool)> {
+    fn execute_effect(&mut self) -> Option<(Sent, bool)> {
         let sent = self.out.filter(|_| !self.outage)?;
         let key = self.key.map_or(0, |(_, version, _)| version);
         let unguarded = self.mistake == Mistake::CancelsUnguarded;
@@ -189,7 +189,7 @@
     };
 }
 
-impl copperfield_explorer::World for World {
+impl copperfield_model_checker::World for World {
     fn next(&self) -> Vec<(&'static str, World)> {
         let mut all = Vec::new();
         let mut then = |what, f: &dyn Fn(&mut World) -> bool| {
@@ -222,20 +222,20 @@
             std::mem::take(&mut w.outage)
         });
         then("the transaction is carried out, and answered", &|w| {
-            let carried = w.carry_out();
-            if let Some((sent, held)) = carried {
+            let relayed = w.execute_effect();
+            if let Some((sent, held)) = relayed {
                 w.hears(sent, Some(held));
             }
-            carried.is_some()
+            relayed.is_some()
         });
         then(
             "the transaction is carried out, and nobody hears of it",
             &|w| {
-                let carried = w.carry_out();
-                if let Some((sent, _)) = carried {
+                let relayed = w.execute_effect();
+                if let Some((sent, _)) = relayed {
                     w.hears(sent, None);
                 }
-                carried.is_some()
+                relayed.is_some()
             },
         );
         then("the transaction is given up, and may still land", &|w| {
@@ -311,13 +311,14 @@
                     return false;
                 };
                 let before = w.nodes.clone();
-                let word = w.nodes[other]
-                    .own
-                    .vouch(theirs, !served, u64::from(version));
+                let word =
+                    w.nodes[other]
+                        .own
+                        .vote_to_extend_lease(theirs, !served, u64::from(version));
                 if word && back {
                     w.nodes[n].own.renewed(at);
                 }
-                word && w.nodes[n].own.vouched_for(at, at) && before != w.nodes
+                word && w.nodes[n].own.lease_extended_by_peers(at, at) && before != w.nodes
             });
             then(of!(n, "hands over"), &|w| {
                 let mine = w.key.filter(|(whose, _, _)| *whose == n);
--- a/crates/leadership/tests/model.rs
+++ b/crates/leadership/tests/model.rs
@@ -8,8 +8,8 @@
 //! The properties: no two nodes are valid leaders at one time; and no cancellation is stored for
 //! want of a leader while somebody is valid. Planted mistakes must each be found.
 
-use copperfield_explorer::{History, after, effort, explore, walk};
 use copperfield_leadership::Leadership;
+use copperfield_model_checker::{History, after, effort, explore, walk};
 
 /// In steps of the model, and no margin: the service ends no lease early.
 const TTL: u64 = 2;
@@ -310,7 +310,7 @@
         if campaigns {
             node.own.set_campaigning(false);
         }
-        let vouched = node.own.vouch(at, refused, u64::from(token));
+        let vouched = node.own.vote_to_extend_lease(at, refused, u64::from(token));
         if buries || asks {
             node.own.set_asking(true);
         }
@@ -321,7 +321,7 @@
     }
 }
 
-impl copperfield_explorer::World for World {
+impl copperfield_model_checker::World for World {
     fn next(&self) -> Vec<(&'static str, World)> {
         let mut all = Vec::new();
         let mut then = |what, f: &dyn Fn(&mut World) -> bool| {
@@ -534,7 +534,7 @@
                         if back {
                             node.own.renewed(asked);
                         }
-                        node.own.vouched_for(asked, at);
+                        node.own.lease_extended_by_peers(asked, at);
                         node.asked = None;
                     }
                     vouched
--- a/crates/explorer/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -56,15 +56,15 @@
     Ok(usize::MAX)
 }
 
-/// Random histories to their end, or of `most` steps each: how many steps were taken, or one
+/// Random histories to their end, or of `limit` steps each: how many steps were taken, or one
 /// that breaks the property.
-pub fn walk<W: World>(start: &W, walks: u64, most: usize) -> Result<usize, History> {
+pub fn walk<W: World>(start: &W, walks: u64, limit: usize) -> Result<usize, History> {
     let mut taken = 0;
     for seed in 0..walks {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut world = start.clone();
         let mut history = Vec::new();
-        while history.len() < most {
+        while history.len() < limit {
             let mut next = world.next();
             if next.is_empty() {
                 break;
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,14 +1,14 @@
-//! The cloud's machine types, rentals and machine list.
+//! The cloud's machine types, rentals and worker list.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::job::Amounts;
+use crate::job::Resources;
 
 #[derive(Debug, Clone)]
 pub struct MachineType {
     pub name: String,
-    pub whole: Amounts,
+    pub whole: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     pub price: f64,
@@ -18,12 +18,12 @@
 }
 
 #[derive(Deserialize)]
-struct WireTypes {
-    flavors: Vec<WireType>,
+struct WireMachineTypes {
+    flavors: Vec<WireMachineType>,
 }
 
 #[derive(Deserialize)]
-struct WireType {
+struct WireMachineType {
     name: String,
     cpus: f64,
     #[serde(default)]
@@ -42,13 +42,13 @@
     regions: Option<Vec<String>>,
 }
 
-pub fn parse_types(body: &[u8]) -> Result<Vec<MachineType>, serde_json::Error> {
-    let wire: WireTypes = serde_json::from_slice(body)?;
+pub fn parse_machine_types(body: &[u8]) -> Result<Vec<MachineType>, serde_json::Error> {
+    let wire: WireMachineTypes = serde_json::from_slice(body)?;
     Ok(wire
         .flavors
         .into_iter()
         .map(|t| MachineType {
-            whole: Amounts::new(t.cpus, t.gpus.unwrap_or(0.0), t.memory_gb),
+            whole: Resources::new(t.cpus, t.gpus.unwrap_or(0.0), t.memory_gb),
             cache_gb: t.local_gb.unwrap_or(0.0),
             fetch_gb_per_s: t.pull_gb_per_s.unwrap_or(0.25).max(0.001),
             price: t.price.max(1e-6),
@@ -61,7 +61,7 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Listed {
+pub struct ListedWorker {
     #[serde(rename = "uid")]
     pub name: String,
     #[serde(default)]
@@ -79,12 +79,12 @@
 
 #[derive(Deserialize)]
 struct WireList {
-    hosts: Vec<Listed>,
+    hosts: Vec<ListedWorker>,
     #[serde(default)]
     more: bool,
 }
 
-pub fn parse_list(body: &[u8]) -> Result<(Vec<Listed>, bool), serde_json::Error> {
+pub fn parse_list(body: &[u8]) -> Result<(Vec<ListedWorker>, bool), serde_json::Error> {
     let list: WireList = serde_json::from_slice(body)?;
     Ok((list.hosts, list.more))
 }
@@ -93,14 +93,14 @@
     json!({"rental": request, "flavor": machine_type, "region": zone, "preemptibles": spot, "number": count})
 }
 
-pub fn parse_rented(body: &[u8]) -> Result<Vec<String>, serde_json::Error> {
+pub fn parse_scale_out(body: &[u8]) -> Result<Vec<String>, serde_json::Error> {
     #[derive(Deserialize)]
-    struct Rented {
+    struct ScaledOut {
         hosts: Vec<String>,
     }
-    Ok(serde_json::from_slice::<Rented>(body)?.hosts)
+    Ok(serde_json::from_slice::<ScaledOut>(body)?.hosts)
 }
 
-pub fn return_body(machines: &[String]) -> Value {
-    json!({ "hosts": machines })
+pub fn return_body(workers: &[String]) -> Value {
+    json!({ "hosts": workers })
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -45,7 +45,7 @@
 
 /// Where a job stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Standing {
+pub struct JobOutcome {
     pub phase: Phase,
     /// Tasks that are known to be completed; 0 of a job that was cancelled while nobody led.
     pub done: u32,
@@ -53,13 +53,13 @@
 
 /// Amounts in thousandths, so that adding and taking away never drifts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Amounts {
+pub struct Resources {
     pub cpus: i64,
     pub gpus: i64,
     pub memory: i64,
 }
 
-impl Amounts {
+impl Resources {
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let milli = |x: f64| (x * 1000.0).round() as i64;
         Self {
@@ -102,7 +102,7 @@
     pub kind: Kind,
     pub priority: Priority,
     pub tasks: u32,
-    pub needs: Amounts,
+    pub needs: Resources,
     pub image: String,
     pub image_gb: f64,
     pub machine_types: Option<Vec<String>>,
@@ -123,7 +123,7 @@
 const MAX_NAME: usize = 200;
 const MAX_TYPES: usize = 32;
 /// Characters of what was found that an error repeats.
-const MOST_QUOTED: usize = 60;
+const MAX_QUOTED: usize = 60;
 /// What a submission has to say besides: only what may be null may be omitted, and without these
 /// one was once accepted with values of our own. Records that are stored already are read without
 /// them.
@@ -146,7 +146,7 @@
 fn bad(name: &str, found: Option<&Value>, allowed: &str) -> String {
     let found = found.map_or("nothing".to_string(), |v| {
         let mut text = v.to_string();
-        if let Some((end, _)) = text.char_indices().nth(MOST_QUOTED) {
+        if let Some((end, _)) = text.char_indices().nth(MAX_QUOTED) {
             text.truncate(end);
             text.push('…');
         }
@@ -256,7 +256,7 @@
             ),
             Some(_) => return Err(f.bad("flavors", &names)),
         };
-        let needs = Amounts::new(
+        let needs = Resources::new(
             f.required_number("cpus", 1e6)?,
             f.number("gpus", 1e6)?.unwrap_or(0.0),
             f.required_number("memory_gb", 1e6)?,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,5 @@
 //! Wire types and their validation. Wire spellings stay in this layer; the
-//! rest of the program uses the field's terms (job, task, gang, machine,
+//! rest of the program uses the field's terms (job, task, gang, worker,
 //! lease, token).
 
 pub mod cloud;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,11 +1,11 @@
 //! What controllers say to each other, in `borsh`.
 
 use borsh::{BorshDeserialize, BorshSerialize};
-use copperfield_shares::{Grant, Statement};
+use copperfield_sharding::{OwnerStatus, ShardLease};
 
 use crate::JobId;
-use crate::job::{Phase, Standing};
-use crate::worker::{Command, Report};
+use crate::job::{JobOutcome, Phase};
+use crate::worker::{Command, Heartbeat};
 
 #[derive(Debug, Clone, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
@@ -21,87 +21,90 @@
     },
     /// The leader cannot renew: does the state service refuse you as well, and
     /// will you not campaign for one TTL? Or does it serve you?
-    Vouch { token: u64 },
+    VoteToExtendLease { token: u64 },
     /// Are you there?
     Ping,
     /// What an operator asks, of the leader.
-    Operate(Order),
+    Admin(AdminRequest),
     /// Do you not lead? Then no word that was given until now binds you.
     Idle,
-    /// From who speaks with some of the machines to the leader.
-    Share(Upward),
-    /// From the leader: orders for machines that the node asked speaks with.
-    Carry { token: u64, messages: Vec<Carried> },
-    /// This node leads now: whoever speaks with machines tells it what they said.
-    Leads { member: String },
+    /// From who speaks with some of the workers to the leader.
+    Share(ShardStatus),
+    /// From the leader: orders for workers that the node asked speaks with.
+    RelayCommands {
+        token: u64,
+        messages: Vec<RelayedCommand>,
+    },
+    /// This node leads now: whoever speaks with workers tells it what they said.
+    LeaderAnnouncement { member: String },
     /// From the leader of this token, which has stepped down: remove its key, and campaign.
-    TakeOver { token: u64 },
+    TransferLeadership { token: u64 },
 }
 
-/// What a holder tells the leader: it asks for a grant and passes on what its machines said.
+/// What a shard owner tells the leader: it asks for a grant and passes on what its workers said.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Upward {
+pub struct ShardStatus {
     /// Its place among the names of all nodes in their order.
     pub from: u32,
-    pub statement: Statement,
-    pub told: Vec<Told>,
+    pub owner_status: OwnerStatus,
+    pub forwarded: Vec<ForwardedHeartbeat>,
     /// What became of messages that it carried, by the leader's number for each.
     pub outcomes: Vec<(u64, Outcome)>,
     /// It has nothing more to tell now.
     pub all: bool,
 }
 
-/// A report that came to a holder.
+/// A report that came to a shard owner.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Told {
-    pub report: Report,
+pub struct ForwardedHeartbeat {
+    pub heartbeat: Heartbeat,
     /// How long ago it came in, in ms.
     pub age_ms: u64,
-    /// Its machine waits for an answer, and this node may not give it.
+    /// Its worker waits for an answer, and this node may not give it.
     pub waits: bool,
 }
 
-/// The leader's answer to a holder.
+/// The leader's answer to a shard owner.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Downward {
-    pub grant: Grant,
-    /// The names of the machines that its changes are about.
+pub struct ShardUpdate {
+    pub shard_lease: ShardLease,
+    /// The names of the workers that its changes are about.
     pub names: Vec<(u32, String)>,
-    /// Machines that are to report to another node, by its place.
-    pub elsewhere: Vec<(String, u32)>,
+    /// Workers that are to report to another node, by its place.
+    pub redirects: Vec<(String, u32)>,
 }
 
-/// A message to a machine that a holder carries for the leader.
+/// A message to a worker that a shard owner carries for the leader.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Carried {
-    pub flight: u64,
+pub struct RelayedCommand {
+    pub message_id: u64,
     pub address: String,
-    pub session: u64,
+    pub incarnation: u64,
     /// Without any it is a question: an answer that is late is not waited for.
     pub commands: Vec<Command>,
 }
 
-/// The end of a message to a machine.
+/// The end of a message to a worker.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Outcome {
     /// Surely not delivered.
     Unsent,
     /// Executed, with the report that followed.
-    Executed(Report),
+    Executed(Heartbeat),
     /// Answered, but nothing was executed.
-    Rejected(Option<Report>),
+    Rejected(Option<Heartbeat>),
     /// It may still be carried out.
     Unknown,
 }
 
 /// What an operator asks.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub enum Order {
+pub enum AdminRequest {
     /// A page of the nodes, by name, beginning after `since`.
     Nodes {
         since: String,
     },
-    /// Moves under way, the last ones, and what waits for whole machines.
+    /// Moves under way, the last ones, and what waits for whole workers.
     Moves,
     /// Nothing new is started on a node; what may move moves; the rest ends by itself, or
     /// is stopped in order once the deadline has passed.
@@ -125,11 +128,11 @@
         body: Vec<u8>,
     },
     Pong,
-    Vouched,
+    VoteGranted,
     /// The node asked cannot answer now.
     Unable,
     /// The leader's answer to an operator, as HTTP has it.
-    Operated {
+    AdminAnswered {
         status: u16,
         body: Vec<u8>,
     },
@@ -137,16 +140,16 @@
     Idle {
         up_ms: u64,
     },
-    Granted(Downward),
-    /// The messages are on their way; what became of them comes with what a holder tells.
-    Carrying,
+    Granted(ShardUpdate),
+    /// The messages are on their way; what became of them comes with what a shard owner tells.
+    Relaying,
     /// It does not vouch: the state service serves it, and has the key of the leader that asks.
-    CanTakeOver,
+    ReadyForTransfer,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Lookup {
-    Terminal(Standing),
+    Terminal(JobOutcome),
     Live {
         phase: Phase,
         done: u32,
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -93,7 +93,7 @@
 }
 
 #[derive(Deserialize)]
-pub struct Grant {
+pub struct ShardLease {
     #[serde(rename = "grant")]
     pub lease: u64,
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -6,7 +6,7 @@
 use crate::{JobId, parse_task};
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct WireReport {
+pub struct WireHeartbeat {
     host: String,
     address: String,
     flavor: String,
@@ -36,21 +36,21 @@
 }
 
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Report {
-    pub machine: String,
+pub struct Heartbeat {
+    pub worker: String,
     pub address: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
+    pub incarnation: u64,
     pub counter: u64,
     pub token: u64,
     pub notice_s: Option<f64>,
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     pub job: JobId,
     pub task: u32,
     pub attempt: u64,
@@ -78,10 +78,10 @@
     Unknown,
 }
 
-impl Report {
+impl Heartbeat {
     /// All or nothing: a report with one unreadable task changes nothing.
     pub fn parse(body: &[u8]) -> Result<Self, String> {
-        let wire: WireReport =
+        let wire: WireHeartbeat =
             serde_json::from_slice(body).map_err(|e| format!("malformed report: {e}"))?;
         let mut tasks = Vec::new();
         for t in wire.shards.unwrap_or_default() {
@@ -108,7 +108,7 @@
                 }),
                 other => return Err(format!("phase: unknown value {other:?}")),
             };
-            tasks.push(TaskReport {
+            tasks.push(TaskStatus {
                 job,
                 task,
                 attempt: t.attempt,
@@ -122,12 +122,12 @@
             return Err("reclaim_s: out of range".into());
         }
         Ok(Self {
-            machine: wire.host,
+            worker: wire.host,
             address: wire.address,
             machine_type: wire.flavor,
             zone: wire.region,
             spot: wire.preemptibles.unwrap_or(false),
-            session: wire.tenure,
+            incarnation: wire.tenure,
             counter: wire.counter,
             token: wire.fence.unwrap_or(0),
             notice_s: wire.reclaim_s,
@@ -169,8 +169,8 @@
     orders: Vec<WireOrder>,
 }
 
-/// Body of a report's response (`session` none) or of direct commands.
-pub fn orders_body(token: u64, session: Option<u64>, commands: &[Command]) -> Vec<u8> {
+/// Body of a report's response (`incarnation` none) or of direct commands.
+pub fn orders_body(token: u64, incarnation: Option<u64>, commands: &[Command]) -> Vec<u8> {
     let orders = commands
         .iter()
         .map(|c| {
@@ -189,7 +189,7 @@
         .collect();
     serde_json::to_vec(&WireOrders {
         fence: token,
-        tenure: session,
+        tenure: incarnation,
         orders,
     })
     .expect("plain data")
--- a/crates/protocol/tests/pinned_bytes.rs
+++ b/crates/protocol/tests/pinned_bytes.rs
@@ -6,15 +6,16 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use copperfield_protocol::JobId;
 use copperfield_protocol::cloud;
-use copperfield_protocol::job::{JobSpec, Phase, Standing};
+use copperfield_protocol::job::{JobOutcome, JobSpec, Phase};
 use copperfield_protocol::peer::{
-    Carried, Downward, Lookup, Order, Outcome, PeerReply, PeerRequest, Told, Upward,
+    AdminRequest, ForwardedHeartbeat, Lookup, Outcome, PeerReply, PeerRequest, RelayedCommand,
+    ShardStatus, ShardUpdate,
 };
 use copperfield_protocol::state;
 use copperfield_protocol::worker::{
-    Command, Exit, Report, TaskPhase, TaskReport, Verb, orders_body,
+    Command, Exit, Heartbeat, TaskPhase, TaskStatus, Verb, orders_body,
 };
-use copperfield_shares::{Change, Grant, Left, Statement};
+use copperfield_sharding::{Change, OwnerStatus, ReleasedWorker, ShardLease};
 use serde_json::Value;
 
 fn pinned(file: &str) -> String {
@@ -102,20 +103,20 @@
     all
 }
 
-fn report() -> Report {
+fn heartbeat() -> Heartbeat {
     let tasks = phases().into_iter().enumerate();
-    Report {
-        machine: "vm-1".into(),
+    Heartbeat {
+        worker: "vm-1".into(),
         address: "10.0.1.2:7000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 0x0102_0304_0506_0708,
+        incarnation: 0x0102_0304_0506_0708,
         counter: 9,
         token: 10,
         notice_s: Some(11.5),
         tasks: tasks
-            .map(|(ix, phase)| TaskReport {
+            .map(|(ix, phase)| TaskStatus {
                 job: job(412),
                 task: ix as u32,
                 attempt: 1000 + ix as u64,
@@ -125,13 +126,13 @@
     }
 }
 
-fn short_report() -> Report {
-    Report {
-        machine: "vm-2".into(),
+fn short_report() -> Heartbeat {
+    Heartbeat {
+        worker: "vm-2".into(),
         spot: false,
         notice_s: None,
         tasks: Vec::new(),
-        ..report()
+        ..heartbeat()
     }
 }
 
@@ -151,23 +152,23 @@
         .collect()
 }
 
-fn left() -> Vec<Left> {
+fn left() -> Vec<ReleasedWorker> {
     vec![
-        Left {
-            machine: 5,
+        ReleasedWorker {
+            worker: 5,
             version: 6,
             answered: Some(7),
         },
-        Left {
-            machine: 8,
+        ReleasedWorker {
+            worker: 8,
             version: 9,
             answered: None,
         },
     ]
 }
 
-fn statement() -> Statement {
-    Statement {
+fn owner_status() -> OwnerStatus {
+    OwnerStatus {
         process: 1,
         number: 2,
         token: 3,
@@ -178,14 +179,14 @@
 
 fn changes() -> Vec<Change> {
     vec![
-        Change::Take(1),
-        Change::Leave(2, Some(3)),
-        Change::Leave(4, None),
+        Change::Assign(1),
+        Change::Release(2, Some(3)),
+        Change::Release(4, None),
     ]
 }
 
-fn grant() -> Grant {
-    Grant {
+fn shard_lease() -> ShardLease {
+    ShardLease {
         process: 1,
         number: 2,
         token: 3,
@@ -202,33 +203,33 @@
 fn outcomes() -> Vec<Outcome> {
     vec![
         Outcome::Unsent,
-        Outcome::Executed(report()),
+        Outcome::Executed(heartbeat()),
         Outcome::Rejected(Some(short_report())),
         Outcome::Rejected(None),
         Outcome::Unknown,
     ]
 }
 
-fn told() -> Vec<Told> {
+fn forwarded() -> Vec<ForwardedHeartbeat> {
     vec![
-        Told {
-            report: report(),
+        ForwardedHeartbeat {
+            heartbeat: heartbeat(),
             age_ms: 12,
             waits: true,
         },
-        Told {
-            report: short_report(),
+        ForwardedHeartbeat {
+            heartbeat: short_report(),
             age_ms: 13,
             waits: false,
         },
     ]
 }
 
-fn upward() -> Upward {
-    Upward {
+fn upward() -> ShardStatus {
+    ShardStatus {
         from: 2,
-        statement: statement(),
-        told: told(),
+        owner_status: owner_status(),
+        forwarded: forwarded(),
         outcomes: outcomes()
             .into_iter()
             .zip(40..)
@@ -238,48 +239,48 @@
     }
 }
 
-fn downward() -> Downward {
-    Downward {
-        grant: grant(),
+fn downward() -> ShardUpdate {
+    ShardUpdate {
+        shard_lease: shard_lease(),
         names: vec![(1, "vm-1".into()), (2, "vm-2".into())],
-        elsewhere: vec![("vm-3".into(), 4)],
+        redirects: vec![("vm-3".into(), 4)],
     }
 }
 
-fn carried() -> Vec<Carried> {
+fn relayed() -> Vec<RelayedCommand> {
     vec![
-        Carried {
-            flight: 50,
+        RelayedCommand {
+            message_id: 50,
             address: "10.0.1.2:7000".into(),
-            session: 51,
+            incarnation: 51,
             commands: commands(),
         },
-        Carried {
-            flight: 52,
+        RelayedCommand {
+            message_id: 52,
             address: "10.0.1.3:7000".into(),
-            session: 53,
+            incarnation: 53,
             commands: Vec::new(),
         },
     ]
 }
 
-fn orders() -> Vec<Order> {
+fn orders() -> Vec<AdminRequest> {
     vec![
-        Order::Nodes {
+        AdminRequest::Nodes {
             since: "vm-1".into(),
         },
-        Order::Moves,
-        Order::Drain {
+        AdminRequest::Moves,
+        AdminRequest::Drain {
             node: "vm-2".into(),
             deadline_s: Some(600.0),
             yes: true,
         },
-        Order::Drain {
+        AdminRequest::Drain {
             node: "vm-3".into(),
             deadline_s: None,
             yes: false,
         },
-        Order::Undrain {
+        AdminRequest::Undrain {
             node: "vm-4".into(),
         },
     ]
@@ -294,10 +295,10 @@
     ]
 }
 
-fn standings() -> Vec<Standing> {
+fn standings() -> Vec<JobOutcome> {
     let phases = job_phases().into_iter().zip(60..);
     phases
-        .map(|(phase, done)| Standing { phase, done })
+        .map(|(phase, done)| JobOutcome { phase, done })
         .collect()
 }
 
@@ -321,21 +322,21 @@
             path: "/x".into(),
             body: vec![1, 2, 255],
         },
-        PeerRequest::Vouch { token: 80 },
+        PeerRequest::VoteToExtendLease { token: 80 },
         PeerRequest::Ping,
     ];
-    all.extend(orders().into_iter().map(PeerRequest::Operate));
+    all.extend(orders().into_iter().map(PeerRequest::Admin));
     all.extend([
         PeerRequest::Idle,
         PeerRequest::Share(upward()),
-        PeerRequest::Carry {
+        PeerRequest::RelayCommands {
             token: 81,
-            messages: carried(),
+            messages: relayed(),
         },
-        PeerRequest::Leads {
+        PeerRequest::LeaderAnnouncement {
             member: "m-2".into(),
         },
-        PeerRequest::TakeOver { token: 82 },
+        PeerRequest::TransferLeadership { token: 82 },
     ]);
     all
 }
@@ -349,16 +350,16 @@
             body: vec![3, 4, 254],
         },
         PeerReply::Pong,
-        PeerReply::Vouched,
+        PeerReply::VoteGranted,
         PeerReply::Unable,
-        PeerReply::Operated {
+        PeerReply::AdminAnswered {
             status: 404,
             body: vec![5, 6],
         },
         PeerReply::Idle { up_ms: 90 },
         PeerReply::Granted(downward()),
-        PeerReply::Carrying,
-        PeerReply::CanTakeOver,
+        PeerReply::Relaying,
+        PeerReply::ReadyForTransfer,
     ]);
     all
 }
@@ -375,15 +376,15 @@
     check_values("peer/08.hex", 8, &exits());
     check_values("peer/09.hex", 4, &job_phases());
     check_values("peer/10.hex", 0, &standings());
-    check_values("peer/11.hex", 0, &[report(), short_report()]);
+    check_values("peer/11.hex", 0, &[heartbeat(), short_report()]);
     check_values("peer/12.hex", 0, &commands());
-    check_values("peer/13.hex", 0, &carried());
-    check_values("peer/14.hex", 0, &told());
+    check_values("peer/13.hex", 0, &relayed());
+    check_values("peer/14.hex", 0, &forwarded());
     check_values("peer/15.hex", 0, &[upward()]);
     check_values("peer/16.hex", 0, &[downward()]);
-    check_values("peer/17.hex", 0, &[statement()]);
+    check_values("peer/17.hex", 0, &[owner_status()]);
     check_values("peer/18.hex", 0, &left());
-    check_values("peer/19.hex", 0, &[grant()]);
+    check_values("peer/19.hex", 0, &[shard_lease()]);
     check_values("peer/20.hex", 2, &changes());
     check_values("peer/21.hex", 0, &[job(0), job(412), job(u64::MAX)]);
 }
@@ -428,8 +429,8 @@
 #[test]
 fn reports_of_workers_are_read_as_before() {
     check_bodies("workers/reports.json", |body| {
-        let report = Report::parse(body.to_string().as_bytes())?;
-        Ok(to_hex(&borsh::to_vec(&report).expect("plain data")))
+        let heartbeat = Heartbeat::parse(body.to_string().as_bytes())?;
+        Ok(to_hex(&borsh::to_vec(&heartbeat).expect("plain data")))
     });
 }
 
@@ -447,7 +448,7 @@
 
 #[test]
 fn what_the_cloud_says_is_read_as_before() {
-    let types = cloud::parse_types(pinned("cloud/types.json").as_bytes()).expect("types");
+    let types = cloud::parse_machine_types(pinned("cloud/types.json").as_bytes()).expect("types");
     let made: Vec<String> = types
         .iter()
         .map(|t| {
@@ -483,7 +484,7 @@
     made.push(format!("{} {more}", none.len()));
     check_lines("cloud/list.txt", &made);
 
-    let rented = cloud::parse_rented(pinned("cloud/rented.json").as_bytes()).expect("rented");
+    let rented = cloud::parse_scale_out(pinned("cloud/rented.json").as_bytes()).expect("rented");
     check_lines("cloud/rented.txt", &rented);
 }
 
@@ -549,6 +550,10 @@
             .failed
             .join(" "),
     );
-    made.push(read::<state::Grant>("state/granted.json").lease.to_string());
+    made.push(
+        read::<state::ShardLease>("state/granted.json")
+            .lease
+            .to_string(),
+    );
     check_lines("state/read.txt", &made);
 }
--- a/crates/shares/src/message.rs
+++ b/crates/sharding/src/message.rs
@@ -1,11 +1,11 @@
-//! What a holder and the leader say to each other.
+//! What a shard owner and the leader say to each other.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// What a holder tells the leader, a few times a second. It asks for a grant by it.
+/// What a shard owner tells the leader, a few times a second. It asks for a grant by it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
-pub struct Statement {
-    /// Drawn by each process: whoever is asked knows by it that a holder started anew.
+pub struct OwnerStatus {
+    /// Drawn by each process: whoever is asked knows by it that a shard owner started anew.
     pub process: u64,
     /// Counts the statements of a process: a later one is newer.
     pub number: u64,
@@ -13,14 +13,14 @@
     pub token: u64,
     /// The last change to its share that it has taken.
     pub version: u64,
-    /// Machines that it has given up since the statement that was last acknowledged.
-    pub left: Vec<Left>,
+    /// Workers that it has given up since the statement that was last acknowledged.
+    pub left: Vec<ReleasedWorker>,
 }
 
-/// A machine that a holder answers no more.
+/// A worker that a shard owner answers no more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
-pub struct Left {
-    pub machine: u32,
+pub struct ReleasedWorker {
+    pub worker: u32,
     /// The change that told it to.
     pub version: u64,
     /// How long ago the last report that it answered had come in, if it answered any.
@@ -29,22 +29,22 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub enum Change {
-    /// Answer this machine from now on.
-    Take(u32),
+    /// Answer this worker from now on.
+    Assign(u32),
     /// Answer it no more, and send it to this node, if to any.
-    Leave(u32, Option<u32>),
+    Release(u32, Option<u32>),
 }
 
 /// The leader's answer to a statement.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
-pub struct Grant {
+pub struct ShardLease {
     /// Of the statement that it answers.
     pub process: u64,
     pub number: u64,
     pub token: u64,
     /// A share of an earlier version is given up whole: it was another process's.
     pub base: u64,
-    /// How long the holder may answer, counted from when it made the statement, in ms.
+    /// How long the shard owner may answer, counted from when it made the statement, in ms.
     pub for_ms: u64,
     /// What it has not taken yet, in order.
     pub changes: Vec<(u64, Change)>,
--- a/crates/shares/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -1,15 +1,17 @@
 //! Every interleaving of a small world, with both sides' own code in it.
 //!
-//! One leader after another, two holders, one worker that reports to either. Statements and
-//! grants are late, lost or doubled; holders stand still between reading a report and answering
+//! One leader after another, two shard owners, one worker that reports to either. Statements and
+//! grants are late, lost or doubled; shard owners stand still between reading a report and answering
 //! it, and start anew; leaders end, and the next one is elected when the key has run out, or at
 //! once if the key was removed (docs/notes/quick-restarts.md).
 //!
-//! The properties: never two holders may answer the worker under one token; and when a leader
+//! The properties: never two shard owners may answer the worker under one token; and when a leader
 //! takes the worker's lease for over, it is over. Planted mistakes must each be found.
 
-use copperfield_explorer::{after, effort, explore, walk};
-use copperfield_shares::{Grant, Holder, Place, Shares, Statement, Word};
+use copperfield_model_checker::{after, effort, explore, walk};
+use copperfield_sharding::{
+    Assignment, HeartbeatDecision, OwnerStatus, ShardLease, ShardOwner, ShardTable,
+};
 
 /// Milliseconds a step; what the code keeps back is far less.
 const STEP: u64 = 1000;
@@ -23,13 +25,13 @@
     None,
     /// A grant lasts a whole TTL, however long the leader is itself valid.
     GrantsBeyondItsValidity,
-    /// The holder counts a grant from when it came rather than from when it asked.
+    /// The shard owner counts a grant from when it came rather than from when it asked.
     CountsFromTheGrant,
     /// A late grant is taken for the answer to the last statement.
     TakesLateGrants,
-    /// The next holder is told before the one before has left, or surely cannot answer.
+    /// The next shard owner is told before the one before has left, or surely cannot answer.
     GivesBeforeItIsLeft,
-    /// The next process of a holder speaks as if it were the one before.
+    /// The next process of a shard owner speaks as if it were the one before.
     SpeaksForItsPredecessor,
     /// A process goes on with the share of another.
     KeepsTheShareOfAnother,
@@ -37,9 +39,9 @@
     ForgetsOldGrants,
     /// A report that was read in time is answered without another look.
     AnswersWithoutAnotherLook,
-    /// A holder that leaves a machine does not say when it last answered it.
+    /// A shard owner that leaves a worker does not say when it last answered it.
     DoesNotSayWhenItAnswered,
-    /// The lease of a machine that is held is counted from what the holder last told.
+    /// The lease of a worker that is held is counted from what the shard owner last told.
     CountsWhatIsHeld,
     /// Changes that went out with a lost grant are not sent again.
     SendsChangesOnce,
@@ -49,22 +51,22 @@
 struct Leader {
     token: u64,
     valid_until: u64,
-    shares: Shares,
-    /// The last answer that any holder told of.
-    told: u64,
+    shares: ShardTable,
+    /// The last answer that any shard owner told of.
+    forwarded: u64,
     over: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Node {
-    holder: Holder,
+struct ControllerInfo {
+    shard_owner: ShardOwner,
     process: u64,
     /// A report that was read, and whether it is about to be answered.
     report: Option<(u64, Option<u64>)>,
     /// With the last answer before each.
-    statements: Vec<(Statement, Option<u64>)>,
+    statements: Vec<(OwnerStatus, Option<u64>)>,
     answered: Option<u64>,
-    grants: Vec<Grant>,
+    grants: Vec<ShardLease>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -75,7 +77,7 @@
     /// When the last leader's validity, and so its key, ends.
     key_ends: u64,
     token: u64,
-    nodes: Vec<Node>,
+    controllers: Vec<ControllerInfo>,
     /// The worker counts its lease from here.
     leased_from: u64,
     holds_tasks: bool,
@@ -91,8 +93,8 @@
 
 impl World {
     fn new(mistake: Mistake) -> Self {
-        let node = |process| Node {
-            holder: Holder::new(process),
+        let controller = |process| ControllerInfo {
+            shard_owner: ShardOwner::new(process),
             process,
             report: None,
             statements: Vec::new(),
@@ -105,7 +107,7 @@
             leader: None,
             key_ends: 0,
             token: 0,
-            nodes: vec![node(1), node(2)],
+            controllers: vec![controller(1), controller(2)],
             leased_from: 0,
             holds_tasks: true,
             seen: 0,
@@ -123,13 +125,13 @@
     fn elect(&mut self, old_until: u64) {
         self.token += 1;
         self.key_ends = self.now + TTL;
-        let mut shares = Shares::new(self.token, 2);
+        let mut shares = ShardTable::new(self.token, 2);
         shares.add(WORKER, self.now.max(old_until));
         self.leader = Some(Leader {
             token: self.token,
             valid_until: self.now + TTL,
             shares,
-            told: self.now,
+            forwarded: self.now,
             over: false,
         });
     }
@@ -138,7 +140,7 @@
         self.leader.as_ref().filter(|l| self.now < l.valid_until)
     }
 
-    fn hears(&mut self, n: usize, (mut said, answered): (Statement, Option<u64>)) {
+    fn hears(&mut self, n: usize, (mut said, answered): (OwnerStatus, Option<u64>)) {
         let now = self.now;
         let mistake = self.mistake;
         if self.valid().is_none() {
@@ -152,54 +154,54 @@
             Mistake::GrantsBeyondItsValidity => TTL,
             _ => leader.valid_until - now,
         };
-        leader.told = leader.told.max(answered.unwrap_or(0));
+        leader.forwarded = leader.forwarded.max(answered.unwrap_or(0));
         if mistake == Mistake::SendsChangesOnce && said.token > 0 {
             said.version = u64::MAX;
         }
-        if let Some(mut grant) = leader.shares.take(now, n as u32, &said, for_ms) {
+        if let Some(mut shard_lease) = leader.shares.take(now, n as u32, &said, for_ms) {
             if mistake == Mistake::KeepsTheShareOfAnother {
-                grant.base = 0;
+                shard_lease.base = 0;
             }
-            self.nodes[n].grants.push(grant);
+            self.controllers[n].grants.push(shard_lease);
         }
     }
 
-    fn gets(&mut self, n: usize, mut grant: Grant) {
+    fn gets(&mut self, n: usize, mut shard_lease: ShardLease) {
         let now = self.now;
-        let node = &mut self.nodes[n];
+        let controller = &mut self.controllers[n];
         match self.mistake {
             Mistake::CountsFromTheGrant => {
-                let mut fresh = node.holder.clone();
+                let mut fresh = controller.shard_owner.clone();
                 let asked = fresh.state(now, 9).number;
-                if grant.process == node.process && asked > grant.number {
-                    grant.number = asked;
-                    node.holder = fresh;
+                if shard_lease.process == controller.process && asked > shard_lease.number {
+                    shard_lease.number = asked;
+                    controller.shard_owner = fresh;
                 }
             }
-            Mistake::TakesLateGrants if grant.process == node.process => {
-                let mut last = node.holder.clone();
-                grant.number = last.state(now, 9).number - 1;
+            Mistake::TakesLateGrants if shard_lease.process == controller.process => {
+                let mut last = controller.shard_owner.clone();
+                shard_lease.number = last.state(now, 9).number - 1;
             }
             _ => {}
         }
-        node.holder.granted(&grant);
+        controller.shard_owner.granted(&shard_lease);
     }
 
     fn may_answer(&self, n: usize) -> Option<u64> {
-        match self.nodes[n].holder.word(WORKER, self.now) {
-            Word::Answer(token) => Some(token),
+        match self.controllers[n].shard_owner.decide(WORKER, self.now) {
+            HeartbeatDecision::Answer(token) => Some(token),
             _ => None,
         }
     }
 }
 
 macro_rules! of {
-    ($node:expr, $what:literal) => {
-        [concat!("node 0 ", $what), concat!("node 1 ", $what)][$node]
+    ($controller:expr, $what:literal) => {
+        [concat!("node 0 ", $what), concat!("node 1 ", $what)][$controller]
     };
 }
 
-impl copperfield_explorer::World for World {
+impl copperfield_model_checker::World for World {
     fn next(&self) -> Vec<(&'static str, World)> {
         let mut all = Vec::new();
         let mut then = |what, f: &dyn Fn(&mut World) -> bool| {
@@ -274,35 +276,35 @@
             });
             then(of!(n, "states"), &|w| {
                 let now = w.now;
-                let node = &mut w.nodes[n];
-                if w.statements == 0 || node.statements.len() == 2 {
+                let controller = &mut w.controllers[n];
+                if w.statements == 0 || controller.statements.len() == 2 {
                     return false;
                 }
                 w.statements -= 1;
-                let said = node.holder.state(now, 3);
-                node.statements.push((said, node.answered));
+                let said = controller.shard_owner.state(now, 3);
+                controller.statements.push((said, controller.answered));
                 true
             });
             then(of!(n, "starts anew"), &|w| {
                 w.ends = w.ends.wrapping_sub(1);
-                let node = &mut w.nodes[n];
+                let controller = &mut w.controllers[n];
                 if mistake != Mistake::SpeaksForItsPredecessor {
-                    node.process += 2;
+                    controller.process += 2;
                 }
-                node.holder = Holder::new(node.process);
+                controller.shard_owner = ShardOwner::new(controller.process);
                 if mistake == Mistake::SpeaksForItsPredecessor {
                     // Or its statements would be taken for old ones.
                     for _ in 0..8 {
-                        node.holder.state(0, 1);
+                        controller.shard_owner.state(0, 1);
                     }
                 }
-                node.report = None;
-                node.answered = None;
+                controller.report = None;
+                controller.answered = None;
                 w.ends < 9
             });
             then(of!(n, "reads a report"), &|w| {
                 let now = w.now;
-                if w.reports == 0 || w.nodes[n].report.is_some() {
+                if w.reports == 0 || w.controllers[n].report.is_some() {
                     return false;
                 }
                 w.reports -= 1;
@@ -312,47 +314,47 @@
                     w.answers.clear();
                 }
                 let may = w.may_answer(n);
-                w.nodes[n].report = Some((now, may));
+                w.controllers[n].report = Some((now, may));
                 may.is_some()
             });
             then(of!(n, "answers"), &|w| {
                 let now = w.now;
-                let node = &mut w.nodes[n];
-                let Some((came, Some(token))) = node.report.take() else {
+                let controller = &mut w.controllers[n];
+                let Some((came, Some(token))) = controller.report.take() else {
                     return false;
                 };
-                let may = node.holder.answers(WORKER, came, now);
+                let may = controller.shard_owner.answers(WORKER, came, now);
                 if may || mistake == Mistake::AnswersWithoutAnotherLook {
-                    node.answered = Some(came);
+                    controller.answered = Some(came);
                     w.answers.push((token, came));
                 }
                 true
             });
-            for i in 0..self.nodes[n].statements.len() {
+            for i in 0..self.controllers[n].statements.len() {
                 let heard = match i {
                     0 => of!(n, "is heard"),
                     _ => of!(n, "is heard before what it said first"),
                 };
                 then(heard, &|w| {
-                    let said = w.nodes[n].statements.remove(i);
+                    let said = w.controllers[n].statements.remove(i);
                     w.hears(n, said);
                     true
                 });
                 then(of!(n, "is heard, and will be again"), &|w| {
                     w.doubles = w.doubles.wrapping_sub(1);
-                    let said = w.nodes[n].statements[i].clone();
+                    let said = w.controllers[n].statements[i].clone();
                     w.hears(n, said);
                     w.doubles < 9
                 });
             }
-            for i in 0..self.nodes[n].grants.len() {
+            for i in 0..self.controllers[n].grants.len() {
                 then(of!(n, "gets a grant"), &|w| {
-                    let grant = w.nodes[n].grants.remove(i);
-                    w.gets(n, grant);
+                    let shard_lease = w.controllers[n].grants.remove(i);
+                    w.gets(n, shard_lease);
                     true
                 });
                 then(of!(n, "never gets a grant"), &|w| {
-                    w.nodes[n].grants.remove(i);
+                    w.controllers[n].grants.remove(i);
                     true
                 });
             }
@@ -373,9 +375,9 @@
                 return false;
             }
             let l = w.leader.as_mut().expect("valid");
-            let held = matches!(l.shares.place(WORKER), Some(Place::Held { .. }));
+            let held = matches!(l.shares.place(WORKER), Some(Assignment::Held { .. }));
             let since = match mistake {
-                Mistake::CountsWhatIsHeld if held => Some(l.told),
+                Mistake::CountsWhatIsHeld if held => Some(l.forwarded),
                 _ => l.shares.unanswered_since(WORKER),
             };
             let over = since.is_some_and(|at| now >= at + LEASE) && !l.over;
@@ -562,7 +564,7 @@
     ];
     for (mistake, parts) in cases {
         let history = parts.concat();
-        let search = |mistake, most| explore(after(World::new(mistake), &history), most);
+        let search = |mistake, limit| explore(after(World::new(mistake), &history), limit);
         search(None, 60_000).unwrap_or_else(|h| panic!("{h:#?}"));
         match search(*mistake, 900_000) {
             Ok(depth) => panic!("{mistake:?} is not found in {depth} steps"),
--- a/crates/standins/examples/fragmentation.rs
+++ b/crates/simulation/examples/fragmentation.rs
@@ -13,9 +13,9 @@
 use std::sync::Mutex;
 use std::thread;
 
-use copperfield::bookkeeping::Snapshot;
+use copperfield::storage::Snapshot;
 use copperfield_protocol::JobId;
-use copperfield_standins::crew::{Crew, fixed_fleet};
+use copperfield_simulation::core_harness::{CoreHarness, fixed_fleet};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 use rand::rngs::StdRng;
@@ -82,7 +82,7 @@
 
 /// A site and the users who submit to it.
 struct Play {
-    crew: Crew,
+    crew: CoreHarness,
     next: u64,
 }
 
@@ -90,7 +90,7 @@
     fn new(case: Case) -> Self {
         let mut tuning = fixed_fleet();
         tuning.defragmentation.enabled = case.moves == Moves::Planner;
-        let mut crew = Crew::tuned(TYPES, cluster(), 50, Snapshot::default(), tuning);
+        let mut crew = CoreHarness::tuned(TYPES, cluster(), 50, Snapshot::default(), tuning);
         for i in 0..case.nodes {
             let first = 0.1 + 2.4 * i as f64 / case.nodes as f64;
             crew.add(&format!("n-{i:04}"), "gpu4", ZONES[i % 3], first);
--- a/crates/standins/src/site.rs
+++ b/crates/simulation/src/cluster.rs
@@ -72,7 +72,7 @@
 
 impl State {
     /// From when it has its image until it has ended.
-    fn on_machine(&self) -> bool {
+    fn on_worker(&self) -> bool {
         matches!(
             self,
             Self::Gathering { .. } | Self::Running { .. } | Self::Saving { .. }
@@ -88,7 +88,7 @@
     broken_at: Option<f64>,
 }
 
-pub struct Machine {
+pub struct Worker {
     pub name: String,
     pub flavor: String,
     pub zone: String,
@@ -107,12 +107,12 @@
 
 pub struct Site {
     pub now: f64,
-    pub machines: BTreeMap<String, Machine>,
+    pub workers: BTreeMap<String, Worker>,
     pub jobs: BTreeMap<String, Job>,
     pub broken: Vec<String>,
     rentals: BTreeMap<String, Vec<String>>,
     pub capacity: usize,
-    /// From a rental until the machine is up, in seconds.
+    /// From a rental until the worker is up, in seconds.
     pub boot_s: f64,
     /// CPUs that a team may use at once, where that is limited.
     pub limits: BTreeMap<String, f64>,
@@ -134,7 +134,7 @@
     fn default() -> Self {
         Self {
             now: 0.0,
-            machines: BTreeMap::new(),
+            workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
             broken: Vec::new(),
             rentals: BTreeMap::new(),
@@ -152,12 +152,12 @@
     }
 }
 
-impl Machine {
+impl Worker {
     fn on(&self, task: &str) -> bool {
-        self.tasks.get(task).is_some_and(|t| t.state.on_machine())
+        self.tasks.get(task).is_some_and(|t| t.state.on_worker())
     }
 
-    pub fn report(&mut self) -> Value {
+    pub fn heartbeat(&mut self) -> Value {
         self.counter += 1;
         self.changed = false;
         let shards: Vec<Value> = self
@@ -192,12 +192,12 @@
 }
 
 impl Site {
-    pub fn add_machine(&mut self, flavor: &str, zone: &str, spot: bool, up_at: f64) -> String {
+    pub fn add_worker(&mut self, flavor: &str, zone: &str, spot: bool, up_at: f64) -> String {
         self.next += 1;
         let name = format!("vm-{:06}", self.next);
-        self.machines.insert(
+        self.workers.insert(
             name.clone(),
-            Machine {
+            Worker {
                 name: name.clone(),
                 flavor: flavor.to_string(),
                 zone: zone.to_string(),
@@ -225,27 +225,27 @@
         task.split_once('/').map_or(task, |(j, _)| j)
     }
 
-    /// A task gets on a machine: every rule that a start can break is checked here.
-    pub fn check_start(&mut self, machine: &str, task: &str) {
+    /// A task gets on a worker: every rule that a start can break is checked here.
+    pub fn check_start(&mut self, worker: &str, task: &str) {
         self.starts += 1;
         let job_name = Self::job_of(task).to_string();
-        let others: Vec<&Machine> = self
-            .machines
+        let others: Vec<&Worker> = self
+            .workers
             .values()
-            .filter(|m| m.name != machine && !m.dead)
+            .filter(|m| m.name != worker && !m.dead)
             .collect();
         let mut broken = Vec::new();
         if let Some(m) = others.iter().find(|m| m.on(task)) {
-            broken.push(("ran_twice", format!("{task} on {machine} and {}", m.name)));
+            broken.push(("ran_twice", format!("{task} on {worker} and {}", m.name)));
         }
-        let attempt = self.machines[machine]
+        let attempt = self.workers[worker]
             .tasks
             .get(task)
             .map_or(0, |t| t.attempt);
         self.history
-            .note(self.now, task, attempt, machine, What::Starts);
+            .note(self.now, task, attempt, worker, What::Starts);
         let job = &self.jobs[&job_name];
-        let me = &self.machines[machine];
+        let me = &self.workers[worker];
         let b = &job.body;
         if me.spot && b["preemptibles"] != true {
             broken.push(("wrong_place", format!("{task} on a spot machine")));
@@ -276,10 +276,10 @@
             broken.push(("ran_cancelled", task.to_string()));
         }
         let team = b["owner"].as_str().unwrap_or("");
-        if let Some(&most) = self.limits.get(team) {
+        if let Some(&limit) = self.limits.get(team) {
             let used = self.used_by(team);
-            if used > most + 1e-9 {
-                broken.push(("quota", format!("{task}: {used} of {most} CPUs")));
+            if used > limit + 1e-9 {
+                broken.push(("quota", format!("{task}: {used} of {limit} CPUs")));
             }
         }
         for (rule, what) in broken {
@@ -287,14 +287,14 @@
         }
     }
 
-    /// CPUs of all tasks of a team that are on a machine, and of those that get on one now: those
+    /// CPUs of all tasks of a team that are on a worker, and of those that get on one now: those
     /// of cancelled jobs too.
     fn used_by(&self, team: &str) -> f64 {
         let now = self.now;
         let on = |t: &Task| {
-            t.state.on_machine() || matches!(t.state, State::Fetching { until } if until <= now)
+            t.state.on_worker() || matches!(t.state, State::Fetching { until } if until <= now)
         };
-        let tasks = self.machines.values().filter(|m| !m.dead);
+        let tasks = self.workers.values().filter(|m| !m.dead);
         let tasks = tasks.flat_map(|m| m.tasks.iter().filter(|(_, t)| on(t)));
         let bodies = tasks.map(|(task, _)| &self.jobs[Self::job_of(task)].body);
         bodies
@@ -325,7 +325,7 @@
     }
 
     /// No trouble is left: an accepted job that was not cancelled has not waited for so long with
-    /// a task that is nowhere while a machine that fits has room and its team is under its limit.
+    /// a task that is nowhere while a worker that fits has room and its team is under its limit.
     pub fn check_waiting(&mut self, within_s: f64) {
         let mut waits = Vec::new();
         for (id, job) in &self.jobs {
@@ -342,20 +342,20 @@
             }
             let nowhere = (0..job.done.len()).filter(|&n| {
                 let task = format!("{of_job}{n}");
-                let held = |m: &Machine| {
+                let held = |m: &Worker| {
                     m.tasks
                         .get(&task)
                         .is_some_and(|t| !matches!(t.state, State::Ended(_)))
                 };
-                !job.done[n] && !self.machines.values().any(held)
+                !job.done[n] && !self.workers.values().any(held)
             });
             let cpus = b["cpus"].as_f64().unwrap_or(0.0);
             let team = b["owner"].as_str().unwrap_or("");
             let limit = self.limits.get(team);
-            let allowed = limit.is_none_or(|most| self.used_by(team) + cpus <= *most);
+            let allowed = limit.is_none_or(|limit| self.used_by(team) + cpus <= *limit);
             // How many tasks fit, by zone.
             let mut places: BTreeMap<&str, usize> = BTreeMap::new();
-            for m in self.machines.values().filter(|m| !m.spot) {
+            for m in self.workers.values().filter(|m| !m.spot) {
                 let up = !m.dead && !m.hung && m.up_at <= self.now;
                 let fits = (self.free(&m.name, "cpus") / cpus) as usize;
                 *places.entry(&m.zone).or_default() += if up { fits } else { 0 };
@@ -381,9 +381,9 @@
         }
     }
 
-    /// What is free of a machine, of "cpus" or of "gpus".
-    fn free(&self, machine: &str, what: &str) -> f64 {
-        let m = &self.machines[machine];
+    /// What is free of a worker, of "cpus" or of "gpus".
+    fn free(&self, worker: &str, what: &str) -> f64 {
+        let m = &self.workers[worker];
         let types = self.types["flavors"].as_array().into_iter().flatten();
         let own = types.into_iter().find(|t| t["name"] == m.flavor.as_str());
         let whole = own.and_then(|t| t[what].as_f64()).unwrap_or(0.0);
@@ -395,23 +395,23 @@
         whole - held.filter_map(|(name, _)| needs(name)).sum::<f64>()
     }
 
-    fn leaves(&mut self, machine: &str, task: &str, attempt: u64) {
+    fn leaves(&mut self, worker: &str, task: &str, attempt: u64) {
         self.history
-            .note(self.now, task, attempt, machine, What::Leaves);
+            .note(self.now, task, attempt, worker, What::Leaves);
     }
 
-    pub fn execute(&mut self, machine: &str, orders: &Value) {
+    pub fn execute(&mut self, worker: &str, orders: &Value) {
         for order in orders.as_array().into_iter().flatten() {
             let task = order["shard"].as_str().unwrap_or("").to_string();
             let attempt = order["try"].as_u64().unwrap_or(0);
             match order["verb"].as_str() {
-                Some("start") => self.start(machine, &task, attempt),
+                Some("start") => self.start(worker, &task, attempt),
                 Some("halt") => {
                     let drain_s = order["drain_s"].as_f64().unwrap_or(0.0);
-                    self.halt(machine, &task, attempt, drain_s);
+                    self.halt(worker, &task, attempt, drain_s);
                 }
                 Some("clear") => {
-                    let m = self.machines.get_mut(machine).expect("exists");
+                    let m = self.workers.get_mut(worker).expect("exists");
                     if m.tasks
                         .get(&task)
                         .is_some_and(|t| t.attempt == attempt && matches!(t.state, State::Ended(_)))
@@ -425,7 +425,7 @@
         }
     }
 
-    fn halt(&mut self, machine: &str, task: &str, attempt: u64, drain_s: f64) {
+    fn halt(&mut self, worker: &str, task: &str, attempt: u64, drain_s: f64) {
         let now = self.now;
         let Some(job) = self.jobs.get(Self::job_of(task)) else {
             return;
@@ -433,11 +433,11 @@
         let number = |field: &str| job.body[field].as_f64().unwrap_or(0.0);
         let save_s = number("snapshot_s");
         let saves = number("snapshot_every_s") > 0.0 && drain_s >= save_s;
-        let m = self.machines.get_mut(machine).expect("exists");
+        let m = self.workers.get_mut(worker).expect("exists");
         let Some(t) = m.tasks.get_mut(task).filter(|t| t.attempt == attempt) else {
             return;
         };
-        let was_on = t.state.on_machine();
+        let was_on = t.state.on_worker();
         t.state = match t.state {
             State::Ended(_) => return,
             State::Saving { .. } if drain_s > 0.0 => return,
@@ -450,11 +450,11 @@
         m.changed = true;
         let ended = matches!(t.state, State::Ended(_));
         if was_on && ended {
-            self.leaves(machine, task, attempt);
+            self.leaves(worker, task, attempt);
         }
     }
 
-    fn start(&mut self, machine: &str, task: &str, attempt: u64) {
+    fn start(&mut self, worker: &str, task: &str, attempt: u64) {
         let Some(job) = self.jobs.get(Self::job_of(task)) else {
             self.breaks("protocol", "a start of a job that nobody submitted");
             return;
@@ -462,10 +462,10 @@
         let needs = |what: &str| job.body[what].as_f64().unwrap_or(0.0);
         let image = job.body["bundle"].as_str().unwrap_or("").to_string();
         let gb = job.body["pull_gb"].as_f64().unwrap_or(0.0);
-        let fits = |what: &str| self.free(machine, what) >= needs(what);
+        let fits = |what: &str| self.free(worker, what) >= needs(what);
         let room = fits("cpus") && fits("gpus");
         let now = self.now;
-        let m = self.machines.get_mut(machine).expect("exists");
+        let m = self.workers.get_mut(worker).expect("exists");
         m.changed = true;
         match m.tasks.get(task) {
             Some(t) if t.attempt == attempt => return,
@@ -493,8 +493,8 @@
     }
 
     /// Whether a response to a report, or a direct message, is to be obeyed.
-    pub fn obey(&mut self, machine: &str, fence: Option<u64>) -> bool {
-        let m = self.machines.get_mut(machine).expect("exists");
+    pub fn obey(&mut self, worker: &str, fence: Option<u64>) -> bool {
+        let m = self.workers.get_mut(worker).expect("exists");
         match fence {
             Some(f) if f >= m.fence => {
                 m.changed |= f > m.fence;
@@ -505,33 +505,33 @@
         }
     }
 
-    pub fn answered(&mut self, machine: &str, sent: f64) {
-        let m = self.machines.get_mut(machine).expect("exists");
+    pub fn answered(&mut self, worker: &str, sent: f64) {
+        let m = self.workers.get_mut(worker).expect("exists");
         m.answered_sent = m.answered_sent.max(sent);
     }
 
-    /// Ends a session whose lease has run out, also of a machine that hangs: only within its
+    /// Ends a session whose lease has run out, also of a worker that hangs: only within its
     /// lease may that go on with what it had. It once kept its tasks until it woke, and a
     /// start elsewhere after the end of its lease was taken for a broken rule.
     pub fn end_lease(&mut self, name: &str) {
         let now = self.now;
-        let m = self.machines.get_mut(name).expect("exists");
+        let m = self.workers.get_mut(name).expect("exists");
         if now - m.answered_sent > LEASE_S * DRIFT {
             let tasks = std::mem::take(&mut m.tasks);
             m.tenure += 1;
             m.answered_sent = now;
             m.changed = true;
-            for (task, t) in tasks.iter().filter(|(_, t)| t.state.on_machine()) {
+            for (task, t) in tasks.iter().filter(|(_, t)| t.state.on_worker()) {
                 self.leaves(name, task, t.attempt);
             }
         }
     }
 
-    /// One step of a machine's own life.
+    /// One step of a worker's own life.
     pub fn live(&mut self, name: &str, passed: f64) {
         let now = self.now;
         self.end_lease(name);
-        let m = self.machines.get_mut(name).expect("exists");
+        let m = self.workers.get_mut(name).expect("exists");
         let ready: Vec<String> = m
             .tasks
             .iter()
@@ -543,7 +543,7 @@
             let number: usize = number.parse().expect("a number");
             if self.jobs[job].done.get(number) == Some(&true) {
                 // The result is kept: it ends as soon as it has its image.
-                let m = self.machines.get_mut(name).expect("exists");
+                let m = self.workers.get_mut(name).expect("exists");
                 m.changed = true;
                 m.tasks.get_mut(&task).expect("listed").state = State::Ended("done");
                 continue;
@@ -557,7 +557,7 @@
                 self.saved.get(&task).copied().unwrap_or(job.runtime_s)
             };
             let image = job.body["bundle"].as_str().unwrap_or("").to_string();
-            let m = self.machines.get_mut(name).expect("exists");
+            let m = self.workers.get_mut(name).expect("exists");
             if !m.images.contains(&image) {
                 m.images.push(image);
             }
@@ -570,7 +570,7 @@
                 State::Running { left }
             };
         }
-        let m = self.machines.get_mut(name).expect("exists");
+        let m = self.workers.get_mut(name).expect("exists");
         let mut ended = Vec::new();
         let mut left_early = Vec::new();
         for (task, t) in &mut m.tasks {
@@ -587,7 +587,7 @@
                 m.changed = true;
             } else if t.broken_at.is_some_and(|at| at <= now) && !matches!(t.state, State::Ended(_))
             {
-                left_early.extend(t.state.on_machine().then(|| (task.clone(), t.attempt)));
+                left_early.extend(t.state.on_worker().then(|| (task.clone(), t.attempt)));
                 t.state = State::Ended("mates_gone");
                 m.changed = true;
             } else if let State::Running { left } = &mut t.state
@@ -625,7 +625,7 @@
     pub fn gangs(&mut self) {
         let now = self.now;
         let mut attempts: BTreeMap<(String, u64), Vec<(String, String)>> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| !m.dead) {
+        for m in self.workers.values().filter(|m| !m.dead) {
             for (task, t) in &m.tasks {
                 let job = Self::job_of(task);
                 if self.jobs[job].body["shape"] == "group" && !matches!(t.state, State::Ended(_)) {
@@ -641,16 +641,16 @@
             let job = &self.jobs[&job];
             let all = job.body["shards"].as_u64().unwrap_or(1) as usize;
             let runtime = job.runtime_s;
-            let hung = members.iter().any(|(m, _)| self.machines[m].hung);
+            let hung = members.iter().any(|(m, _)| self.workers[m].hung);
             let done = job.done.iter().any(|d| *d);
             let gathered = members.len() == all
                 && members.iter().all(|(m, t)| {
-                    let state = &self.machines[m].tasks[t].state;
+                    let state = &self.workers[m].tasks[t].state;
                     matches!(state, State::Gathering { .. })
                 });
             for (m, t) in members.iter() {
                 let task = self
-                    .machines
+                    .workers
                     .get_mut(m)
                     .expect("exists")
                     .tasks
@@ -666,12 +666,12 @@
         }
     }
 
-    /// A machine stops for good, or is given back.
+    /// A worker stops for good, or is given back.
     pub fn remove(&mut self, name: &str) {
-        let Some(m) = self.machines.remove(name) else {
+        let Some(m) = self.workers.remove(name) else {
             return;
         };
-        for (task, t) in m.tasks.iter().filter(|(_, t)| t.state.on_machine()) {
+        for (task, t) in m.tasks.iter().filter(|(_, t)| t.state.on_worker()) {
             self.leaves(name, task, t.attempt);
         }
     }
@@ -685,7 +685,7 @@
                     .split_once("since=")
                     .map_or("", |(_, s)| s.split('&').next().unwrap_or(""));
                 let hosts: Vec<Value> = self
-                    .machines
+                    .workers
                     .values()
                     .filter(|m| m.name.as_str() > since)
                     .map(|m| {
@@ -706,7 +706,7 @@
                     return (200, json!({"hosts": hosts}));
                 }
                 let wanted = body["number"].as_u64().unwrap_or(0) as usize;
-                let free = self.capacity.saturating_sub(self.machines.len());
+                let free = self.capacity.saturating_sub(self.workers.len());
                 if free == 0 {
                     return (503, json!({"error": "no capacity"}));
                 }
@@ -715,7 +715,7 @@
                 let up = self.now + self.boot_s;
                 let spot = body["preemptibles"] == true;
                 let hosts: Vec<String> = (0..wanted.min(free))
-                    .map(|_| self.add_machine(&flavor, zone, spot, up))
+                    .map(|_| self.add_worker(&flavor, zone, spot, up))
                     .collect();
                 self.rentals.insert(request, hosts.clone());
                 (200, json!({"hosts": hosts}))
@@ -786,10 +786,10 @@
         }
     }
 
-    /// Jobs that run and have long to go, and a machine that each of them is on.
+    /// Jobs that run and have long to go, and a worker that each of them is on.
     pub fn running_jobs(&self) -> Vec<(String, String)> {
         let mut all = BTreeMap::new();
-        for m in self.machines.values().filter(|m| !m.dead) {
+        for m in self.workers.values().filter(|m| !m.dead) {
             for task in m.tasks.keys().filter(|t| m.on(t)) {
                 let job = Self::job_of(task);
                 if self.jobs[job].told.is_none() && self.jobs[job].accepted.is_some() {
@@ -814,27 +814,27 @@
         }
     }
 
-    /// A machine's lease was just renewed, and what came with that is carried out. Nothing may
+    /// A worker's lease was just renewed, and what came with that is carried out. Nothing may
     /// be on it by then whose job was told cancelled so long ago that the lease outlives the
     /// time a cancellation has.
-    pub fn check_renewed(&mut self, machine: &str) {
+    pub fn check_renewed(&mut self, worker: &str) {
         let latest = self.now - (CANCEL_S - LEASE_S * DRIFT);
         let long_cancelled = |t: &&String| {
             let told = self.jobs[Self::job_of(t)].cancelled_at;
             told.is_some_and(|at| at < latest)
         };
-        let m = &self.machines[machine];
+        let m = &self.workers[worker];
         let on = m.tasks.keys().filter(|t| m.on(t));
         let kept: Vec<String> = on.filter(long_cancelled).cloned().collect();
         for task in kept {
-            self.breaks("renewed_cancelled", &format!("{task} on {machine}"));
+            self.breaks("renewed_cancelled", &format!("{task} on {worker}"));
         }
     }
 
     /// Tasks that are somewhere although their job was cancelled long ago.
     pub fn check_cancelled(&mut self) {
         let late: Vec<String> = self
-            .machines
+            .workers
             .values()
             .filter(|m| !m.dead)
             .flat_map(|m| m.tasks.keys().filter(|t| m.on(t)))
--- a/crates/standins/src/crew.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -2,25 +2,25 @@
 //! everything: they drive the core alone, without a network or a process.
 //!
 //! Single workers can be told to fall silent or to fail every task. A task that
-//! starts while another copy of it is on a machine ends the run.
+//! starts while another copy of it is on a worker ends the run.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
 
-use copperfield::bookkeeping::writer::{Write, Written};
-use copperfield::bookkeeping::{
-    DrainRecord, RosterPage, Snapshot, StoredDrain, StoredJob, StoredSilence, bitmap,
-};
 use copperfield::coordination::core::{
-    CancelBegin, Config, Core, Effect, Input, Outcome, RentOutcome,
+    CancelBegin, Config, Core, Effect, Input, Outcome, ScaleOutOutcome,
 };
 use copperfield::settings::{Cluster, Tuning};
-use copperfield_protocol::cloud::parse_types;
-use copperfield_protocol::job::{JobSpec, Kind, Phase, Standing};
-use copperfield_protocol::peer::Order;
-use copperfield_protocol::worker::{Command, Exit, Report, TaskPhase, TaskReport, Verb};
+use copperfield::storage::writer::{Write, Written};
+use copperfield::storage::{
+    DrainRecord, Snapshot, StoredDrain, StoredFencingPage, StoredJob, StoredRegistryPage, bitmap,
+};
+use copperfield_fencing::stamp;
+use copperfield_protocol::cloud::parse_machine_types;
+use copperfield_protocol::job::{JobOutcome, JobSpec, Kind, Phase};
+use copperfield_protocol::peer::AdminRequest;
+use copperfield_protocol::worker::{Command, Exit, Heartbeat, TaskPhase, TaskStatus, Verb};
 use copperfield_protocol::{JobId, parse_task};
-use copperfield_silence::stamp;
 use serde_json::{Value, json};
 
 use crate::history::{History, What};
@@ -31,7 +31,7 @@
 struct Worker {
     flavor: &'static str,
     zone: &'static str,
-    session: u64,
+    incarnation: u64,
     counter: u64,
     token: u64,
     next_report: f64,
@@ -53,18 +53,18 @@
     Fails,
 }
 
-pub struct Crew {
+pub struct CoreHarness {
     pub core: Core,
     pub now: f64,
     /// Workers that neither hear nor are heard.
     pub silent: BTreeSet<String>,
     /// Workers whose reports do not arrive, though they can be reached.
-    pub unheard: BTreeSet<String>,
+    pub unreconciled: BTreeSet<String>,
     /// Workers that fail every task.
     pub sick: BTreeSet<String>,
-    /// Jobs that fail on every machine.
+    /// Jobs that fail on every worker.
     pub mistaken: BTreeSet<JobId>,
-    /// Machines that the cloud still has; those it rents never come up.
+    /// Workers that the cloud still has; those it rents never come up.
     pub stock: u32,
     /// When each of them was rented.
     pub rented: Vec<f64>,
@@ -76,16 +76,16 @@
     pub steps: Vec<f64>,
     /// The longest value written so far, in bytes.
     pub largest_value: usize,
-    /// The roster as it is stored.
-    pub roster: BTreeMap<u32, Value>,
+    /// The worker registry as it is stored.
+    pub registry: BTreeMap<u32, Value>,
     /// Drains as they are stored.
     pub drains: BTreeMap<String, DrainRecord>,
-    /// The record of silent machines, as times of day.
-    pub silence: BTreeMap<u32, Vec<(String, u64)>>,
+    /// The record of silent workers, as times of day.
+    pub fencing: BTreeMap<u32, Vec<(String, u64)>>,
     /// What the next leader has given its word for.
-    pub word_held_until: f64,
+    pub vote_binding_until: f64,
     pub saving: Saving,
-    /// Machines that are gone for good.
+    /// Workers that are gone for good.
     pub dead: BTreeSet<String>,
     pub history: History,
     /// Jobs whose end is stored.
@@ -117,7 +117,7 @@
     next_step: f64,
 }
 
-impl Crew {
+impl CoreHarness {
     pub fn new(types: &str, cluster: Value, token: u64) -> Self {
         Self::after(types, cluster, token, Snapshot::default())
     }
@@ -142,14 +142,14 @@
             tuning: tuning.clone(),
         };
         let text = types.to_string();
-        let types = parse_types(types.as_bytes()).expect("valid");
+        let types = parse_machine_types(types.as_bytes()).expect("valid");
         let specs = snapshot.jobs.iter().map(|j| (j.spec.id, j.spec.clone()));
         Self {
             specs: specs.collect(),
             core: Core::new(config, token, 0.0, types, snapshot),
             now: 0.0,
             silent: BTreeSet::new(),
-            unheard: BTreeSet::new(),
+            unreconciled: BTreeSet::new(),
             sick: BTreeSet::new(),
             mistaken: BTreeSet::new(),
             stock: 0,
@@ -159,10 +159,10 @@
             starts: 0,
             steps: Vec::new(),
             largest_value: 0,
-            roster: BTreeMap::new(),
+            registry: BTreeMap::new(),
             drains: BTreeMap::new(),
-            silence: BTreeMap::new(),
-            word_held_until: 0.0,
+            fencing: BTreeMap::new(),
+            vote_binding_until: 0.0,
             saving: Saving::InTime,
             dead: BTreeSet::new(),
             history: History::default(),
@@ -193,7 +193,7 @@
         let worker = Worker {
             flavor,
             zone,
-            session: 1,
+            incarnation: 1,
             counter: 0,
             token: 0,
             next_report: first_report,
@@ -228,17 +228,17 @@
             .collect()
     }
 
-    /// The roster as the next leader would read it.
-    pub fn stored_roster(&self) -> Vec<RosterPage> {
-        self.roster
+    /// The worker registry as the next leader would read it.
+    pub fn stored_registry(&self) -> Vec<StoredRegistryPage> {
+        self.registry
             .iter()
             .map(|(&page, value)| {
-                let machines: BTreeMap<String, _> =
+                let workers: BTreeMap<String, _> =
                     serde_json::from_value(value.clone()).expect("parses");
-                RosterPage {
+                StoredRegistryPage {
                     page,
                     version: 5,
-                    machines: Some(machines.into_iter().collect()),
+                    workers: Some(workers.into_iter().collect()),
                 }
             })
             .collect()
@@ -254,14 +254,14 @@
 
     /// A worker's lease runs out. It counts from when the last answered report was
     /// sent, which may be seconds before the leader received it.
-    pub fn end_session(&mut self, name: &str) {
+    pub fn end_incarnation(&mut self, name: &str) {
         let w = self.workers.get_mut(name).expect("known");
-        w.session += 1;
+        w.incarnation += 1;
         w.tasks.clear();
         w.answered_at = self.now;
     }
 
-    /// The machine is gone, and nobody is told.
+    /// The worker is gone, and nobody is told.
     pub fn die(&mut self, name: &str) {
         let Some(w) = self.workers.remove(name) else {
             return;
@@ -269,7 +269,7 @@
         self.dead.insert(name.to_string());
         let now = self.now;
         for ((job, task, attempt), (phase, _)) in w.tasks {
-            if on_machine(phase) {
+            if on_worker(phase) {
                 let task = format!("{job}/{task}");
                 self.history.note(now, &task, attempt, name, What::Leaves);
             }
@@ -300,24 +300,27 @@
         });
         let now_ms = (self.now * 1000.0) as u64;
         let age = |(name, at): &(String, u64)| (name.clone(), stamp::age(*at, now_ms, 0));
-        let silence = self.silence.iter().map(|(&page, stored)| StoredSilence {
-            page,
-            version: self.revision,
-            ages: Some(stored.iter().map(age).collect()),
-        });
+        let fencing = self
+            .fencing
+            .iter()
+            .map(|(&page, stored)| StoredFencingPage {
+                page,
+                version: self.revision,
+                ages: Some(stored.iter().map(age).collect()),
+            });
         let snapshot = Snapshot {
             jobs,
             progress: progress.collect(),
-            roster: self.stored_roster(),
+            registry: self.stored_registry(),
             drains: drains.collect(),
-            silence: silence.collect(),
-            word_held_until: self.word_held_until,
+            fencing: fencing.collect(),
+            vote_binding_until: self.vote_binding_until,
         };
         let config = Config {
             cluster: self.cluster.clone(),
             tuning: self.tuning.clone(),
         };
-        let types = parse_types(self.types.as_bytes()).expect("valid");
+        let types = parse_machine_types(self.types.as_bytes()).expect("valid");
         self.core = Core::new(config, token, self.now, types, snapshot);
         self.later
             .retain(|(_, input)| matches!(input, Input::Job(_)));
@@ -326,9 +329,9 @@
     }
 
     /// What an operator asks; the answer comes to `told` under this number.
-    pub fn operate(&mut self, order: Order) -> u64 {
+    pub fn operate(&mut self, order: AdminRequest) -> u64 {
         self.ticket += 1;
-        let input = Input::Operate {
+        let input = Input::Admin {
             ticket: self.ticket,
             order,
             unix_ms: (self.now * 1000.0) as u64,
@@ -338,7 +341,7 @@
     }
 
     /// Asks, and waits for the answer.
-    pub fn ask(&mut self, order: Order) -> (u16, Value) {
+    pub fn ask(&mut self, order: AdminRequest) -> (u16, Value) {
         let ticket = self.operate(order);
         self.run(0.3);
         self.told.remove(&ticket).expect("answered at once")
@@ -364,15 +367,18 @@
         for name in names {
             self.progress(&name);
             let w = &self.workers[&name];
-            if w.next_report > now || self.silent.contains(&name) || self.unheard.contains(&name) {
+            if w.next_report > now
+                || self.silent.contains(&name)
+                || self.unreconciled.contains(&name)
+            {
                 continue;
             }
             self.ticket += 1;
             self.asked.insert(self.ticket, name.clone());
-            let report = self.report(&name);
-            inputs.push(Input::Report {
+            let heartbeat = self.heartbeat(&name);
+            inputs.push(Input::Heartbeat {
                 ticket: self.ticket,
-                report,
+                heartbeat,
             });
             let report_s = self.report_s;
             let w = self.workers.get_mut(&name).expect("known");
@@ -392,7 +398,7 @@
         let effects = self.core.step(now, inputs);
         self.steps.push(began.elapsed().as_secs_f64());
         for effect in effects {
-            self.carry_out(effect);
+            self.execute_effect(effect);
         }
     }
 
@@ -402,9 +408,9 @@
         let sick = self.sick.contains(name);
         let w = self.workers.get_mut(name).expect("known");
         if now - w.answered_at > self.lease_s {
-            w.session += 1;
+            w.incarnation += 1;
             for ((job, task, attempt), (phase, _)) in std::mem::take(&mut w.tasks) {
-                if on_machine(phase) {
+                if on_worker(phase) {
                     let task = format!("{job}/{task}");
                     self.history.note(now, &task, attempt, name, What::Leaves);
                 }
@@ -439,7 +445,7 @@
                 TaskPhase::Exited(Exit::Done) => {
                     self.completed.insert((job, task)).then_some(What::Done)
                 }
-                _ if on_machine(*phase) => Some(What::Leaves),
+                _ if on_worker(*phase) => Some(What::Leaves),
                 _ => None,
             };
             if let Some(what) = what {
@@ -458,23 +464,23 @@
         }
     }
 
-    fn report(&mut self, name: &str) -> Report {
+    fn heartbeat(&mut self, name: &str) -> Heartbeat {
         let w = self.workers.get_mut(name).expect("known");
         w.counter += 1;
-        Report {
-            machine: name.to_string(),
+        Heartbeat {
+            worker: name.to_string(),
             address: "10.1.0.1:9000".into(),
             machine_type: w.flavor.into(),
             zone: w.zone.into(),
             spot: false,
-            session: w.session,
+            incarnation: w.incarnation,
             counter: w.counter,
             token: w.token,
             notice_s: None,
             tasks: w
                 .tasks
                 .iter()
-                .map(|(&(job, task, attempt), &(phase, _))| TaskReport {
+                .map(|(&(job, task, attempt), &(phase, _))| TaskStatus {
                     job,
                     task,
                     attempt,
@@ -487,13 +493,13 @@
     pub fn obey(&mut self, name: &str, commands: &[Command]) {
         let now = self.now;
         for c in commands.iter().filter(|c| c.verb == Verb::Start) {
-            let elsewhere = self.workers.iter().any(|(other, w)| {
+            let redirects = self.workers.iter().any(|(other, w)| {
                 other != name
                     && w.tasks.iter().any(|((job, task, _), (phase, _))| {
                         (*job, *task) == (c.job, c.task) && !matches!(phase, TaskPhase::Exited(_))
                     })
             });
-            assert!(!elsewhere, "{}/{} ran twice", c.job, c.task);
+            assert!(!redirects, "{}/{} ran twice", c.job, c.task);
         }
         let token = self.core.token;
         let w = self.workers.get_mut(name).expect("known");
@@ -537,7 +543,7 @@
                                 let done = spec.estimate_s - (t.1 - now) - saved.unwrap_or(0.0);
                                 self.lost_s += done.max(0.0);
                             }
-                            if on_machine(phase) {
+                            if on_worker(phase) {
                                 let task = format!("{}/{}", c.job, c.task);
                                 self.history.note(now, &task, c.attempt, name, What::Leaves);
                             }
@@ -555,7 +561,7 @@
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute_effect(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
             Effect::Answer { ticket, body } => {
@@ -564,25 +570,25 @@
                 self.obey(&name, &commands_of(&body));
             }
             Effect::Direct {
-                machine,
-                session,
-                flight,
+                worker,
+                incarnation,
+                message_id,
                 commands,
                 ..
             } => {
-                self.take_orders(machine, session, flight, &commands);
+                self.take_orders(worker, incarnation, message_id, &commands);
             }
             Effect::Inspect {
-                machine,
-                session,
-                flight,
+                worker,
+                incarnation,
+                message_id,
                 ..
             } => {
-                self.take_orders(machine, session, flight, &[]);
+                self.take_orders(worker, incarnation, message_id, &[]);
             }
             Effect::Write(batch) if self.outage => self.withheld.push(batch),
             Effect::Write(batch) => self.store(batch),
-            Effect::Operated {
+            Effect::AdminAnswered {
                 ticket,
                 status,
                 body,
@@ -597,14 +603,14 @@
                 {
                     self.over.insert(job);
                     let phase = Phase::Cancelled;
-                    let end = Some(Standing { phase, done });
+                    let end = Some(JobOutcome { phase, done });
                     self.later
                         .push((now + 0.05, Input::CancelSettled { job, end }));
                 } else {
                     self.cancelling.pop_front();
                 }
             }
-            Effect::Rent { request, count, .. } => {
+            Effect::ScaleOut { request, count, .. } => {
                 let count = count.min(self.stock);
                 self.stock -= count;
                 let first = self.rented.len();
@@ -613,22 +619,24 @@
                     .map(|i| format!("rented-{i}"))
                     .collect();
                 let outcome = if names.is_empty() {
-                    RentOutcome::NoCapacity
+                    ScaleOutOutcome::NoCapacity
                 } else {
-                    RentOutcome::Machines(names)
+                    ScaleOutOutcome::Workers(names)
                 };
-                let input = Input::Rented { request, outcome };
+                let input = Input::ScaledOut { request, outcome };
                 self.later.push((now + 0.1, input));
             }
-            Effect::Return(machines) => {
-                for name in &machines {
+            Effect::ScaleIn(workers) => {
+                for name in &workers {
                     self.die(name);
                     self.returned.push(name.clone());
                 }
-                let input = Input::Returned { machines, ok: true };
+                let input = Input::ScaledIn { workers, ok: true };
                 self.later.push((now + 0.1, input));
             }
-            Effect::List => self.later.push((now + 0.1, Input::Listed(Vec::new()))),
+            Effect::List => self
+                .later
+                .push((now + 0.1, Input::ListedWorker(Vec::new()))),
             _ => {}
         }
     }
@@ -647,9 +655,9 @@
         for write in batch {
             self.changes += write.changes();
             match &write {
-                Write::Roster { page, value, .. } => {
+                Write::WorkerRegistry { page, value, .. } => {
                     self.largest_value = self.largest_value.max(value.to_string().len());
-                    self.roster.insert(*page, value.clone());
+                    self.registry.insert(*page, value.clone());
                 }
                 Write::Progress {
                     job, chunk, value, ..
@@ -663,10 +671,10 @@
                 Write::Finish { job, .. } => {
                     self.over.insert(*job);
                 }
-                Write::Silence { page, ages, .. } => {
+                Write::FencingRecord { page, ages, .. } => {
                     let now_ms = (self.now * 1000.0) as u64;
                     let at = |(n, age): &(String, u64)| (n.clone(), stamp::of_age(*age, now_ms));
-                    self.silence.insert(*page, ages.iter().map(at).collect());
+                    self.fencing.insert(*page, ages.iter().map(at).collect());
                 }
                 Write::Drain { node, record, .. } => {
                     match record {
@@ -681,41 +689,47 @@
         self.later.push((self.now + 0.05, Input::Written(results)));
     }
 
-    /// A silent machine is known to be so only when the time to connect is over.
+    /// A silent worker is known to be so only when the time to connect is over.
     /// What was sent to a worker's own address; a question is orders without an order.
-    fn take_orders(&mut self, machine: String, session: u64, flight: u64, orders: &[Command]) {
-        let known = self.workers.contains_key(&machine);
-        let reached = known && !self.silent.contains(&machine);
+    fn take_orders(
+        &mut self,
+        worker: String,
+        incarnation: u64,
+        message_id: u64,
+        orders: &[Command],
+    ) {
+        let known = self.workers.contains_key(&worker);
+        let reached = known && !self.silent.contains(&worker);
         let outcome = if !reached {
             Outcome::Unsent
-        } else if self.workers[&machine].session == session {
-            self.obey(&machine, orders);
-            Outcome::Executed(self.report(&machine))
+        } else if self.workers[&worker].incarnation == incarnation {
+            self.obey(&worker, orders);
+            Outcome::Executed(self.heartbeat(&worker))
         } else {
-            Outcome::Rejected(Some(self.report(&machine)))
+            Outcome::Rejected(Some(self.heartbeat(&worker)))
         };
         let after = match outcome {
             Outcome::Unsent => 0.5,
             _ => 0.01,
         };
         let input = Input::Direct {
-            machine,
-            flight,
+            worker,
+            message_id,
             outcome,
         };
         self.later.push((self.now + after, input));
     }
 }
 
-/// Whether a task is on its machine, as the aims and the rules count it.
-fn on_machine(phase: TaskPhase) -> bool {
+/// Whether a task is on its worker, as the aims and the rules count it.
+fn on_worker(phase: TaskPhase) -> bool {
     matches!(
         phase,
         TaskPhase::Running | TaskPhase::Saving | TaskPhase::Waiting
     )
 }
 
-/// Settings under which the core rents one machine at most and returns none for being idle.
+/// Settings under which the core rents one worker at most and returns none for being idle.
 pub fn fixed_fleet() -> Tuning {
     Tuning {
         fleet_max: 1,
--- a/crates/standins/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -8,11 +8,11 @@
 /// One thing a worker saw. Times are in seconds.
 #[derive(Debug, Clone, PartialEq)]
 pub enum What {
-    /// The task got on the machine.
+    /// The task got on the worker.
     Starts,
     /// It completed.
     Done,
-    /// It left without completing: stopped, killed, or its machine gone.
+    /// It left without completing: stopped, killed, or its worker gone.
     Leaves,
 }
 
@@ -22,7 +22,7 @@
     /// As in `wk-000412/3`.
     pub task: String,
     pub attempt: u64,
-    pub machine: String,
+    pub worker: String,
     pub what: What,
 }
 
@@ -32,12 +32,12 @@
 }
 
 impl History {
-    pub fn note(&mut self, at: f64, task: &str, attempt: u64, machine: &str, what: What) {
+    pub fn note(&mut self, at: f64, task: &str, attempt: u64, worker: &str, what: What) {
         self.events.push(Event {
             at,
             task: task.to_string(),
             attempt,
-            machine: machine.to_string(),
+            worker: worker.to_string(),
             what,
         });
     }
@@ -52,17 +52,17 @@
         done.map(|e| e.task.as_str()).collect()
     }
 
-    /// Machines on which a task started, in order.
+    /// Workers on which a task started, in order.
     pub fn places(&self, task: &str) -> Vec<&str> {
         let of = |e: &&Event| e.task == task && e.what == What::Starts;
         self.events
             .iter()
             .filter(of)
-            .map(|e| e.machine.as_str())
+            .map(|e| e.worker.as_str())
             .collect()
     }
 
-    /// Everything that must not have been: a task on two machines, an attempt used
+    /// Everything that must not have been: a task on two workers, an attempt used
     /// twice, a task that completed twice or was started after it had, and those of
     /// `must_end` that did not complete.
     pub fn problems<'a>(&self, must_end: impl IntoIterator<Item = &'a str>) -> Vec<String> {
@@ -71,26 +71,26 @@
         let mut attempts: BTreeSet<(&str, u64)> = BTreeSet::new();
         let mut done: BTreeSet<&str> = BTreeSet::new();
         for e in &self.events {
-            let (task, machine) = (e.task.as_str(), e.machine.as_str());
+            let (task, worker) = (e.task.as_str(), e.worker.as_str());
             let mut problem = |what: String| problems.push(format!("{:.1} {task}: {what}", e.at));
             match e.what {
                 What::Starts => {
-                    if let Some((other, _)) = on.insert(task, (machine, e.attempt)) {
-                        problem(format!("starts on {machine} while on {other}"));
+                    if let Some((other, _)) = on.insert(task, (worker, e.attempt)) {
+                        problem(format!("starts on {worker} while on {other}"));
                     }
                     if !attempts.insert((task, e.attempt)) {
-                        problem(format!("attempt {} starts again on {machine}", e.attempt));
+                        problem(format!("attempt {} starts again on {worker}", e.attempt));
                     }
                     if done.contains(task) {
-                        problem(format!("starts on {machine} after it was done"));
+                        problem(format!("starts on {worker} after it was done"));
                     }
                 }
                 What::Done | What::Leaves => {
-                    if on.remove(task) != Some((machine, e.attempt)) {
-                        problem(format!("ends on {machine}, where it was not"));
+                    if on.remove(task) != Some((worker, e.attempt)) {
+                        problem(format!("ends on {worker}, where it was not"));
                     }
                     if e.what == What::Done && !done.insert(task) {
-                        problem(format!("is done once more on {machine}"));
+                        problem(format!("is done once more on {worker}"));
                     }
                 }
             }
@@ -113,8 +113,8 @@
     fn each_fault_is_found() {
         let story = |events: &[(&str, u64, What)]| {
             let mut history = History::default();
-            for (at, (machine, attempt, what)) in events.iter().enumerate() {
-                history.note(at as f64, "t/0", *attempt, machine, what.clone());
+            for (at, (worker, attempt, what)) in events.iter().enumerate() {
+                history.note(at as f64, "t/0", *attempt, worker, what.clone());
             }
             history.problems(["t/0"]).join("; ")
         };
--- a/crates/standins/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -2,9 +2,9 @@
 //! published protocols. The tests run whole controllers against them in
 //! simulated time; `loopback` serves them to real processes.
 
-pub mod crew;
+pub mod cluster;
+pub mod core_harness;
 pub mod history;
 pub mod loopback;
-pub mod served;
-pub mod site;
-pub mod state;
+pub mod service_levels;
+pub mod state_service;
--- a/crates/standins/src/loopback.rs
+++ b/crates/simulation/src/loopback.rs
@@ -17,15 +17,15 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-use crate::site::{CANCEL_S, Job, LEASE_S, REPORT_S, Site};
-use crate::state::StateService;
+use crate::cluster::{CANCEL_S, Job, LEASE_S, REPORT_S, Site};
+use crate::state_service::StateService;
 
 pub const NODES: usize = 3;
 /// Connections that each server takes: one for each worker of a site of 6,000.
 const MOST: usize = 6144;
 /// What their requests may hold.
-const MOST_BYTES: usize = 1 << 30;
-/// The machines live in steps of so many seconds.
+const MAX_BYTES: usize = 1 << 30;
+/// The workers live in steps of so many seconds.
 const STEP_S: f64 = 0.1;
 
 pub struct World {
@@ -58,7 +58,7 @@
 /// An address that nobody listens on now, and that this process has not been given before.
 ///
 /// # Panics
-/// If the machine has no free port.
+/// If the worker has no free port.
 pub fn free_address() -> SocketAddr {
     let first = std::process::id().wrapping_mul(97);
     for _ in PORTS {
@@ -114,8 +114,8 @@
         let (for_state, for_cloud) = (self.clone(), self.clone());
         let (state, cloud) = (bind(self.state).await?, bind(self.cloud).await?);
         tokio::select! {
-            result = serve(state, MOST, MAX_BODY, Meter::new(MOST_BYTES), move |r| for_state.clone().answer_state(r)) => result,
-            result = serve(cloud, MOST, MAX_BODY, Meter::new(MOST_BYTES), move |r| for_cloud.clone().answer_cloud(r)) => result,
+            result = serve(state, MOST, MAX_BODY, Meter::new(MAX_BYTES), move |r| for_state.clone().answer_state(r)) => result,
+            result = serve(cloud, MOST, MAX_BODY, Meter::new(MAX_BYTES), move |r| for_cloud.clone().answer_cloud(r)) => result,
             () = self.live() => Ok(()),
         }
     }
@@ -245,30 +245,30 @@
 
     async fn answer_worker(self, name: String, request: Incoming) -> Outgoing {
         let mut w = self.world();
-        if !w.site.machines.contains_key(&name) {
+        if !w.site.workers.contains_key(&name) {
             return Outgoing::error(503, "gone");
         }
         let mut status = 200;
         if request.path == "/orders" {
             let orders: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
             w.learn_jobs(&orders["orders"]);
-            let same = orders["tenure"].as_u64() == Some(w.site.machines[&name].tenure);
+            let same = orders["tenure"].as_u64() == Some(w.site.workers[&name].tenure);
             if same && w.site.obey(&name, orders["fence"].as_u64()) {
                 w.site.execute(&name, &orders["orders"]);
             } else {
                 status = 409;
             }
         }
-        reply((status, w.report(&name)))
+        reply((status, w.heartbeat(&name)))
     }
 
-    /// The machines' own lives: they run tasks and report to whoever leads.
+    /// The workers' own lives: they run tasks and report to whoever leads.
     async fn live(&self) {
         let mut due: BTreeMap<String, (f64, usize)> = BTreeMap::new();
         loop {
             sleep(Duration::from_secs_f64(STEP_S)).await;
-            let reports = self.step(&mut due);
-            for (name, node, body, sent) in reports {
+            let heartbeats = self.step(&mut due);
+            for (name, node, body, sent) in heartbeats {
                 let answer = self
                     .ask(Method::POST, self.public[node], "/hello", &body)
                     .await;
@@ -284,12 +284,12 @@
         let passed = now - w.site.now;
         w.site.now = now;
         w.state.tick(now, passed);
-        let machines = w.site.machines.values();
-        let up: Vec<String> = machines
+        let workers = w.site.workers.values();
+        let up: Vec<String> = workers
             .filter(|m| m.up_at <= now && !m.hung)
             .map(|m| m.name.clone())
             .collect();
-        let mut reports = Vec::new();
+        let mut heartbeats = Vec::new();
         for name in up {
             w.site.live(&name, passed);
             if !due.contains_key(&name) {
@@ -304,23 +304,23 @@
                         bind(address).await?,
                         MOST,
                         MAX_BODY,
-                        Meter::new(MOST_BYTES),
+                        Meter::new(MAX_BYTES),
                         answer,
                     )
                     .await
                 });
             }
             let (at, node) = due.get_mut(&name).expect("inserted");
-            let changed = w.site.machines[&name].changed;
+            let changed = w.site.workers[&name].changed;
             if now >= *at || (changed && now > *at - REPORT_S + 0.5) {
                 *at = now + REPORT_S;
                 let node = *node;
-                reports.push((name.clone(), node, w.report(&name), now));
+                heartbeats.push((name.clone(), node, w.heartbeat(&name), now));
             }
         }
         w.site.gangs();
         w.site.check_cancelled();
-        reports
+        heartbeats
     }
 
     /// To which node a worker reports next.
@@ -332,7 +332,7 @@
             let mut w = self.world();
             w.leader = node;
             w.learn_jobs(&value["orders"]);
-            if w.site.machines.contains_key(name) && w.site.obey(name, value["fence"].as_u64()) {
+            if w.site.workers.contains_key(name) && w.site.obey(name, value["fence"].as_u64()) {
                 w.site.answered(name, sent);
                 w.site.execute(name, &value["orders"]);
             }
@@ -346,12 +346,12 @@
 }
 
 impl World {
-    fn report(&mut self, name: &str) -> Value {
-        let mut report = self.site.machines.get_mut(name).expect("known").report();
+    fn heartbeat(&mut self, name: &str) -> Value {
+        let mut heartbeat = self.site.workers.get_mut(name).expect("known").heartbeat();
         if let Some(address) = self.workers.get(name) {
-            report["address"] = json!(address.to_string());
+            heartbeat["address"] = json!(address.to_string());
         }
-        report
+        heartbeat
     }
 
     /// Where users upload nothing, any job runs, and for the same time.
--- a/crates/standins/src/served.rs
+++ b/crates/simulation/src/service_levels.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// When a task got on a machine and when it left it.
+/// When a task got on a worker and when it left it.
 type Stays = Vec<(f64, f64)>;
 
 /// The largest jobs have to begin within this, in seconds from when they were submitted.
@@ -54,13 +54,13 @@
 /// least half as many tasks as its largest one. Of these, one that begins too late counts as never
 /// started.
 pub fn served(history: &History, asked: &[Asked]) -> BTreeMap<String, Served> {
-    // Of each task: when it got on a machine and left it again, and whether it completed.
+    // Of each task: when it got on a worker and left it again, and whether it completed.
     let mut stays: BTreeMap<&str, (Stays, bool)> = BTreeMap::new();
     for e in history.events() {
         let (stays, done) = stays.entry(e.task.as_str()).or_default();
         match (&e.what, stays.last_mut()) {
             (What::Starts, last) => {
-                // Its machine was gone before, which nobody saw.
+                // Its worker was gone before, which nobody saw.
                 if let Some((_, until)) = last.filter(|(_, until)| until.is_infinite()) {
                     *until = e.at;
                 }
@@ -71,10 +71,10 @@
         }
         *done |= e.what == What::Done;
     }
-    let mut most: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut limit: BTreeMap<&str, u32> = BTreeMap::new();
     for asked in asked {
-        let most = most.entry(&asked.class).or_default();
-        *most = asked.tasks.max(*most);
+        let limit = limit.entry(&asked.class).or_default();
+        *limit = asked.tasks.max(*limit);
     }
     let mut all: BTreeMap<String, Served> = BTreeMap::new();
     for asked in asked {
@@ -97,7 +97,7 @@
                 own.done += u32::from(*done);
             }
         }
-        let largest = asked.tasks * 2 >= most[asked.class.as_str()];
+        let largest = asked.tasks * 2 >= limit[asked.class.as_str()];
         let in_time = begins <= asked.submitted + BEGIN_S;
         let mut sums = vec![
             (format!("class {}", asked.class), own),
--- a/examples/site.rs
+++ b/examples/site.rs
@@ -4,8 +4,8 @@
 
 use std::path::Path;
 
-use copperfield_standins::loopback::{Loopback, fixed_address};
-use copperfield_standins::site::Site;
+use copperfield_simulation::cluster::Site;
+use copperfield_simulation::loopback::{Loopback, fixed_address};
 
 /// Users' uploads are not part of this example.
 const EVERY_TASK_RUNS_S: f64 = 5.0;
