--- a/src/service.rs
+++ b/src/api.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use copperfield_operators::views::DrainOrder;
+use copperfield_admin::views::DrainOrder;
 use serde_json::{Value, json};
 use subtle::ConstantTimeEq;
 use tokio::sync::{Semaphore, mpsc, oneshot};
@@ -12,23 +12,23 @@
 use tokio::time::{Instant, sleep, timeout};
 use warp::http::Method;
 
-use crate::bookkeeping::store::{StoreError, call_peer, put};
-use crate::bookkeeping::{FOUNDED, LEADER, job_key, job_record, terminal_key, terminal_record};
-use crate::commands::{Command, Handle};
+use crate::controller::commands::{Command, Handle};
+use crate::controller::context::ControllerContext;
+use crate::controller::effects::relay_commands;
+use crate::controller::event_loop::Controller;
 use crate::coordination::core::CancelBegin;
 use crate::coordination::election;
-use crate::errands::carry;
-use crate::node::Owner;
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::job::{JobSpec, Kind, Phase, Priority, Standing};
-use crate::protocol::peer::{Lookup, Order, PeerReply, PeerRequest};
+use crate::protocol::job::{JobOutcome, JobSpec, Kind, Phase, Priority};
+use crate::protocol::peer::{AdminRequest, Lookup, PeerReply, PeerRequest};
 use crate::protocol::state::{Change, Transaction};
-use crate::protocol::worker::Report;
+use crate::protocol::worker::Heartbeat;
 use crate::settings::{Settings, Tuning};
-use crate::shared::Shared;
-use crate::transport::budget::Urgency;
+use crate::storage::store::{StoreError, call_peer, put};
+use crate::storage::{FOUNDED, LEADER, job_key, job_record, terminal_key, terminal_record};
 use crate::transport::client::Network;
+use crate::transport::rate_limiter::Urgency;
 use crate::transport::server::{Incoming, Outgoing};
 
 /// Users wait 5 s for a submission and 2 s for a poll.
@@ -50,13 +50,13 @@
 
 #[derive(Clone)]
 pub struct Service {
-    pub shared: Arc<Shared>,
+    pub context: Arc<ControllerContext>,
     pub handle: Handle,
-    questions: mpsc::Sender<Question>,
+    questions: mpsc::Sender<PendingLookup>,
 }
 
 /// What a user asks that only the leader can answer.
-struct Question {
+struct PendingLookup {
     job: JobId,
     leader: String,
     reply: oneshot::Sender<Lookup>,
@@ -71,28 +71,28 @@
         network: Arc<dyn Network>,
         seed: u64,
     ) -> (Self, JoinHandle<()>) {
-        let shared = Arc::new(Shared::new(settings, tuning, network, seed));
-        let (owner, handle) = Owner::new(shared.clone());
+        let context = Arc::new(ControllerContext::new(settings, tuning, network, seed));
+        let (owner, handle) = Controller::new(context.clone());
         let (questions, asked) = mpsc::channel(QUESTIONS);
         let service = Self {
-            shared: shared.clone(),
+            context: context.clone(),
             handle: handle.clone(),
             questions,
         };
         tokio::spawn(service.clone().pass_questions_on(asked));
         tokio::spawn(service.clone().learn_types());
         tokio::spawn(service.clone().watch_peers());
-        tokio::spawn(election::run(shared, handle));
+        tokio::spawn(election::run(context, handle));
         (service, tokio::spawn(owner.run()))
     }
 
     pub async fn public(self, request: Incoming) -> Outgoing {
         let path = request.path.as_str();
-        if path.starts_with("/work") && self.shared.may_be_stale() {
+        if path.starts_with("/work") && self.context.may_be_stale() {
             // Its user has given up, or can ask again at once.
             return Outgoing::busy("this node stood still", 1);
         }
-        if let Some(operators) = &self.shared.tuning.operators
+        if let Some(operators) = &self.context.tuning.operators
             && let Some(rest) = path.strip_prefix("/operator/")
         {
             let given = request.authorization.as_deref().unwrap_or_default();
@@ -108,7 +108,7 @@
             };
         }
         match (&request.method, path) {
-            (&Method::POST, "/hello") => self.hello(&request.body).await,
+            (&Method::POST, "/hello") => self.heartbeat(&request.body).await,
             (&Method::POST, "/work") => {
                 let submit = self.submit(&request.body);
                 timeout(SUBMIT_DEADLINE, submit)
@@ -140,9 +140,9 @@
     }
 
     fn health(&self) -> Outgoing {
-        let cut_off = self.shared.store.unserved_s() > CUT_OFF_S
-            && !self.shared.settings.others.is_empty()
-            && self.shared.peers_silent_s() > CUT_OFF_S;
+        let cut_off = self.context.store.unserved_s() > CUT_OFF_S
+            && !self.context.settings.others.is_empty()
+            && self.context.peers_silent_s() > CUT_OFF_S;
         if cut_off {
             Outgoing::error(503, "cut off from the state service and from all peers")
         } else {
@@ -150,21 +150,21 @@
         }
     }
 
-    async fn hello(&self, body: &[u8]) -> Outgoing {
-        let report = match Report::parse(body) {
-            Ok(report) => report,
+    async fn heartbeat(&self, body: &[u8]) -> Outgoing {
+        let heartbeat = match Heartbeat::parse(body) {
+            Ok(heartbeat) => heartbeat,
             Err(error) => return Outgoing::error(400, &error),
         };
-        if report.address.parse::<SocketAddr>().is_err() {
+        if heartbeat.address.parse::<SocketAddr>().is_err() {
             return Outgoing::error(400, "address: not an IP address and port");
         }
         match self
             .handle
-            .ask(|reply| Command::Hello { report, reply })
+            .ask(|reply| Command::Heartbeat { heartbeat, reply })
             .await
         {
             // Looked at again as it leaves: the process may have stood still since.
-            Some(answer) if answer.status == 421 || self.shared.may_answer() => answer,
+            Some(answer) if answer.status == 421 || self.context.may_answer() => answer,
             _ => Outgoing::json(421, &json!({})),
         }
     }
@@ -181,7 +181,7 @@
     async fn ask_owner_all(&self, jobs: Vec<JobId>) -> (Vec<Lookup>, Option<String>) {
         let asked = self.handle.ask(|reply| Command::Ask { jobs, reply }).await;
         let (mut found, leader) = asked.unwrap_or_default();
-        if !self.shared.is_valid() {
+        if !self.context.is_valid() {
             for f in &mut found {
                 if let Lookup::Live { .. } = f {
                     *f = Lookup::NotLeading;
@@ -209,14 +209,14 @@
         };
         if let Err(why) = self.can_run(&spec, &types) {
             // A job that was accepted once is known, whatever has changed since.
-            return match self.shared.store.standing(id).await {
+            return match self.context.store.outcome(id).await {
                 Ok(None) => Outgoing::error(422, &why),
                 Ok(Some(at)) => phase_answer(id, at.phase, at.done, 0),
                 Err(_) => Outgoing::busy("the state service does not answer", 1),
             };
         }
-        let record = job_record(&spec, self.shared.unix_ms());
-        let limit = (self.shared.settings.cluster.state.value_kb * 1024.0) as usize;
+        let record = job_record(&spec, self.context.unix_ms());
+        let limit = (self.context.settings.cluster.state.value_kb * 1024.0) as usize;
         if record.to_string().len() > limit {
             return Outgoing::error(400, "description: too large to be stored");
         }
@@ -226,7 +226,7 @@
             Priority::Low => Urgency::Low,
             _ => Urgency::Normal,
         };
-        let backlog = self.shared.store.write_backlog();
+        let backlog = self.context.store.write_backlog();
         let patience = match urgency {
             Urgency::Low => Duration::from_millis(500),
             _ => SUBMIT_DEADLINE / 2,
@@ -239,7 +239,7 @@
             changes: vec![put(job_key(id), record)],
         };
         for _ in 0..2 {
-            match self.shared.store.commit(&txn, urgency, true).await {
+            match self.context.store.commit(&txn, urgency, true).await {
                 Ok(_) => {
                     return Outgoing::json(
                         201,
@@ -257,7 +257,7 @@
 
     /// Why a job can never run, if so.
     fn can_run(&self, spec: &JobSpec, types: &[MachineType]) -> Result<(), String> {
-        let cluster = &self.shared.settings.cluster;
+        let cluster = &self.context.settings.cluster;
         let team = cluster
             .teams
             .iter()
@@ -277,12 +277,12 @@
             Kind::Array => 1.0,
             Kind::Gang | Kind::Service => f64::from(spec.tasks),
         };
-        for (what, need, most) in [
+        for (what, need, limit) in [
             ("cpus", spec.needs.cpus, team.cpus_max),
             ("gpus", spec.needs.gpus, team.gpus_max),
         ] {
-            if most > 0.0 && need as f64 / 1000.0 * at_once > most + 1e-9 {
-                return Err(format!("{what}: more than the team's limit of {most}"));
+            if limit > 0.0 && need as f64 / 1000.0 * at_once > limit + 1e-9 {
+                return Err(format!("{what}: more than the team's limit of {limit}"));
             }
         }
         Ok(())
@@ -299,10 +299,10 @@
                 running,
             } => phase_answer(id, phase, done, running),
             // Never held up: what cannot be read soon is to be asked again.
-            _ if self.shared.store.read_backlog() > READ_BACKLOG => {
+            _ if self.context.store.read_backlog() > READ_BACKLOG => {
                 Outgoing::busy("too many questions wait", 2)
             }
-            _ => match self.stored_standing(id).await {
+            _ => match self.stored_outcome(id).await {
                 Ok(Some(at)) => phase_answer(id, at.phase, at.done, 0),
                 Ok(None) => Outgoing::error(404, "no such job"),
                 Err(_) => Outgoing::busy("the state service does not answer", 1),
@@ -310,8 +310,8 @@
         }
     }
 
-    async fn stored_standing(&self, id: JobId) -> Result<Option<Standing>, StoreError> {
-        let at = self.shared.store.standing(id).await?;
+    async fn stored_outcome(&self, id: JobId) -> Result<Option<JobOutcome>, StoreError> {
+        let at = self.context.store.outcome(id).await?;
         if let Some(end) = at
             && end.phase.is_terminal()
         {
@@ -327,7 +327,7 @@
             return found;
         };
         let (reply, answer) = oneshot::channel();
-        let question = Question {
+        let question = PendingLookup {
             job: id,
             leader,
             reply,
@@ -342,7 +342,7 @@
     /// Asks the leader what users ask this node, many at a time: in a storm of
     /// questions a message for each took the leader more than answering it. What
     /// comes while a few messages are out waits for the next.
-    async fn pass_questions_on(self, mut queue: mpsc::Receiver<Question>) {
+    async fn pass_questions_on(self, mut queue: mpsc::Receiver<PendingLookup>) {
         let out = Arc::new(Semaphore::new(MESSAGES_OUT));
         loop {
             let Ok(permit) = out.clone().acquire_owned().await else {
@@ -383,10 +383,10 @@
         request: PeerRequest,
         deadline: Duration,
     ) -> Option<PeerReply> {
-        let address = self.shared.peer_address(&leader?)?;
-        let reply = call_peer(self.shared.http.as_ref(), address, &request, deadline).await;
+        let address = self.context.peer_address(&leader?)?;
+        let reply = call_peer(self.context.http.as_ref(), address, &request, deadline).await;
         if reply.is_some() {
-            self.shared.heard_peer();
+            self.context.heard_peer();
         }
         reply
     }
@@ -430,14 +430,14 @@
                 .await;
             match begin.flatten() {
                 None => return Lookup::NotLeading,
-                Some((CancelBegin::Over(end), _)) => return Lookup::Terminal(end),
+                Some((CancelBegin::Terminal(end), _)) => return Lookup::Terminal(end),
                 Some((CancelBegin::Busy, _)) => sleep(Duration::from_millis(30)).await,
                 Some((CancelBegin::Go { done }, token)) => break (done, token),
             }
         };
         let this = self.clone();
         let settled = tokio::spawn(async move {
-            while this.shared.leads(token) {
+            while this.context.leads(token) {
                 if let Ok(found) = this.store_cancelled(id, done, &[(LEADER, token)]).await {
                     let end = match found {
                         Lookup::Terminal(end) => Some(end),
@@ -459,14 +459,14 @@
     /// next one reads what is stored here. With one, it must be the leader:
     /// else it might still tell users that the job is running.
     async fn cancel_without_leader(&self, id: JobId) -> Lookup {
-        if !self.shared.begin_leaderless() {
+        if !self.context.begin_leaderless() {
             return Lookup::NotLeading;
         }
         // Goes on when the user has given up, so that its end is always noted.
         let this = self.clone();
         let stored = tokio::spawn(async move {
             let found = this.store_leaderless(id).await;
-            this.shared.end_leaderless();
+            this.context.end_leaderless();
             this.remember(id, found).await;
             found
         });
@@ -478,7 +478,7 @@
     /// before the leader key is seen to be missing. This process once gave no word for three
     /// minutes instead, and the next one knew nothing of it.
     async fn store_leaderless(&self, id: JobId) -> Lookup {
-        let store = &self.shared.store;
+        let store = &self.context.store;
         let founded = store.get(FOUNDED, Urgency::High, true).await;
         let Ok(founded) = founded.map(|item| item.map_or(0, |i| i.version)) else {
             return Lookup::NotLeading;
@@ -498,11 +498,11 @@
         done: u32,
         guards: &[(&str, u64)],
     ) -> Result<Lookup, StoreError> {
-        let end = Standing {
+        let end = JobOutcome {
             phase: Phase::Cancelled,
             done,
         };
-        let store = &self.shared.store;
+        let store = &self.context.store;
         let unread = |_| StoreError::Refused(0);
         let live = store.get(&job_key(id), Urgency::High, true).await;
         let live = live.map_err(unread)?;
@@ -532,14 +532,14 @@
 
     // ---- operators ----
 
-    async fn operate(&self, order: Order) -> Outgoing {
+    async fn operate(&self, order: AdminRequest) -> Outgoing {
         if let Some(answer) = self.operate_as_leader(order.clone()).await {
             return answer;
         }
         let (_, leader) = self.ask_owner_all(Vec::new()).await;
-        let asked = PeerRequest::Operate(order);
+        let asked = PeerRequest::Admin(order);
         match self.ask_leader(leader, asked, CANCEL_DEADLINE).await {
-            Some(PeerReply::Operated { status, body }) => Outgoing {
+            Some(PeerReply::AdminAnswered { status, body }) => Outgoing {
                 status,
                 body,
                 retry_after_s: None,
@@ -548,10 +548,10 @@
         }
     }
 
-    async fn operate_as_leader(&self, order: Order) -> Option<Outgoing> {
+    async fn operate_as_leader(&self, order: AdminRequest) -> Option<Outgoing> {
         let asked = self
             .handle
-            .ask(|reply| Command::Operate { order, reply })
+            .ask(|reply| Command::Admin { order, reply })
             .await;
         let (status, body) = asked.flatten()?;
         Some(Outgoing {
@@ -564,7 +564,7 @@
     // ---- peers ----
 
     pub async fn peer(self, request: Incoming) -> Outgoing {
-        self.shared.heard_peer();
+        self.context.heard_peer();
         let message = match borsh::from_slice::<PeerRequest>(&request.body) {
             Ok(message) => message,
             Err(error) => {
@@ -584,44 +584,48 @@
                     .unwrap_or(Lookup::AskState),
             ),
             PeerRequest::State { method, path, body } => {
-                self.shared.store.pass_on(&method, &path, body).await
+                self.context.store.pass_on(&method, &path, body).await
             }
-            PeerRequest::Vouch { token } => {
-                let reply = election::answer_to_leader(&self.shared, token).await;
+            PeerRequest::VoteToExtendLease { token } => {
+                let reply = election::answer_to_leader(&self.context, token).await;
                 tracing::debug!(token, ?reply, "asked to vouch");
                 reply
             }
             PeerRequest::Ping => PeerReply::Pong,
-            PeerRequest::Idle if self.shared.is_idle() => PeerReply::Idle {
-                up_ms: (self.shared.now_s() * 1000.0) as u64,
+            PeerRequest::Idle if self.context.is_idle() => PeerReply::Idle {
+                up_ms: (self.context.now_s() * 1000.0) as u64,
             },
             PeerRequest::Idle => PeerReply::Unable,
             PeerRequest::Share(word) => {
-                let asked = self.handle.ask(|reply| Command::Upward { word, reply });
+                let asked = self
+                    .handle
+                    .ask(|reply| Command::ShardStatus { word, reply });
                 match asked.await.flatten() {
                     Some(down) => PeerReply::Granted(down),
                     None => PeerReply::Unable,
                 }
             }
-            PeerRequest::Carry { token, messages } => {
-                if carry(&self.shared, &self.handle, token, messages) {
-                    PeerReply::Carrying
+            PeerRequest::RelayCommands { token, messages } => {
+                if relay_commands(&self.context, &self.handle, token, messages) {
+                    PeerReply::Relaying
                 } else {
                     PeerReply::Unable
                 }
             }
-            PeerRequest::TakeOver { token } => {
-                self.shared.hand_over(token);
+            PeerRequest::TransferLeadership { token } => {
+                self.context.transfer_leadership(token);
                 PeerReply::Pong
             }
-            PeerRequest::Leads { member } => {
+            PeerRequest::LeaderAnnouncement { member } => {
                 self.handle.send(Command::LeaderSeen(Some(member))).await;
                 PeerReply::Pong
             }
-            PeerRequest::Operate(order) => {
+            PeerRequest::Admin(order) => {
                 let asked = timeout(CANCEL_DEADLINE, self.operate_as_leader(order));
                 match asked.await.ok().flatten() {
-                    Some(Outgoing { status, body, .. }) => PeerReply::Operated { status, body },
+                    Some(Outgoing { status, body, .. }) => {
+                        PeerReply::AdminAnswered { status, body }
+                    }
                     None => PeerReply::Unable,
                 }
             }
@@ -638,16 +642,16 @@
     pub async fn watch_peers(self) {
         loop {
             sleep(Duration::from_secs(2)).await;
-            if self.shared.store.unserved_s() < 1.5 {
+            if self.context.store.unserved_s() < 1.5 {
                 continue;
             }
-            for peer in &self.shared.settings.others {
-                let http = self.shared.http.as_ref();
+            for peer in &self.context.settings.others {
+                let http = self.context.http.as_ref();
                 if call_peer(http, peer.peer_addr, &PeerRequest::Ping, PEER_DEADLINE)
                     .await
                     .is_some()
                 {
-                    self.shared.heard_peer();
+                    self.context.heard_peer();
                     break;
                 }
             }
@@ -659,7 +663,7 @@
         let mut pause = Duration::from_millis(250);
         let began = Instant::now();
         loop {
-            if let Some(types) = crate::errands::read_types(&self.shared).await {
+            if let Some(types) = crate::controller::effects::read_types(&self.context).await {
                 tracing::debug!(after = ?began.elapsed(), "machine types known");
                 self.handle.send(Command::Types(types)).await;
                 // Types may be added; prices matter to the leader alone, which asks more often.
@@ -673,14 +677,14 @@
 }
 
 /// What an operator asks by HTTP.
-fn operator_order(request: &Incoming, rest: &str) -> Result<Order, Outgoing> {
+fn operator_order(request: &Incoming, rest: &str) -> Result<AdminRequest, Outgoing> {
     if request.method == Method::GET {
         let since = request.query.as_deref().unwrap_or_default();
         return match rest {
-            "nodes" => Ok(Order::Nodes {
+            "nodes" => Ok(AdminRequest::Nodes {
                 since: since.strip_prefix("since=").unwrap_or_default().into(),
             }),
-            "moves" => Ok(Order::Moves),
+            "moves" => Ok(AdminRequest::Moves),
             _ => Err(Outgoing::error(404, "there is no such page")),
         };
     }
@@ -698,13 +702,13 @@
                 let what = format!("deadline_s: found {s}, allowed is 0 to 1000000");
                 return Err(Outgoing::error(400, &what));
             }
-            Ok(Order::Drain {
+            Ok(AdminRequest::Drain {
                 node: node.into(),
                 deadline_s: order.deadline_s,
                 yes: order.yes,
             })
         }
-        Some((node, "undrain")) => Ok(Order::Undrain { node: node.into() }),
+        Some((node, "undrain")) => Ok(AdminRequest::Undrain { node: node.into() }),
         _ => Err(Outgoing::error(404, "there is no such page")),
     }
 }
--- a/src/commands.rs
+++ b/src/controller/commands.rs
@@ -6,38 +6,38 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use crate::bookkeeping::Snapshot;
 use crate::coordination::core::{CancelBegin, Input};
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::job::Standing;
-use crate::protocol::peer::{Downward, Lookup, Order, Outcome, Upward};
-use crate::protocol::worker::Report;
+use crate::protocol::job::JobOutcome;
+use crate::protocol::peer::{AdminRequest, Lookup, Outcome, ShardStatus, ShardUpdate};
+use crate::protocol::worker::Heartbeat;
+use crate::storage::Snapshot;
 use crate::transport::server::Outgoing;
 
 /// Status and JSON.
-pub type OperatorAnswer = (u16, Vec<u8>);
+pub type AdminResponse = (u16, Vec<u8>);
 
 #[derive(Debug)]
 pub enum Command {
-    Hello {
-        report: Report,
+    Heartbeat {
+        heartbeat: Heartbeat,
         reply: oneshot::Sender<Outgoing>,
     },
-    /// What a holder of some of the machines tells, asked of the leader.
-    Upward {
-        word: Upward,
-        reply: oneshot::Sender<Option<Downward>>,
+    /// What a shard owner of some of the workers tells, asked of the leader.
+    ShardStatus {
+        word: ShardStatus,
+        reply: oneshot::Sender<Option<ShardUpdate>>,
     },
     /// The leader's answer to what this node told it, if one came.
-    Downward {
+    ShardUpdate {
         number: u64,
-        down: Option<Downward>,
+        down: Option<ShardUpdate>,
     },
     /// How a message ended that this node carried for the leader of this token.
-    Carried {
+    RelayedCommand {
         token: u64,
-        flight: u64,
+        message_id: u64,
         outcome: Outcome,
     },
     /// What is known of each of these jobs, and who is thought to lead.
@@ -51,17 +51,17 @@
     },
     SettleCancel {
         job: JobId,
-        end: Option<Standing>,
+        end: Option<JobOutcome>,
     },
     /// A final phase, stored, to be remembered.
     Ended {
         job: JobId,
-        end: Standing,
+        end: JobOutcome,
     },
     /// What an operator asks; `None` comes back from a node that does not lead.
-    Operate {
-        order: Order,
-        reply: oneshot::Sender<Option<OperatorAnswer>>,
+    Admin {
+        order: AdminRequest,
+        reply: oneshot::Sender<Option<AdminResponse>>,
     },
     AskTypes {
         reply: oneshot::Sender<Option<Arc<Vec<MachineType>>>>,
--- a/src/shared.rs
+++ b/src/controller/context.rs
@@ -12,10 +12,10 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::bookkeeping::store::Store;
 use crate::settings::{Settings, Tuning};
-use crate::transport::budget::Budget;
+use crate::storage::store::Store;
 use crate::transport::client::Network;
+use crate::transport::rate_limiter::RateLimiter;
 use crate::transport::server::Outgoing;
 
 /// How long a leader that heard no worker lets others go first.
@@ -24,32 +24,32 @@
 const STALE_MS: u64 = 100;
 
 /// What the tasks of a process share without asking the owner.
-pub struct Shared {
+pub struct ControllerContext {
     pub settings: Settings,
     pub tuning: Tuning,
     pub http: Arc<dyn Network>,
     rng: Mutex<StdRng>,
     pub store: Arc<Store>,
-    pub cloud_budget: Budget,
+    pub cloud_budget: RateLimiter,
     start: Instant,
     /// Whether this node may lead and what it has promised, in ms since `start`.
     leadership: Mutex<Leadership>,
-    /// The leader's grant to this node to speak with some machines: its token, and until when,
+    /// The leader's grant to this node to speak with some workers: its token, and until when,
     /// in ms since `start`.
     granted: Mutex<(u64, u64)>,
     /// Until when others are let go first, in ms since `start`.
-    stand_back_until: AtomicU64,
+    election_backoff_until: AtomicU64,
     /// When a peer was last heard, in ms since `start`.
     peer_heard: AtomicU64,
     /// Until when requests may have lain in a socket while this process stood still.
     stale_until: AtomicU64,
     /// The token of a leader that has stepped down for this node, 0 for none.
-    handed_over: AtomicU64,
+    transferred_token: AtomicU64,
     /// The leader key is to be looked at now.
     pub election_due: Notify,
 }
 
-impl Shared {
+impl ControllerContext {
     /// `seed` decides the few random choices, so that tests repeat.
     pub fn new(settings: Settings, tuning: Tuning, http: Arc<dyn Network>, seed: u64) -> Self {
         let limits = &settings.cluster.state;
@@ -64,17 +64,17 @@
             limits.write_rps * share,
         ));
         Self {
-            cloud_budget: Budget::new(settings.cluster.cloud.rps * 0.8, 1.0),
+            cloud_budget: RateLimiter::new(settings.cluster.cloud.rps * 0.8, 1.0),
             http,
             rng: Mutex::new(StdRng::seed_from_u64(seed)),
             store,
             start: Instant::now(),
             leadership: Mutex::new(Leadership::new(tuning.leader_ttl_ms, MARGIN_MS)),
             granted: Mutex::new((0, 0)),
-            stand_back_until: AtomicU64::new(0),
+            election_backoff_until: AtomicU64::new(0),
             peer_heard: AtomicU64::new(0),
             stale_until: AtomicU64::new(0),
-            handed_over: AtomicU64::new(0),
+            transferred_token: AtomicU64::new(0),
             election_due: Notify::new(),
             settings,
             tuning,
@@ -100,7 +100,7 @@
         self.ms(Instant::now())
     }
 
-    /// This node may speak with machines under this token until then, by [`Self::now_ms`].
+    /// This node may speak with workers under this token until then, by [`Self::now_ms`].
     pub fn set_granted(&self, token: u64, until_ms: u64) {
         *self.granted.lock().expect("no panic while held") = (token, until_ms);
     }
@@ -110,7 +110,7 @@
         (self.now_ms() < until).then_some(token)
     }
 
-    /// Whether a machine may be answered now, by this node as leader or under a grant.
+    /// Whether a worker may be answered now, by this node as leader or under a grant.
     pub fn may_answer(&self) -> bool {
         self.is_valid() || self.granted().is_some()
     }
@@ -132,14 +132,14 @@
         of(&mut leadership, now)
     }
 
-    /// See [`Leadership::word_held_until`]; on the clock of [`Self::now_s`].
-    pub fn word_held_until_s(&self) -> f64 {
-        self.leadership(|l, _| l.word_held_until()) as f64 / 1000.0
+    /// See [`Leadership::vote_binding_until`]; on the clock of [`Self::now_s`].
+    pub fn vote_binding_until_s(&self) -> f64 {
+        self.leadership(|l, _| l.vote_binding_until()) as f64 / 1000.0
     }
 
-    /// See [`Leadership::word_until`]; on the clock of [`Self::now_s`].
-    pub fn word_until_s(&self) -> f64 {
-        self.leadership(|l, _| l.word_until()) as f64 / 1000.0
+    /// See [`Leadership::lease_extended_until`]; on the clock of [`Self::now_s`].
+    pub fn lease_extended_until_s(&self) -> f64 {
+        self.leadership(|l, _| l.lease_extended_until()) as f64 / 1000.0
     }
 
     pub fn begin_leading(&self, token: u64, sent: Instant) {
@@ -151,8 +151,8 @@
     }
 
     /// False if the chain was broken meanwhile.
-    pub fn vouched_for(&self, asked: Instant) -> bool {
-        self.leadership(|l, now| l.vouched_for(self.ms(asked), now))
+    pub fn lease_extended_by_peers(&self, asked: Instant) -> bool {
+        self.leadership(|l, now| l.lease_extended_by_peers(self.ms(asked), now))
     }
 
     pub fn valid_for(&self) -> Duration {
@@ -168,14 +168,14 @@
     }
 
     /// Steps down for a while, so that a node that workers can reach takes over.
-    pub fn abdicate(&self, token: u64) {
+    pub fn resign(&self, token: u64) {
         let until = self.ms(Instant::now()) + ABDICATION_MS;
-        self.stand_back_until.store(until, Ordering::Relaxed);
+        self.election_backoff_until.store(until, Ordering::Relaxed);
         self.step_down(token);
     }
 
-    pub fn stands_back(&self) -> bool {
-        self.stand_back_until.load(Ordering::Relaxed) > self.ms(Instant::now())
+    pub fn is_backing_off(&self) -> bool {
+        self.election_backoff_until.load(Ordering::Relaxed) > self.ms(Instant::now())
     }
 
     pub fn leads(&self, token: u64) -> bool {
@@ -186,9 +186,9 @@
         self.leadership(|l, now| l.has_promised(now))
     }
 
-    pub fn vouch(&self, token: u64) -> bool {
+    pub fn vote_to_extend_lease(&self, token: u64) -> bool {
         let refused = self.store.is_refused();
-        self.leadership(|l, now| l.vouch(now, refused, token))
+        self.leadership(|l, now| l.vote_to_extend_lease(now, refused, token))
     }
 
     pub fn begin_leaderless(&self) -> bool {
@@ -216,14 +216,14 @@
     }
 
     /// The leader of this token has stepped down, and wants this node to lead.
-    pub fn hand_over(&self, token: u64) {
-        self.handed_over.store(token, Ordering::Relaxed);
+    pub fn transfer_leadership(&self, token: u64) {
+        self.transferred_token.store(token, Ordering::Relaxed);
         self.election_due.notify_one();
     }
 
     /// The key to remove, if a leader has handed over.
-    pub fn take_handed_over(&self) -> Option<u64> {
-        Some(self.handed_over.swap(0, Ordering::Relaxed)).filter(|token| *token > 0)
+    pub fn take_leadership_transfer(&self) -> Option<u64> {
+        Some(self.transferred_token.swap(0, Ordering::Relaxed)).filter(|token| *token > 0)
     }
 
     /// This process stood still: what came in meanwhile may be of users that have
@@ -249,10 +249,12 @@
         (now - self.peer_heard.load(Ordering::Relaxed).min(now)) as f64 / 1000.0
     }
 
-    /// 421 with the node that a machine is to report to, if that is another one.
-    pub fn send_to(&self, node: Option<&str>) -> Outgoing {
-        match node.filter(|n| *n != self.settings.member) {
-            Some(node) => Outgoing::json(421, &serde_json::json!({ "controller": node })),
+    /// 421 with the node that a worker is to report to, if that is another one.
+    pub fn send_to(&self, controller: Option<&str>) -> Outgoing {
+        match controller.filter(|n| *n != self.settings.member) {
+            Some(controller) => {
+                Outgoing::json(421, &serde_json::json!({ "controller": controller }))
+            }
             None => Outgoing::json(421, &serde_json::json!({})),
         }
     }
--- a/src/errands.rs
+++ b/src/controller/effects.rs
@@ -7,16 +7,16 @@
 
 use hyper::Method;
 
-use crate::bookkeeping::store::call_peer;
-use crate::bookkeeping::writer::{self, WriteError};
-use crate::commands::{Command, Handle};
-use crate::coordination::core::{Effect, Input, Outcome, RentOutcome};
+use crate::controller::commands::{Command, Handle};
+use crate::controller::context::ControllerContext;
+use crate::coordination::core::{Effect, Input, Outcome, ScaleOutOutcome};
 use crate::protocol::cloud::{self, MachineType};
-use crate::protocol::peer::{Carried, PeerReply, PeerRequest};
-use crate::protocol::worker::{Command as WorkerCommand, Report, orders_body};
-use crate::shared::Shared;
-use crate::transport::budget::Urgency;
+use crate::protocol::peer::{PeerReply, PeerRequest, RelayedCommand};
+use crate::protocol::worker::{Command as WorkerCommand, Heartbeat, orders_body};
+use crate::storage::store::call_peer;
+use crate::storage::writer::{self, WriteError};
 use crate::transport::client::{Answer, CallError};
+use crate::transport::rate_limiter::Urgency;
 
 const DIRECT_DEADLINE: Duration = Duration::from_millis(1500);
 const INSPECT_DEADLINE: Duration = Duration::from_millis(500);
@@ -24,46 +24,53 @@
 const CLOUD_DEADLINE: Duration = Duration::from_secs(3);
 
 /// Does what the core cannot: talks to workers, the cloud and the state service.
-pub async fn perform(
-    shared: &Arc<Shared>,
+pub async fn execute(
+    context: &Arc<ControllerContext>,
     handle: &Handle,
     token: u64,
     effect: Effect,
 ) -> Option<Input> {
     match effect {
         Effect::Direct {
-            machine,
+            worker,
             address,
-            session,
-            flight,
+            incarnation,
+            message_id,
             commands,
             ..
         } => {
-            let outcome = speak(shared, token, &address, session, &commands).await;
+            let outcome = send_commands(context, token, &address, incarnation, &commands).await;
             Some(Input::Direct {
-                machine,
-                flight,
+                worker,
+                message_id,
                 outcome,
             })
         }
         Effect::Inspect {
-            machine,
+            worker,
             address,
-            session,
-            flight,
+            incarnation,
+            message_id,
             ..
         } => {
-            let outcome = speak(shared, token, &address, session, &[]).await;
+            let outcome = send_commands(context, token, &address, incarnation, &[]).await;
             Some(Input::Direct {
-                machine,
-                flight,
+                worker,
+                message_id,
                 outcome,
             })
         }
         Effect::Write(batch) => {
-            let alive = shared.clone();
+            let alive = context.clone();
             let wanted = move || alive.leads(token);
-            match writer::write(shared.store.clone(), token, batch, shared.unix_ms(), wanted).await
+            match writer::write(
+                context.store.clone(),
+                token,
+                batch,
+                context.unix_ms(),
+                wanted,
+            )
+            .await
             {
                 Ok(results) => {
                     for (write, written) in &results {
@@ -83,12 +90,12 @@
                 }
                 Err(WriteError::Deposed) => {
                     tracing::warn!(token, "the leader key has moved on");
-                    shared.step_down(token);
+                    context.step_down(token);
                     None
                 }
             }
         }
-        Effect::Rent {
+        Effect::ScaleOut {
             request,
             machine_type,
             zone,
@@ -96,23 +103,23 @@
             count,
         } => {
             let body = cloud::rental_body(&request, &machine_type, &zone, spot, count).to_string();
-            let outcome = rent(shared, body.into_bytes()).await;
-            Some(Input::Rented { request, outcome })
+            let outcome = rent(context, body.into_bytes()).await;
+            Some(Input::ScaledOut { request, outcome })
         }
-        Effect::Return(machines) => {
-            let body = cloud::return_body(&machines).to_string().into_bytes();
-            shared.cloud_budget.spend(1.0, Urgency::High).await;
+        Effect::ScaleIn(workers) => {
+            let body = cloud::return_body(&workers).to_string().into_bytes();
+            context.cloud_budget.spend(1.0, Urgency::High).await;
             // A leader that stood still meanwhile would return what the next one uses.
-            let ok = shared.is_valid()
+            let ok = context.is_valid()
                 && matches!(
-                    cloud_call(shared, Method::POST, "/rentals/return", body).await,
+                    cloud_call(context, Method::POST, "/rentals/return", body).await,
                     Ok(answer) if answer.status == 200
                 );
-            Some(Input::Returned { machines, ok })
+            Some(Input::ScaledIn { workers, ok })
         }
-        Effect::List => list_machines(shared).await.map(Input::Listed),
+        Effect::List => list_workers(context).await.map(Input::ListedWorker),
         Effect::ReadTypes => {
-            if let Some(types) = read_types(shared).await {
+            if let Some(types) = read_types(context).await {
                 handle.send(Command::Types(types)).await;
             }
             None
@@ -122,16 +129,16 @@
 }
 
 /// Sends orders, or asks. Orders without an order are a question: answered with a report as
-/// `/inspect` is, and where the session is right the machine has learned the token with it. A new
-/// leader once needed two exchanges with each machine before it could use it.
-async fn speak(
-    shared: &Shared,
+/// `/inspect` is, and where the session is right the worker has learned the token with it. A new
+/// leader once needed two exchanges with each worker before it could use it.
+async fn send_commands(
+    context: &ControllerContext,
     token: u64,
     address: &str,
-    session: u64,
+    incarnation: u64,
     commands: &[WorkerCommand],
 ) -> Outcome {
-    let asked = send_direct(shared, token, address, session, commands);
+    let asked = send_direct(context, token, address, incarnation, commands);
     if !commands.is_empty() {
         return asked.await;
     }
@@ -142,22 +149,22 @@
 }
 
 /// Gives another node messages to carry. What becomes of them it tells by itself.
-pub async fn give_to_carry(
-    shared: &Shared,
+pub async fn send_to_relay(
+    context: &ControllerContext,
     token: u64,
-    node: u32,
+    controller: u32,
     to: SocketAddr,
-    messages: Vec<Carried>,
+    messages: Vec<RelayedCommand>,
 ) -> Option<Input> {
-    let flights = messages.iter().map(|m| m.flight).collect();
-    let body = borsh::to_vec(&PeerRequest::Carry { token, messages }).expect("plain data");
-    let surely = if shared.may_order(token) {
-        let sent = shared
+    let message_ids = messages.iter().map(|m| m.message_id).collect();
+    let body = borsh::to_vec(&PeerRequest::RelayCommands { token, messages }).expect("plain data");
+    let surely = if context.may_order(token) {
+        let sent = context
             .http
             .call(Method::POST, to, "/peer", body, CARRY_DEADLINE);
         match sent.await {
             Ok(answer) => match borsh::from_slice(&answer.body) {
-                Ok(PeerReply::Carrying) => return None,
+                Ok(PeerReply::Relaying) => return None,
                 // Refused, by a node that may not or one that knows nothing of shares.
                 _ => true,
             },
@@ -167,31 +174,36 @@
     } else {
         true
     };
-    Some(Input::NotCarried {
-        node,
-        flights,
+    Some(Input::RelayFailed {
+        controller,
+        message_ids,
         surely,
     })
 }
 
 /// Carries messages for the leader of this token. False if that is not this node's to do.
-pub fn carry(shared: &Arc<Shared>, handle: &Handle, token: u64, messages: Vec<Carried>) -> bool {
-    if !shared.may_order(token) {
+pub fn relay_commands(
+    context: &Arc<ControllerContext>,
+    handle: &Handle,
+    token: u64,
+    messages: Vec<RelayedCommand>,
+) -> bool {
+    if !context.may_order(token) {
         return false;
     }
-    for Carried {
-        flight,
+    for RelayedCommand {
+        message_id,
         address,
-        session,
+        incarnation,
         commands,
     } in messages
     {
-        let (shared, handle) = (shared.clone(), handle.clone());
+        let (context, handle) = (context.clone(), handle.clone());
         tokio::spawn(async move {
-            let outcome = speak(&shared, token, &address, session, &commands).await;
-            let command = Command::Carried {
+            let outcome = send_commands(&context, token, &address, incarnation, &commands).await;
+            let command = Command::RelayedCommand {
                 token,
-                flight,
+                message_id,
                 outcome,
             };
             handle.send(command).await;
@@ -201,18 +213,18 @@
 }
 
 async fn send_direct(
-    shared: &Shared,
+    context: &ControllerContext,
     token: u64,
     address: &str,
-    session: u64,
+    incarnation: u64,
     commands: &[WorkerCommand],
 ) -> Outcome {
     let to = match address.parse() {
-        Ok(to) if shared.may_order(token) => to,
+        Ok(to) if context.may_order(token) => to,
         _ => return Outcome::Unsent,
     };
-    let body = orders_body(token, Some(session), commands);
-    let sent = shared
+    let body = orders_body(token, Some(incarnation), commands);
+    let sent = context
         .http
         .call(Method::POST, to, "/orders", body, DIRECT_DEADLINE);
     let answer = match sent.await {
@@ -220,34 +232,34 @@
         Err(CallError::Unsent) => return Outcome::Unsent,
         Err(CallError::Unknown(_) | CallError::TooLarge) => return Outcome::Unknown,
     };
-    match (answer.status, Report::parse(&answer.body)) {
-        (200, Ok(report)) => Outcome::Executed(report),
-        (409, report) => Outcome::Rejected(report.ok()),
+    match (answer.status, Heartbeat::parse(&answer.body)) {
+        (200, Ok(heartbeat)) => Outcome::Executed(heartbeat),
+        (409, heartbeat) => Outcome::Rejected(heartbeat.ok()),
         (400, _) => Outcome::Rejected(None),
         _ => Outcome::Unknown,
     }
 }
 
 /// A new leader need not be looked for.
-pub async fn tell_all_that_it_leads(shared: Arc<Shared>) {
-    for peer in &shared.settings.others {
-        let (shared, to) = (shared.clone(), peer.peer_addr);
+pub async fn announce_leadership(context: Arc<ControllerContext>) {
+    for peer in &context.settings.others {
+        let (context, to) = (context.clone(), peer.peer_addr);
         tokio::spawn(async move {
-            let member = shared.settings.member.clone();
-            let told = PeerRequest::Leads { member };
-            call_peer(shared.http.as_ref(), to, &told, CARRY_DEADLINE).await;
+            let member = context.settings.member.clone();
+            let told = PeerRequest::LeaderAnnouncement { member };
+            call_peer(context.http.as_ref(), to, &told, CARRY_DEADLINE).await;
         });
     }
 }
 
 async fn cloud_call(
-    shared: &Shared,
+    context: &ControllerContext,
     method: Method,
     path: &str,
     body: Vec<u8>,
 ) -> Result<Answer, CallError> {
-    let to = shared.settings.external.cloud;
-    shared
+    let to = context.settings.external.cloud;
+    context
         .http
         .call(method, to, path, body, CLOUD_DEADLINE)
         .await
@@ -255,46 +267,46 @@
 
 /// The same request name gives the same answer and rents nothing twice, so a
 /// lost answer is asked for again.
-async fn rent(shared: &Shared, body: Vec<u8>) -> RentOutcome {
+async fn rent(context: &ControllerContext, body: Vec<u8>) -> ScaleOutOutcome {
     for _ in 0..3 {
-        shared.cloud_budget.spend(1.0, Urgency::Normal).await;
-        if !shared.is_valid() {
-            return RentOutcome::Unknown;
+        context.cloud_budget.spend(1.0, Urgency::Normal).await;
+        if !context.is_valid() {
+            return ScaleOutOutcome::Unknown;
         }
-        match cloud_call(shared, Method::POST, "/rentals", body.clone()).await {
+        match cloud_call(context, Method::POST, "/rentals", body.clone()).await {
             Ok(answer) if answer.status == 200 => {
-                if let Ok(machines) = cloud::parse_rented(&answer.body) {
-                    return RentOutcome::Machines(machines);
+                if let Ok(workers) = cloud::parse_scale_out(&answer.body) {
+                    return ScaleOutOutcome::Workers(workers);
                 }
             }
             Ok(answer) if answer.status == 503 => {
                 let full = answer.body.windows(11).any(|w| w == b"no capacity");
                 return if full {
-                    RentOutcome::NoCapacity
+                    ScaleOutOutcome::NoCapacity
                 } else {
-                    RentOutcome::Refused
+                    ScaleOutOutcome::Refused
                 };
             }
             Ok(answer) => {
                 tracing::warn!(status = answer.status, "the cloud refuses a rental");
-                return RentOutcome::Refused;
+                return ScaleOutOutcome::Refused;
             }
-            Err(CallError::Unsent) => return RentOutcome::Refused,
+            Err(CallError::Unsent) => return ScaleOutOutcome::Refused,
             Err(CallError::Unknown(_) | CallError::TooLarge) => {}
         }
     }
-    RentOutcome::Unknown
+    ScaleOutOutcome::Unknown
 }
 
-async fn list_machines(shared: &Shared) -> Option<Vec<cloud::Listed>> {
-    let mut all: Vec<cloud::Listed> = Vec::new();
+async fn list_workers(context: &ControllerContext) -> Option<Vec<cloud::ListedWorker>> {
+    let mut all: Vec<cloud::ListedWorker> = Vec::new();
     loop {
-        shared.cloud_budget.spend(1.0, Urgency::Low).await;
+        context.cloud_budget.spend(1.0, Urgency::Low).await;
         let path = match all.last() {
             Some(last) => format!("/rentals?since={}&page=500", last.name),
             None => "/rentals?page=500".to_string(),
         };
-        let answer = cloud_call(shared, Method::GET, &path, Vec::new())
+        let answer = cloud_call(context, Method::GET, &path, Vec::new())
             .await
             .ok()?;
         if answer.status != 200 {
@@ -311,16 +323,16 @@
     }
 }
 
-pub async fn read_types(shared: &Shared) -> Option<Vec<MachineType>> {
+pub async fn read_types(context: &ControllerContext) -> Option<Vec<MachineType>> {
     // Without them no submission can be judged.
-    shared.cloud_budget.spend(1.0, Urgency::High).await;
-    let answer = cloud_call(shared, Method::GET, "/machine_types", Vec::new())
+    context.cloud_budget.spend(1.0, Urgency::High).await;
+    let answer = cloud_call(context, Method::GET, "/machine_types", Vec::new())
         .await
         .ok()?;
     if answer.status != 200 {
         return None;
     }
-    cloud::parse_types(&answer.body)
+    cloud::parse_machine_types(&answer.body)
         .inspect_err(|error| tracing::warn!(%error, "machine types do not parse"))
         .ok()
 }
--- a/src/node.rs
+++ b/src/controller/event_loop.rs
@@ -11,19 +11,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::bookkeeping::Snapshot;
-use crate::bookkeeping::recovery::recover;
-use crate::commands::{Command, Handle, OperatorAnswer};
+use crate::controller::commands::{AdminResponse, Command, Handle};
+use crate::controller::context::ControllerContext;
+use crate::controller::effects::{announce_leadership, execute, send_to_relay};
+use crate::controller::follower::{BufferedHeartbeats, Follower};
 use crate::coordination::core::{CancelBegin, Config, Core, Effect, Input};
-use crate::errands::{give_to_carry, perform, tell_all_that_it_leads};
-use crate::holding::{Heard, Holding};
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::job::Standing;
-use crate::protocol::peer::{Carried, Downward, Lookup};
-use crate::protocol::worker::Report;
+use crate::protocol::job::JobOutcome;
+use crate::protocol::peer::{Lookup, RelayedCommand, ShardUpdate};
+use crate::protocol::worker::Heartbeat;
 use crate::settings::Switch;
-use crate::shared::Shared;
+use crate::storage::Snapshot;
+use crate::storage::recovery::recover;
 use crate::transport::server::Outgoing;
 
 const QUEUE: usize = 2048;
@@ -52,7 +52,7 @@
     /// Elected, and reading what is stored. Reports wait for that.
     Recovering {
         token: u64,
-        heard: Heard,
+        heard: BufferedHeartbeats,
     },
     Leading(Box<Leading>),
 }
@@ -61,38 +61,38 @@
     core: Core,
     tickets: HashMap<u64, oneshot::Sender<Outgoing>>,
     cancels: HashMap<u64, oneshot::Sender<Option<(CancelBegin, u64)>>>,
-    operators: HashMap<u64, oneshot::Sender<Option<OperatorAnswer>>>,
-    holders: HashMap<u64, oneshot::Sender<Option<Downward>>>,
+    operators: HashMap<u64, oneshot::Sender<Option<AdminResponse>>>,
+    shard_owners: HashMap<u64, oneshot::Sender<Option<ShardUpdate>>>,
     next_ticket: u64,
     /// What arrived while the lease was in doubt.
     held: Vec<Input>,
 }
 
-pub struct Owner {
-    shared: Arc<Shared>,
+pub struct Controller {
+    context: Arc<ControllerContext>,
     handle: Handle,
     queue: mpsc::Receiver<Command>,
     role: Role,
-    /// While this node does not lead, where machines are shared.
-    holding: Option<Holding>,
+    /// While this node does not lead, where workers are shared.
+    follower: Option<Follower>,
     leader: Option<String>,
     /// When the key of a leader was last seen, or since when this process looks.
     leader_seen: Instant,
     elected: Instant,
     types: Option<Arc<Vec<MachineType>>>,
-    terminals: HashMap<JobId, Standing>,
+    terminals: HashMap<JobId, JobOutcome>,
     terminal_order: VecDeque<JobId>,
     steps: hdrhistogram::Histogram<u64>,
     next_stats: f64,
 }
 
-impl Owner {
-    pub fn new(shared: Arc<Shared>) -> (Self, Handle) {
+impl Controller {
+    pub fn new(context: Arc<ControllerContext>) -> (Self, Handle) {
         let (tx, rx) = mpsc::channel(QUEUE);
         let handle = Handle::new(tx);
         let owner = Self {
-            holding: Holding::begin(&shared, &handle),
-            shared,
+            follower: Follower::begin(&context, &handle),
+            context,
             handle: handle.clone(),
             queue: rx,
             role: Role::Follower,
@@ -133,8 +133,8 @@
                 self.take(command, &mut inputs);
             }
             self.step(inputs);
-            if let Some(holding) = &mut self.holding {
-                holding.tick();
+            if let Some(follower) = &mut self.follower {
+                follower.tick();
             }
         }
     }
@@ -143,7 +143,7 @@
     fn paused(&mut self, pause: Duration) {
         tracing::warn!(?pause, "this process stood still");
         if pause > LONG_PAUSE {
-            self.shared.note_pause();
+            self.context.note_pause();
         }
         if let Role::Leading(l) = &mut self.role {
             l.core.paused(pause.as_secs_f64());
@@ -152,13 +152,15 @@
 
     fn take(&mut self, command: Command, inputs: &mut Vec<Input>) {
         match command {
-            Command::Hello { report, reply } => self.take_hello(report, reply, inputs),
+            Command::Heartbeat { heartbeat, reply } => {
+                self.answer_heartbeat(heartbeat, reply, inputs)
+            }
             Command::Ask { jobs, reply } => {
                 let found = jobs.into_iter().map(|job| self.lookup(job)).collect();
                 let _ = reply.send((found, self.leader.clone()));
             }
             Command::BeginCancel { job, reply } => match &mut self.role {
-                Role::Leading(l) if self.shared.is_valid() => {
+                Role::Leading(l) if self.context.is_valid() => {
                     let ticket = l.next_ticket;
                     l.next_ticket += 1;
                     l.cancels.insert(ticket, reply);
@@ -177,15 +179,15 @@
                 }
             }
             Command::Ended { job, end } => self.remember(job, end),
-            Command::Operate { order, reply } => match &mut self.role {
-                Role::Leading(l) if self.shared.is_valid() => {
+            Command::Admin { order, reply } => match &mut self.role {
+                Role::Leading(l) if self.context.is_valid() => {
                     let ticket = l.next_ticket;
                     l.next_ticket += 1;
                     l.operators.insert(ticket, reply);
-                    inputs.push(Input::Operate {
+                    inputs.push(Input::Admin {
                         ticket,
                         order,
-                        unix_ms: self.shared.unix_ms(),
+                        unix_ms: self.context.unix_ms(),
                     });
                 }
                 _ => {
@@ -205,50 +207,50 @@
                 if leader.is_some() {
                     self.leader_seen = Instant::now();
                 }
-                if let Some(holding) = &mut self.holding {
-                    holding.leader_seen(leader.as_deref());
+                if let Some(follower) = &mut self.follower {
+                    follower.leader_seen(leader.as_deref());
                 }
                 self.leader = leader;
             }
             Command::Elected { token } => {
                 self.elected = Instant::now();
-                self.leader = Some(self.shared.settings.member.clone());
-                let heard = self.holding.take().map(Holding::end).unwrap_or_default();
+                self.leader = Some(self.context.settings.member.clone());
+                let heard = self.follower.take().map(Follower::end).unwrap_or_default();
                 self.role = Role::Recovering { token, heard };
-                let shared = self.shared.clone();
+                let context = self.context.clone();
                 let handle = self.handle.clone();
-                tokio::spawn(async move { recover(shared, handle, token).await });
+                tokio::spawn(async move { recover(context, handle, token).await });
             }
             Command::Recovered { token, snapshot } => self.start_leading(token, snapshot, inputs),
             Command::Lost { .. } => {
                 self.leader = None;
                 // Dropped replies become 421: the workers look for the next leader.
                 self.role = Role::Follower;
-                self.holding = Holding::begin(&self.shared, &self.handle);
+                self.follower = Follower::begin(&self.context, &self.handle);
             }
-            Command::Upward { word, reply } => match &mut self.role {
-                Role::Leading(l) if self.shared.is_valid() => {
+            Command::ShardStatus { word, reply } => match &mut self.role {
+                Role::Leading(l) if self.context.is_valid() => {
                     let ticket = l.next_ticket;
                     l.next_ticket += 1;
-                    l.holders.insert(ticket, reply);
-                    inputs.push(Input::Upward { ticket, word });
+                    l.shard_owners.insert(ticket, reply);
+                    inputs.push(Input::ShardStatus { ticket, word });
                 }
                 _ => {
                     let _ = reply.send(None);
                 }
             },
-            Command::Downward { number, down } => {
-                if let Some(holding) = &mut self.holding {
-                    holding.granted(number, down);
+            Command::ShardUpdate { number, down } => {
+                if let Some(follower) = &mut self.follower {
+                    follower.granted(number, down);
                 }
             }
-            Command::Carried {
+            Command::RelayedCommand {
                 token,
-                flight,
+                message_id,
                 outcome,
             } => {
-                if let Some(holding) = &mut self.holding {
-                    holding.carried(token, flight, outcome);
+                if let Some(follower) = &mut self.follower {
+                    follower.relayed(token, message_id, outcome);
                 }
             }
             Command::Input { token, input } => {
@@ -262,7 +264,7 @@
     }
 
     fn start_leading(&mut self, token: u64, snapshot: Snapshot, inputs: &mut Vec<Input>) {
-        let Heard { told, waiting } = match &mut self.role {
+        let BufferedHeartbeats { forwarded, waiting } = match &mut self.role {
             Role::Recovering { token: t, heard } if *t == token => std::mem::take(heard),
             _ => return,
         };
@@ -271,58 +273,58 @@
             unseen = ?self.elected - self.leader_seen,
             read = ?self.elected.elapsed(),
             jobs = snapshot.jobs.len(),
-            machines = snapshot.machines(),
+            workers = snapshot.workers(),
             "recovered"
         );
         let config = Config {
-            cluster: self.shared.settings.cluster.clone(),
-            tuning: self.shared.tuning.clone(),
+            cluster: self.context.settings.cluster.clone(),
+            tuning: self.context.tuning.clone(),
         };
         let types = self.types.as_deref().cloned().unwrap_or_default();
-        let mut core = Core::new(config, token, self.shared.now_s(), types, snapshot);
-        let settings = &self.shared.settings;
-        if self.shared.tuning.shares == Switch::On && !settings.others.is_empty() {
-            core.share_with(settings.place(), &settings.nodes());
-            tokio::spawn(tell_all_that_it_leads(self.shared.clone()));
+        let mut core = Core::new(config, token, self.context.now_s(), types, snapshot);
+        let settings = &self.context.settings;
+        if self.context.tuning.shares == Switch::On && !settings.others.is_empty() {
+            core.enable_sharding(settings.own_index(), &settings.controllers());
+            tokio::spawn(announce_leadership(self.context.clone()));
         }
         self.role = Role::Leading(Box::new(Leading {
             core,
             tickets: HashMap::new(),
             cancels: HashMap::new(),
             operators: HashMap::new(),
-            holders: HashMap::new(),
+            shard_owners: HashMap::new(),
             next_ticket: 0,
             held: Vec::new(),
         }));
-        inputs.push(Input::Heard(told));
-        for (report, reply) in waiting {
-            self.take_hello(report, reply, inputs);
+        inputs.push(Input::BufferedHeartbeats(forwarded));
+        for (heartbeat, reply) in waiting {
+            self.answer_heartbeat(heartbeat, reply, inputs);
         }
     }
 
-    fn take_hello(
+    fn answer_heartbeat(
         &mut self,
-        report: Report,
+        heartbeat: Heartbeat,
         reply: oneshot::Sender<Outgoing>,
         inputs: &mut Vec<Input>,
     ) {
         match &mut self.role {
-            Role::Leading(l) if self.shared.is_valid() => {
+            Role::Leading(l) if self.context.is_valid() => {
                 let ticket = l.next_ticket;
                 l.next_ticket += 1;
                 l.tickets.insert(ticket, reply);
-                inputs.push(Input::Report { ticket, report });
+                inputs.push(Input::Heartbeat { ticket, heartbeat });
             }
             Role::Recovering { heard, .. } if heard.waiting.len() < WAITING_HEARTBEATS => {
-                heard.waiting.push((report, reply));
+                heard.waiting.push((heartbeat, reply));
             }
-            Role::Follower if self.holding.is_some() => {
-                if let Some(holding) = &mut self.holding {
-                    holding.hello(report, reply);
+            Role::Follower if self.follower.is_some() => {
+                if let Some(follower) = &mut self.follower {
+                    follower.heartbeat(heartbeat, reply);
                 }
             }
             _ => {
-                let _ = reply.send(self.shared.send_to(self.leader.as_deref()));
+                let _ = reply.send(self.context.send_to(self.leader.as_deref()));
             }
         }
     }
@@ -332,12 +334,12 @@
             return Lookup::Terminal(end);
         }
         match &self.role {
-            Role::Leading(l) if self.shared.is_valid() => l.core.lookup(job),
+            Role::Leading(l) if self.context.is_valid() => l.core.lookup(job),
             _ => Lookup::NotLeading,
         }
     }
 
-    fn remember(&mut self, job: JobId, end: Standing) {
+    fn remember(&mut self, job: JobId, end: JobOutcome) {
         if self.terminals.insert(job, end).is_none() {
             self.terminal_order.push_back(job);
             if self.terminal_order.len() > TERMINALS
@@ -352,53 +354,53 @@
         let Role::Leading(l) = &mut self.role else {
             return;
         };
-        if !self.shared.is_valid() {
+        if !self.context.is_valid() {
             // Neither an answer nor an order may leave now; facts are kept for later,
             // reports are not: their workers have gone on to the next node.
             for input in inputs {
                 match input {
-                    Input::Report { ticket, .. } => {
+                    Input::Heartbeat { ticket, .. } => {
                         l.tickets.remove(&ticket);
                     }
                     Input::CancelBegin { ticket, .. } => {
                         l.cancels.remove(&ticket);
                     }
-                    Input::Operate { ticket, .. } => {
+                    Input::Admin { ticket, .. } => {
                         l.operators.remove(&ticket);
                     }
-                    Input::Upward { ticket, .. } => {
-                        l.holders.remove(&ticket);
+                    Input::ShardStatus { ticket, .. } => {
+                        l.shard_owners.remove(&ticket);
                     }
                     other => l.held.push(other),
                 }
             }
             return;
         }
-        if l.core.hears_nobody() {
+        if l.core.has_lost_all_workers() {
             tracing::warn!(
                 token = l.core.token,
                 "no worker is heard: giving leadership up"
             );
-            self.shared.abdicate(l.core.token);
+            self.context.resign(l.core.token);
             return;
         }
         let mut all = std::mem::take(&mut l.held);
         all.extend(inputs);
         let began = std::time::Instant::now();
-        l.core.word_until = self.shared.word_until_s();
-        let now = self.shared.now_s();
-        l.core.valid_until = now + self.shared.valid_for().as_secs_f64();
+        l.core.lease_extended_until = self.context.lease_extended_until_s();
+        let now = self.context.now_s();
+        l.core.valid_until = now + self.context.valid_for().as_secs_f64();
         let effects = l.core.step(now, all);
         let _ = self.steps.record(began.elapsed().as_micros() as u64);
-        let mut carried: BTreeMap<u32, Vec<Carried>> = BTreeMap::new();
+        let mut relayed: BTreeMap<u32, Vec<RelayedCommand>> = BTreeMap::new();
         for effect in effects {
             match for_another(effect) {
-                Ok((node, message)) => carried.entry(node).or_default().push(message),
-                Err(effect) => self.carry_out(effect),
+                Ok((controller, message)) => relayed.entry(controller).or_default().push(message),
+                Err(effect) => self.execute_effect(effect),
             }
         }
-        self.have_carried(carried);
-        let now = self.shared.now_s();
+        self.send_through_relays(relayed);
+        let now = self.context.now_s();
         if now >= self.next_stats {
             self.next_stats = now + 30.0;
             tracing::info!(
@@ -413,14 +415,14 @@
     }
 
     /// Gives messages to the nodes that are to carry them, in bodies that they take.
-    fn have_carried(&self, carried: BTreeMap<u32, Vec<Carried>>) {
+    fn send_through_relays(&self, relayed: BTreeMap<u32, Vec<RelayedCommand>>) {
         let Role::Leading(l) = &self.role else {
             return;
         };
         let token = l.core.token;
-        for (node, mut messages) in carried {
-            let member = self.shared.settings.node(node);
-            let Some(to) = self.shared.peer_address(member) else {
+        for (controller, mut messages) in relayed {
+            let member = self.context.settings.controller(controller);
+            let Some(to) = self.context.peer_address(member) else {
                 continue;
             };
             while !messages.is_empty() {
@@ -431,9 +433,9 @@
                 });
                 let later = messages.split_off(fits.unwrap_or(messages.len()).max(1));
                 let now = std::mem::replace(&mut messages, later);
-                let (shared, handle) = (self.shared.clone(), self.handle.clone());
+                let (context, handle) = (self.context.clone(), self.handle.clone());
                 tokio::spawn(async move {
-                    if let Some(input) = give_to_carry(&shared, token, node, to, now).await {
+                    if let Some(input) = send_to_relay(&context, token, controller, to, now).await {
                         handle.send(Command::Input { token, input }).await;
                     }
                 });
@@ -441,7 +443,7 @@
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute_effect(&mut self, effect: Effect) {
         let Role::Leading(l) = &mut self.role else {
             return;
         };
@@ -461,14 +463,14 @@
                     let _ = reply.send(Outgoing::error(503, why));
                 }
             }
-            Effect::SendTo { ticket, node } => {
-                let node = self.shared.settings.node(node);
+            Effect::SendTo { ticket, controller } => {
+                let controller = self.context.settings.controller(controller);
                 if let Some(reply) = l.tickets.remove(&ticket) {
-                    let _ = reply.send(self.shared.send_to(Some(node)));
+                    let _ = reply.send(self.context.send_to(Some(controller)));
                 }
             }
             Effect::Granted { ticket, down } => {
-                if let Some(reply) = l.holders.remove(&ticket) {
+                if let Some(reply) = l.shard_owners.remove(&ticket) {
                     let _ = reply.send(down);
                 }
             }
@@ -477,7 +479,7 @@
                     let _ = reply.send(Some((begin, token)));
                 }
             }
-            Effect::Operated {
+            Effect::AdminAnswered {
                 ticket,
                 status,
                 body,
@@ -488,13 +490,13 @@
             }
             Effect::Deposed => {
                 tracing::warn!(token, "a worker has seen a newer token");
-                self.shared.step_down(token);
+                self.context.step_down(token);
             }
             effect => {
-                let shared = self.shared.clone();
+                let context = self.context.clone();
                 let handle = self.handle.clone();
                 tokio::spawn(async move {
-                    if let Some(input) = perform(&shared, &handle, token, effect).await {
+                    if let Some(input) = execute(&context, &handle, token, effect).await {
                         handle.send(Command::Input { token, input }).await;
                     }
                 });
@@ -503,31 +505,31 @@
     }
 }
 
-/// A message to a machine that another node speaks with, or what else an effect is.
-fn for_another(effect: Effect) -> Result<(u32, Carried), Effect> {
-    let (node, flight, address, session, commands) = match effect {
+/// A message to a worker that another node speaks with, or what else an effect is.
+fn for_another(effect: Effect) -> Result<(u32, RelayedCommand), Effect> {
+    let (controller, message_id, address, incarnation, commands) = match effect {
         Effect::Direct {
-            via: Some(node),
-            flight,
+            via: Some(controller),
+            message_id,
             address,
-            session,
+            incarnation,
             commands,
             ..
-        } => (node, flight, address, session, commands),
+        } => (controller, message_id, address, incarnation, commands),
         Effect::Inspect {
-            via: Some(node),
-            flight,
+            via: Some(controller),
+            message_id,
             address,
-            session,
+            incarnation,
             ..
-        } => (node, flight, address, session, Vec::new()),
+        } => (controller, message_id, address, incarnation, Vec::new()),
         other => return Err(other),
     };
-    let message = Carried {
-        flight,
+    let message = RelayedCommand {
+        message_id,
         address,
-        session,
+        incarnation,
         commands,
     };
-    Ok((node, message))
+    Ok((controller, message))
 }
--- a/src/coordination/auction.rs
+++ b/src/coordination/auction.rs
@@ -5,9 +5,9 @@
 //! best bundle it does not take. Identical tasks thus never bid against each
 //! other, which would raise prices by ε at a time until the cap.
 
-use crate::protocol::job::Amounts;
+use crate::protocol::job::Resources;
 
-/// One machine's free room, cut into slots.
+/// One worker's free room, cut into slots.
 #[derive(Debug, Clone)]
 pub struct Lot {
     pub cpu_slots: u32,
@@ -30,7 +30,7 @@
 }
 
 impl Group {
-    pub fn sized(needs: &Amounts, slot_cpus: f64) -> (u32, u32) {
+    pub fn sized(needs: &Resources, slot_cpus: f64) -> (u32, u32) {
         let slot = (slot_cpus * 1000.0) as i64;
         let cpus = needs.cpus.max(1).div_euclid(slot) + i64::from(needs.cpus % slot != 0);
         (
@@ -56,11 +56,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Slot {
     price: f64,
-    holder: Option<u32>,
+    shard_owner: Option<u32>,
 }
 
 #[derive(Debug, Clone)]
-struct Holding {
+struct Follower {
     group: u32,
     lot: u32,
     cpu: Vec<u32>,
@@ -80,7 +80,7 @@
     cpu: Vec<Vec<Slot>>,
     gpu: Vec<Vec<Slot>>,
     /// Assigned bundles; a displaced one leaves a gap.
-    held: Vec<Option<Holding>>,
+    held: Vec<Option<Follower>>,
     /// How many bundles each group holds on each lot.
     own: Vec<Vec<u16>>,
     /// Each group's lots by falling value.
@@ -97,7 +97,7 @@
             vec![
                 Slot {
                     price,
-                    holder: None
+                    shard_owner: None
                 };
                 n as usize
             ]
@@ -124,11 +124,11 @@
         }
     }
 
-    /// The `most` best bundles a group could take, by net value. Slots of a lot
+    /// The `limit` best bundles a group could take, by net value. Slots of a lot
     /// are sold from the cheapest; a bundle takes the next cheapest that the
     /// group does not hold. Lots are looked at by falling value, which bounds the
     /// net value, so that most are never looked at.
-    fn offers(&self, g: u32, most: usize) -> Vec<Offer> {
+    fn offers(&self, g: u32, limit: usize) -> Vec<Offer> {
         let group = &self.groups[g as usize];
         let mut offers: Vec<Offer> = Vec::new();
         let mut enough = 0.0;
@@ -175,14 +175,14 @@
                     gpu: gpu[part(group.gpu_slots)].to_vec(),
                 });
             }
-            if offers.len() >= 2 * most {
+            if offers.len() >= 2 * limit {
                 sort_offers(&mut offers);
-                offers.truncate(most);
-                enough = offers[most - 1].net;
+                offers.truncate(limit);
+                enough = offers[limit - 1].net;
             }
         }
         sort_offers(&mut offers);
-        offers.truncate(most);
+        offers.truncate(limit);
         offers
     }
 
@@ -190,14 +190,14 @@
         // Most lots have never been bid for.
         if slots
             .iter()
-            .all(|s| s.holder.is_none() && s.price == slots[0].price)
+            .all(|s| s.shard_owner.is_none() && s.price == slots[0].price)
         {
             return (0..slots.len() as u32).collect();
         }
         let mut list: Vec<u32> = (0..slots.len() as u32)
             .filter(|&s| {
                 slots[s as usize]
-                    .holder
+                    .shard_owner
                     .is_none_or(|h| self.held[h as usize].as_ref().is_none_or(|h| h.group != g))
             })
             .collect();
@@ -224,10 +224,10 @@
             return;
         };
         for &s in &h.cpu {
-            self.cpu[h.lot as usize][s as usize].holder = None;
+            self.cpu[h.lot as usize][s as usize].shard_owner = None;
         }
         for &s in &h.gpu {
-            self.gpu[h.lot as usize][s as usize].holder = None;
+            self.gpu[h.lot as usize][s as usize].shard_owner = None;
         }
         self.memory[h.lot as usize] += self.groups[h.group as usize].memory;
         self.own[h.group as usize][h.lot as usize] -= 1;
@@ -243,12 +243,12 @@
         let mut chosen = Vec::new();
         // The net value of the best bundle left to others; staying out is worth nothing.
         let mut second = 0.0;
-        let most = match &zones {
+        let limit = match &zones {
             // Full zones are passed over, so any number may be needed.
             Some(_) => usize::MAX / 2,
             None => wanted as usize + 1,
         };
-        for offer in self.offers(g, most) {
+        for offer in self.offers(g, limit) {
             if wanted == 0 {
                 second = offer.net;
                 break;
@@ -272,16 +272,16 @@
             let raise =
                 (offer.net - second + epsilon) / f64::from(group.cpu_slots + group.gpu_slots);
             for &s in &offer.cpu {
-                if let Some(h) = self.cpu[lot][s as usize].holder {
+                if let Some(h) = self.cpu[lot][s as usize].shard_owner {
                     self.displace(h, &mut displaced);
                 }
             }
             for &s in &offer.gpu {
-                if let Some(h) = self.gpu[lot][s as usize].holder {
+                if let Some(h) = self.gpu[lot][s as usize].shard_owner {
                     self.displace(h, &mut displaced);
                 }
             }
-            // Memory has no price: the cheapest other holders make room for it.
+            // Memory has no price: the cheapest other shard owners make room for it.
             while self.memory[lot] < group.memory {
                 let cheapest = self
                     .held
@@ -303,17 +303,17 @@
             for &s in &offer.cpu {
                 let slot = &mut self.cpu[lot][s as usize];
                 slot.price += raise;
-                slot.holder = Some(at);
+                slot.shard_owner = Some(at);
             }
             for &s in &offer.gpu {
                 let slot = &mut self.gpu[lot][s as usize];
                 slot.price += raise;
-                slot.holder = Some(at);
+                slot.shard_owner = Some(at);
             }
             self.memory[lot] -= group.memory;
             self.own[g as usize][lot] += 1;
             self.waiting[g as usize] -= 1;
-            self.held.push(Some(Holding {
+            self.held.push(Some(Follower {
                 group: g,
                 lot: offer.lot,
                 cpu: offer.cpu,
@@ -323,7 +323,7 @@
         displaced
     }
 
-    fn paid(&self, h: &Holding) -> f64 {
+    fn paid(&self, h: &Follower) -> f64 {
         let lot = h.lot as usize;
         h.cpu
             .iter()
@@ -336,7 +336,7 @@
     }
 
     /// Bids until nobody gains by another. False if the cap came first.
-    fn settle(&mut self, epsilon: f64, cap: u32) -> bool {
+    fn block_unreconciled_jobs(&mut self, epsilon: f64, cap: u32) -> bool {
         let mut queue: std::collections::VecDeque<u32> = (0..self.groups.len() as u32).collect();
         while let Some(g) = queue.pop_front() {
             if self.waiting[g as usize] == 0 {
@@ -354,12 +354,12 @@
         true
     }
 
-    /// Slots that nobody holds cost nothing again; holders who would now rather
+    /// Slots that nobody holds cost nothing again; shard owners who would now rather
     /// move give up their bundle. True if anyone did.
     fn release_stale_prices(&mut self, epsilon: f64) -> bool {
         let mut lowered = false;
         for slots in self.cpu.iter_mut().chain(self.gpu.iter_mut()) {
-            for slot in slots.iter_mut().filter(|s| s.holder.is_none()) {
+            for slot in slots.iter_mut().filter(|s| s.shard_owner.is_none()) {
                 lowered |= slot.price > 0.0;
                 slot.price = 0.0;
             }
@@ -394,7 +394,7 @@
             .iter()
             .chain(&self.gpu)
             .flatten()
-            .all(|s| s.holder.is_some() || s.price == 0.0)
+            .all(|s| s.shard_owner.is_some() || s.price == 0.0)
     }
 
     fn reset_holders(&mut self) {
@@ -461,7 +461,7 @@
         let mut market = Market::new(lots, groups, opening);
         // Good if every slot sells: one left over at that price would have been
         // worth bidding for at a lower one.
-        if market.settle(finest, cap / 4) && market.sold_out() {
+        if market.block_unreconciled_jobs(finest, cap / 4) && market.sold_out() {
             let outcome = Outcome {
                 bids: market.bids,
                 capped: false,
@@ -472,16 +472,16 @@
     let mut market = Market::new(lots, groups, 0.0);
     // Most batches have little rivalry and settle at the finest ε at once; the
     // scaling is for price wars.
-    let mut settled = settle_fully(&mut market, finest, cap / 4);
-    if !settled {
+    let mut reconciliation_complete = settle_fully(&mut market, finest, cap / 4);
+    if !reconciliation_complete {
         let spent = market.bids;
         market = Market::new(lots, groups, 0.0);
         market.bids = spent;
         let mut epsilon = highest / 4.0;
         loop {
             epsilon = epsilon.max(finest);
-            settled = settle_fully(&mut market, epsilon, cap);
-            if !settled || epsilon <= finest {
+            reconciliation_complete = settle_fully(&mut market, epsilon, cap);
+            if !reconciliation_complete || epsilon <= finest {
                 break;
             }
             epsilon /= 5.0;
@@ -490,9 +490,9 @@
     }
     let outcome = Outcome {
         bids: market.bids,
-        capped: !settled,
+        capped: !reconciliation_complete,
     };
-    if settled {
+    if reconciliation_complete {
         (market.awards(), outcome)
     } else {
         (greedy(lots, groups), outcome)
@@ -501,7 +501,7 @@
 
 fn settle_fully(market: &mut Market<'_>, epsilon: f64, cap: u32) -> bool {
     loop {
-        if !market.settle(epsilon, cap) {
+        if !market.block_unreconciled_jobs(epsilon, cap) {
             return false;
         }
         if !market.release_stale_prices(epsilon) {
@@ -511,7 +511,7 @@
             return false;
         }
         let before = market.bids;
-        if !market.settle(epsilon, cap) {
+        if !market.block_unreconciled_jobs(epsilon, cap) {
             return false;
         }
         if market.bids == before {
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -6,21 +6,21 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use crate::bookkeeping::{Snapshot, StoredJob, bitmap};
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::job::{Amounts, JobSpec, Kind, Phase, Priority, Standing};
+use crate::protocol::job::{JobOutcome, JobSpec, Kind, Phase, Priority, Resources};
 use crate::protocol::peer::Lookup;
 use crate::protocol::worker::Verb;
 use crate::settings::{Objective, Tuning};
+use crate::storage::{Snapshot, StoredJob, bitmap};
 
 use super::auction::Group;
 pub use super::messages::*;
 use super::model::*;
-pub use super::state::{Config, Core, TeamUse};
-use copperfield_silence::Silence;
+pub use super::state::{Config, Core, TeamUsage};
+use copperfield_fencing::FencingRecord;
 
-use super::state::{Fleet, Relocations, Roster, WINDOW_S};
+use super::state::{Migrations, Provisioning, WINDOW_S, WorkerRegistry};
 
 /// Silence and ends of leases are looked for so often, and before every batch.
 const WATCH_S: f64 = 0.05;
@@ -39,23 +39,23 @@
         types: Vec<MachineType>,
         snapshot: Snapshot,
     ) -> Self {
-        let mut zones = Names::default();
+        let mut zones = Interner::default();
         for zone in &config.cluster.zones {
             zones.intern(zone);
         }
-        let mut team_names = Names::default();
+        let mut team_names = Interner::default();
         let mut teams = Vec::new();
         for team in &config.cluster.teams {
             team_names.intern(&team.name);
-            teams.push(TeamUse {
-                guarantee: Amounts::new(team.cpus, team.gpus, 0.0),
-                most: Amounts::new(team.cpus_max, team.gpus_max, 0.0),
-                used: Amounts::default(),
-                unknown: Amounts::default(),
+            teams.push(TeamUsage {
+                quota: Resources::new(team.cpus, team.gpus, 0.0),
+                limit: Resources::new(team.cpus_max, team.gpus_max, 0.0),
+                used: Resources::default(),
+                unknown: Resources::default(),
             });
         }
         let value_bytes = (config.cluster.state.value_kb * 1024.0) as usize;
-        let fleet = Fleet::new(token, now);
+        let provisioning = Provisioning::new(token, now);
         let mut core = Self {
             chunk_tasks: bitmap::tasks_per_chunk(value_bytes),
             config,
@@ -66,44 +66,44 @@
             now,
             zones,
             types: Types::default(),
-            images: Names::default(),
+            images: Interner::default(),
             image_gb: Vec::new(),
             team_names,
             teams,
             jobs: Slab::default(),
             job_ids: JobIds::new(),
-            machines: Slab::default(),
-            machine_ids: HashMap::new(),
+            workers: Slab::default(),
+            worker_ids: HashMap::new(),
             gone: BTreeSet::new(),
-            fleet,
-            shapes: Vec::new(),
-            alike: BTreeMap::new(),
+            provisioning,
+            large_task_profiles: Vec::new(),
+            scheduling_class: BTreeMap::new(),
             progress_due: VecDeque::new(),
             next_in_tail: 0,
             over: HashMap::new(),
             cancel_early: BTreeSet::new(),
             // Unique across leaders: no two have the same token.
             next_attempt: (token << 24) + 1,
-            next_flight: 1,
+            next_message_id: 1,
             effects: Vec::new(),
             writing: false,
             finish: VecDeque::new(),
             drop_progress: VecDeque::new(),
-            roster: Roster::new(value_bytes),
-            silence: Silence::new(value_bytes),
-            unanswered: BTreeMap::new(),
-            sharing: None,
-            word_until: f64::NEG_INFINITY,
+            registry: WorkerRegistry::new(value_bytes),
+            fencing: FencingRecord::new(value_bytes),
+            deferred_heartbeats: BTreeMap::new(),
+            sharding: None,
+            lease_extended_until: f64::NEG_INFINITY,
             valid_until: f64::NEG_INFINITY,
-            unknown_machines: false,
+            unknown_workers: false,
             next_batch: now,
             next_second: now,
             next_watch: now,
             move_credit: 0.0,
-            relocations: Relocations::default(),
+            migrations: Migrations::default(),
             drains: BTreeMap::new(),
-            settled: false,
-            takeover: None,
+            reconciliation_complete: false,
+            failover: None,
         };
         core.types.update(types);
         for drain in snapshot.drains {
@@ -115,14 +115,14 @@
         for (id, chunk, bits, version) in snapshot.progress {
             core.restore_progress(id, chunk, &bits, version);
         }
-        for page in snapshot.roster {
-            core.restore_roster(page);
+        for page in snapshot.registry {
+            core.restore_registry(page);
         }
-        core.restore_silence(snapshot.silence, snapshot.word_held_until);
+        core.restore_fencing(snapshot.fencing, snapshot.vote_binding_until);
         for ix in core.jobs.indices() {
             core.finish_if_done(ix);
         }
-        core.begin_takeover();
+        core.begin_failover_stats();
         core
     }
 
@@ -136,31 +136,31 @@
         }
         let batch = self.now >= self.next_batch;
         if batch || self.now >= self.next_watch {
-            // Each looks at every machine: at each message they took the larger part of a step.
+            // Each looks at every worker: at each message they took the larger part of a step.
             self.next_watch = self.now + WATCH_S;
             self.expire_leases();
-            self.give_up_silent();
+            self.release_unresponsive_workers();
         }
         if batch {
             self.next_batch = self.now + WINDOW_S;
-            self.settle();
-            self.tend_shares();
-            self.note_silent();
+            self.block_unreconciled_jobs();
+            self.balance_shards();
+            self.fence_unresponsive_workers();
             self.run_batch();
         }
         if self.now >= self.next_second {
             self.next_second = self.now + 1.0;
             self.every_second();
-            self.watch_relocations();
-            self.tend_drains();
+            self.advance_migrations();
+            self.advance_drains();
             if self.config.tuning.defragmentation.enabled {
-                self.free_whole_machines();
+                self.free_whole_workers();
             } else {
-                self.move_replicas();
+                self.rebalance_replicas();
             }
             self.log_demand();
         }
-        self.watch_takeover();
+        self.record_failover_progress();
         self.flush_commands();
         self.flush_writes();
         std::mem::take(&mut self.effects)
@@ -168,19 +168,19 @@
 
     /// This process stood still while its clock ran on. Whoever was silent in that
     /// time was not asked: a node that had slept once gave leadership up, and might
-    /// have returned good machines. Leases are another matter: they run on.
+    /// have returned good workers. Leases are another matter: they run on.
     pub fn paused(&mut self, pause_s: f64) {
         self.listening_since += pause_s;
-        if let Some(sharing) = &mut self.sharing {
-            sharing.keeper.paused((pause_s * 1000.0) as u64);
-        }
-        for (_, machine) in self.machines.iter_mut() {
-            let of_machine = [
-                &mut machine.heard_at,
-                &mut machine.reported_at,
-                &mut machine.unanswered_at,
+        if let Some(sharding) = &mut self.sharding {
+            sharding.coordinator.paused((pause_s * 1000.0) as u64);
+        }
+        for (_, worker) in self.workers.iter_mut() {
+            let of_worker = [
+                &mut worker.last_heartbeat_at,
+                &mut worker.reported_at,
+                &mut worker.unanswered_at,
             ];
-            for at in of_machine {
+            for at in of_worker {
                 *at = at.map(|t| t + pause_s);
             }
         }
@@ -208,35 +208,37 @@
 
     pub(super) fn take(&mut self, input: Input) {
         match input {
-            Input::Report { ticket, report } => self.take_report(ticket, report),
+            Input::Heartbeat { ticket, heartbeat } => self.handle_heartbeat(ticket, heartbeat),
             Input::Direct {
-                machine,
-                flight,
+                worker,
+                message_id,
                 outcome,
-            } => self.take_direct(&machine, flight, outcome),
-            Input::Upward { ticket, word } => self.take_upward(ticket, word),
-            Input::Heard(told) => self.take_own(told),
-            Input::NotCarried {
-                node,
-                flights,
+            } => self.handle_command_outcome(&worker, message_id, outcome),
+            Input::ShardStatus { ticket, word } => self.handle_shard_status(ticket, word),
+            Input::BufferedHeartbeats(forwarded) => self.handle_buffered_heartbeats(forwarded),
+            Input::RelayFailed {
+                controller,
+                message_ids,
                 surely,
-            } => self.take_not_carried(node, flights, surely),
+            } => self.handle_relay_failure(controller, message_ids, surely),
             Input::Job(job) => self.add_job(job),
             Input::CancelBegin { ticket, job } => {
-                let begin = self.begin_cancel(job);
+                let begin = self.begin_cancellation(job);
                 self.effects.push(Effect::Cancel { ticket, begin });
             }
-            Input::CancelSettled { job, end } => self.settle_cancel(job, end),
-            Input::Operate {
+            Input::CancelSettled { job, end } => self.finish_cancellation(job, end),
+            Input::Admin {
                 ticket,
                 order,
                 unix_ms,
             } => self.operate(ticket, order, unix_ms),
-            Input::Written(results) => self.take_written(results),
+            Input::Written(results) => self.handle_write_results(results),
             Input::Types(types) => self.learn_types(types),
-            Input::Listed(list) => self.take_listed(list),
-            Input::Rented { request, outcome } => self.take_rented(&request, outcome),
-            Input::Returned { machines, ok } => self.take_returned(machines, ok),
+            Input::ListedWorker(list) => self.handle_worker_list(list),
+            Input::ScaledOut { request, outcome } => {
+                self.handle_scale_out_result(&request, outcome)
+            }
+            Input::ScaledIn { workers, ok } => self.handle_scale_in_result(workers, ok),
         }
     }
 
@@ -257,27 +259,27 @@
             tracing::debug!(class, jobs, waiting, placed, running, "demand");
         }
         let mut kinds: BTreeMap<(u32, u32, bool), [u32; 7]> = BTreeMap::new();
-        for (m, machine) in self.machines.iter() {
-            let place = (machine.kind, machine.zone, machine.spot);
-            let [all, usable, empty, gangs, replicas, kept, claimed] =
+        for (m, worker) in self.workers.iter() {
+            let place = (worker.kind, worker.zone, worker.spot);
+            let [all, usable, empty, gangs, replicas, kept, reserved] =
                 kinds.entry(place).or_default();
             *all += 1;
-            *usable += u32::from(self.machine_usable(m));
-            *empty += u32::from(self.machine_usable(m) && machine.used == Amounts::default());
+            *usable += u32::from(self.worker_usable(m));
+            *empty += u32::from(self.worker_usable(m) && worker.used == Resources::default());
             let holds = |test: fn(&Job) -> bool| {
-                let mut copies = machine.copies.iter().filter(|(_, c)| c.possible());
-                u32::from(copies.any(|(k, _)| test(&self.jobs[k.job])))
+                let mut instances = worker.instances.iter().filter(|(_, c)| c.possible());
+                u32::from(instances.any(|(k, _)| test(&self.jobs[k.job])))
             };
             *gangs += holds(Job::is_gang);
             *replicas += holds(Job::is_service);
-            *kept += u32::from(machine.kept_for.is_some());
-            *claimed += u32::from(!machine.claims.is_empty());
+            *kept += u32::from(worker.reserved_for.is_some());
+            *reserved += u32::from(!worker.reservations.is_empty());
         }
         for ((kind, zone, spot), counts) in kinds {
-            let [all, usable, empty, gangs, replicas, kept, claimed] = counts;
+            let [all, usable, empty, gangs, replicas, kept, reserved] = counts;
             let (kind, zone) = (self.types.names.name(kind), self.zones.name(zone));
             tracing::debug!(
-                kind, zone, spot, all, usable, empty, gangs, replicas, kept, claimed, "supply"
+                kind, zone, spot, all, usable, empty, gangs, replicas, kept, reserved, "supply"
             );
         }
     }
@@ -288,8 +290,8 @@
         self.types.update(types);
         for ix in self.jobs.indices() {
             // Jobs that came before their types were known.
-            if self.jobs[ix].shape.is_none() {
-                self.jobs[ix].shape = self.shape_arrived(ix);
+            if self.jobs[ix].large_task_profile.is_none() {
+                self.jobs[ix].large_task_profile = self.record_large_task_arrival(ix);
             }
         }
     }
@@ -315,7 +317,7 @@
         let image = self.intern_image(&spec.image, spec.image_gb);
         let team = self.team_names.intern(&spec.team);
         if self.teams.len() <= team as usize {
-            self.teams.resize(team as usize + 1, TeamUse::default());
+            self.teams.resize(team as usize + 1, TeamUsage::default());
         }
         let zone = spec.zone.as_ref().map(|z| self.zones.intern(z));
         let types = spec
@@ -344,16 +346,16 @@
             by_zone: vec![0; self.zones.len()],
             fresh: 0,
             retry: VecDeque::new(),
-            old: stored.version < self.token,
-            blocked: stored.version < self.token && !self.settled,
+            predates_election: stored.version < self.token,
+            blocked: stored.version < self.token && !self.reconciliation_complete,
             seen_at: self.now - stored.age_s,
             accepted_ms: stored.accepted_ms,
             unplaced_since: None,
             worthwhile_s: worthwhile_s(objectives, &spec),
             patience_s: patience_s(objectives, &spec),
             start_by: start_by(objectives, &spec, fetch_s),
-            alike: None,
-            shape: None,
+            scheduling_class: None,
+            large_task_profile: None,
             attempt: None,
             proved: false,
             failed_on: Vec::new(),
@@ -362,7 +364,7 @@
             chunks: vec![0; chunks],
             chunk_due: vec![None; chunks],
             entries: 0,
-            entitled: false,
+            within_quota: false,
             warned_at: 0.0,
             movable: movable(&self.config.tuning, &spec),
             pinned: pinned(&self.config.tuning, &spec),
@@ -371,19 +373,20 @@
         };
         let ix = self.jobs.insert(job);
         self.job_ids.insert(id, ix);
-        self.jobs[ix].shape = self.shape_arrived(ix);
-        self.jobs[ix].alike = self.likeness(ix);
+        self.jobs[ix].large_task_profile = self.record_large_task_arrival(ix);
+        self.jobs[ix].scheduling_class = self.scheduling_class_of(ix);
     }
 
-    pub(super) fn likeness(&mut self, ix: u32) -> Option<u32> {
+    pub(super) fn scheduling_class_of(&mut self, ix: u32) -> Option<u32> {
         let job = &self.jobs[ix];
         let spec = &job.spec;
-        let small = spec.kind == Kind::Array && spec.tasks <= FEW_TASKS && job.shape.is_none();
+        let small =
+            spec.kind == Kind::Array && spec.tasks <= FEW_TASKS && job.large_task_profile.is_none();
         if !small || spec.one_zone || spec.spread {
             return None;
         }
         let (cpu_slots, gpu_slots) = Group::sized(&spec.needs, self.config.tuning.slot_cpus);
-        let likeness = Likeness {
+        let scheduling_class_of = SchedulingClass {
             team: job.team,
             priority: spec.priority,
             class: spec.class.clone(),
@@ -395,8 +398,13 @@
             gpu_slots,
             memory_step: ((spec.needs.memory.max(1) as f64).log2() * 2.0).ceil() as u32,
         };
-        let next = self.alike.len() as u32;
-        Some(*self.alike.entry(likeness).or_insert(next))
+        let next = self.scheduling_class.len() as u32;
+        Some(
+            *self
+                .scheduling_class
+                .entry(scheduling_class_of)
+                .or_insert(next),
+        )
     }
 
     pub(super) fn restore_progress(&mut self, id: JobId, chunk: u32, bits: &[u8], version: u64) {
@@ -421,16 +429,16 @@
         }
     }
 
-    pub(super) fn begin_cancel(&mut self, id: JobId) -> CancelBegin {
+    pub(super) fn begin_cancellation(&mut self, id: JobId) -> CancelBegin {
         if let Some(&end) = self.over.get(&id) {
-            return CancelBegin::Over(end);
+            return CancelBegin::Terminal(end);
         }
         let Some(&ix) = self.job_ids.get(&id) else {
             self.cancel_early.insert(id);
             return CancelBegin::Go { done: 0 };
         };
         match self.jobs[ix].state {
-            JobState::Over(end) => CancelBegin::Over(end),
+            JobState::Terminal(end) => CancelBegin::Terminal(end),
             JobState::Finishing => CancelBegin::Busy,
             JobState::Live | JobState::Cancelling => {
                 self.jobs[ix].state = JobState::Cancelling;
@@ -444,7 +452,7 @@
         }
     }
 
-    pub(super) fn settle_cancel(&mut self, id: JobId, end: Option<Standing>) {
+    pub(super) fn finish_cancellation(&mut self, id: JobId, end: Option<JobOutcome>) {
         self.cancel_early.remove(&id);
         match end {
             Some(end) => self.end_job(id, end),
@@ -461,13 +469,13 @@
     }
 
     /// The stored end of a job: nothing of it runs any more.
-    pub(super) fn end_job(&mut self, id: JobId, end: Standing) {
+    pub(super) fn end_job(&mut self, id: JobId, end: JobOutcome) {
         self.over.insert(id, end);
         let Some(&ix) = self.job_ids.get(&id) else {
             return;
         };
         let job = &mut self.jobs[ix];
-        job.state = JobState::Over(end);
+        job.state = JobState::Terminal(end);
         let chunks: Vec<(u32, u64)> = (0u32..).zip(job.chunks.iter().copied()).collect();
         for (chunk, version) in chunks {
             if version > 0 {
@@ -483,48 +491,48 @@
         self.stop_all_of(ix);
     }
 
-    /// Nothing of a job starts any more, and all of it that may be on a machine is stopped.
+    /// Nothing of a job starts any more, and all of it that may be on a worker is stopped.
     fn stop_all_of(&mut self, ix: u32) {
-        for m in self.machines.indices() {
-            for key in self.copies_of(m, ix) {
-                self.stop_copy(m, key, 0.0);
+        for m in self.workers.indices() {
+            for key in self.instances_of(m, ix) {
+                self.stop_instance(m, key, 0.0);
             }
         }
     }
 
-    pub(super) fn copies_of(&self, m: u32, job: u32) -> Vec<CopyKey> {
-        let from = CopyKey {
+    pub(super) fn instances_of(&self, m: u32, job: u32) -> Vec<InstanceId> {
+        let from = InstanceId {
             job,
             task: 0,
             attempt: 0,
         };
-        let to = CopyKey {
+        let to = InstanceId {
             job,
             task: u32::MAX,
             attempt: u64::MAX,
         };
-        self.machines[m]
-            .copies
+        self.workers[m]
+            .instances
             .range(from..=to)
             .map(|(k, _)| *k)
             .collect()
     }
 
-    pub(super) fn unqueue(&mut self, m: u32, key: CopyKey) {
+    pub(super) fn unqueue(&mut self, m: u32, key: InstanceId) {
         let id = self.jobs[key.job].spec.id;
-        self.machines[m].outbox.retain(|c| {
+        self.workers[m].outbox.retain(|c| {
             !(c.verb == Verb::Start
                 && c.job == id
                 && c.task == key.task
                 && c.attempt == key.attempt)
         });
-        self.remove_copy(m, key);
+        self.remove_instance(m, key);
     }
 
-    /// No start that has not left for a machine leaves for it any more.
+    /// No start that has not left for a worker leaves for it any more.
     pub(super) fn unqueue_all(&mut self, m: u32) {
-        let queued: Vec<CopyKey> = self.machines[m]
-            .copies
+        let queued: Vec<InstanceId> = self.workers[m]
+            .instances
             .iter()
             .filter(|(_, c)| c.sent == Sent::Queued)
             .map(|(k, _)| *k)
@@ -537,12 +545,12 @@
 
     pub(super) fn free_if_over(&mut self, ix: u32) {
         let job = &self.jobs[ix];
-        if !matches!(job.state, JobState::Over(_)) || job.entries > 0 {
+        if !matches!(job.state, JobState::Terminal(_)) || job.entries > 0 {
             return;
         }
         self.job_ids.remove(&job.spec.id);
-        for (_, m) in self.machines.iter_mut() {
-            m.claims.retain(|c| c.job != ix);
+        for (_, m) in self.workers.iter_mut() {
+            m.reservations.retain(|c| c.job != ix);
             m.failed.remove(&ix);
         }
         self.jobs.remove(ix);
@@ -559,7 +567,7 @@
         let job = &mut self.jobs[ix];
         let t = &mut job.tasks[task as usize];
         t.done = true;
-        if t.copies > 0 {
+        if t.instances > 0 {
             job.active -= 1;
         }
         job.done += 1;
@@ -618,7 +626,7 @@
 }
 
 /// How long after its submission a job must be placed to start in time, by each
-/// aim, if most machines have yet to fetch its image. One that is past that
+/// aim, if most workers have yet to fetch its image. One that is past that
 /// leaves its turn to those that can still be in time.
 fn start_by(objectives: &[Objective], spec: &JobSpec, fetch_s: f64) -> Vec<f64> {
     let mut all: Vec<f64> = waits(objectives, spec)
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -14,22 +14,22 @@
 
 /// Messages that are out and may be answered any moment.
 const WINDOW: usize = 256;
-/// What a message of this node's own takes of the window, and one that a holder carries.
+/// What a message of this node's own takes of the window, and one that a shard owner carries.
 const WHOLE: usize = 4;
 const CARRIED: usize = 1;
-/// One that is out for longer waits for a machine, not for this process, and makes way: on
+/// One that is out for longer waits for a worker, not for this process, and makes way: on
 /// ordinary days answers come within 20 ms.
 const YOUNG_S: Time = 0.2;
-/// Questions to machines that are late or silent, at once: most wait out their deadline.
+/// Questions to workers that are late or silent, at once: most wait out their deadline.
 const TO_SILENT: usize = 64;
 /// So many old ones of a zone are not taken for a sign yet.
 const FEW_OLD: usize = 8;
 
-/// Why a machine is written to, the most urgent first.
+/// Why a worker is written to, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Reason {
     /// Until it has told what it holds, others wait.
-    Question,
+    PendingLookup,
     Replica,
     /// Rush work, and stops, which make room or have a deadline.
     Rush,
@@ -39,64 +39,70 @@
 
 /// What is out, and to whom.
 #[derive(Default)]
-struct Out {
+struct InFlightLoad {
     young: usize,
     to_silent: usize,
     /// By zone, those that have waited for longer: a zone that does not answer is asked last.
-    old: Vec<usize>,
+    predates_election: Vec<usize>,
 }
 
 /// What a message takes of the window.
-fn cost(flight: &Flight) -> usize {
-    if flight.carried { CARRIED } else { WHOLE }
+fn cost(message_id: &InFlightMessage) -> usize {
+    if message_id.relayed { CARRIED } else { WHOLE }
 }
 
 impl Core {
-    /// Asks a machine for its report.
-    pub(super) fn ask(&mut self, m: u32) {
-        let flight = self.new_flight();
-        self.machines[m].next_probe = self.now + 1.0;
-        let via = self.fly(m, flight, Vec::new(), false);
-        let machine = &self.machines[m];
+    /// Asks a worker for its report.
+    pub(super) fn ask_worker(&mut self, m: u32) {
+        let message_id = self.new_message_id();
+        self.workers[m].next_probe = self.now + 1.0;
+        let via = self.record_in_flight(m, message_id, Vec::new(), false);
+        let worker = &self.workers[m];
         self.effects.push(Effect::Inspect {
-            machine: machine.name.clone(),
-            address: machine.address.clone(),
+            worker: worker.name.clone(),
+            address: worker.address.clone(),
             // Most have never lost a lease.
-            session: machine.session.max(1),
-            flight,
+            incarnation: worker.incarnation.max(1),
+            message_id,
             via,
         });
     }
 
-    fn new_flight(&mut self) -> u64 {
-        let flight = self.next_flight;
-        self.next_flight += 1;
-        flight
+    fn new_message_id(&mut self) -> u64 {
+        let message_id = self.next_message_id;
+        self.next_message_id += 1;
+        message_id
     }
 
-    /// A message is out to a machine, with these starts in it.
+    /// A message is out to a worker, with these starts in it.
     /// Through which node, if not from here.
-    fn fly(&mut self, m: u32, flight: u64, starts: Vec<CopyKey>, orders: bool) -> Option<u32> {
-        let via = self.carrier(m);
+    fn record_in_flight(
+        &mut self,
+        m: u32,
+        message_id: u64,
+        starts: Vec<InstanceId>,
+        orders: bool,
+    ) -> Option<u32> {
+        let via = self.relay_for(m);
         if via.is_some() {
-            self.note_carried(m, flight);
+            self.note_carried(m, message_id);
         }
-        self.machines[m].flight = Some(Flight {
-            id: flight,
+        self.workers[m].in_message_id = Some(InFlightMessage {
+            id: message_id,
             since: self.now,
             starts,
             orders,
-            carried: via.is_some(),
+            relayed: via.is_some(),
         });
         via
     }
 
-    /// A machine whose report has not come after this long is late.
+    /// A worker whose report has not come after this long is late.
     pub(super) fn late_after_s(&self) -> f64 {
         self.config.cluster.workers.report_s * 1.04
     }
 
-    /// How many more late or silent machines may be asked now.
+    /// How many more late or silent workers may be asked now.
     pub(super) fn questions_left(&self) -> usize {
         TO_SILENT.saturating_sub(self.out().to_silent)
     }
@@ -104,8 +110,8 @@
     /// Sends what cannot wait for the next report.
     pub(super) fn flush_commands(&mut self) {
         let mut due: Vec<(Reason, u32)> = Vec::new();
-        for m in self.machines.indices() {
-            if self.machines[m].flight.is_none()
+        for m in self.workers.indices() {
+            if self.workers[m].in_message_id.is_none()
                 && let Some(reason) = self.due(m)
             {
                 due.push((reason, m));
@@ -117,8 +123,9 @@
         let mut out = self.out();
         let mut window = (WINDOW * WHOLE).saturating_sub(out.young);
         if due.len() * WHOLE > window {
-            let old = |m: u32| out.old[self.machines[m].zone as usize] / FEW_OLD;
-            due.sort_by_key(|&(reason, m)| (reason, old(m), m));
+            let predates_election =
+                |m: u32| out.predates_election[self.workers[m].zone as usize] / FEW_OLD;
+            due.sort_by_key(|&(reason, m)| (reason, predates_election(m), m));
         }
         for (reason, m) in due {
             if window == 0 {
@@ -130,67 +137,70 @@
                 }
                 out.to_silent += 1;
             }
-            let machine = &self.machines[m];
+            let worker = &self.workers[m];
             // Whoever has not learned of this leader is asked first: orders wait three times as
-            // long for an answer, and that a machine is gone was known a second later.
-            if machine.session > machine.dead_session && machine.synced {
+            // long for an answer, and that a worker is gone was known a second later.
+            if worker.incarnation > worker.expired_incarnation && worker.reconciled {
                 self.send_orders(m);
             } else {
-                self.ask(m);
+                self.ask_worker(m);
             }
-            let flight = &self.machines[m].flight;
-            window = window.saturating_sub(flight.as_ref().map_or(WHOLE, cost));
+            let message_id = &self.workers[m].in_message_id;
+            window = window.saturating_sub(message_id.as_ref().map_or(WHOLE, cost));
         }
     }
 
-    fn out(&self) -> Out {
+    fn out(&self) -> InFlightLoad {
         let late_s = self.late_after_s();
-        let mut out = Out {
-            old: vec![0; self.zones.len()],
-            ..Out::default()
+        let mut out = InFlightLoad {
+            predates_election: vec![0; self.zones.len()],
+            ..InFlightLoad::default()
         };
-        for (_, machine) in self.machines.iter() {
-            let Some(flight) = &machine.flight else {
+        for (_, worker) in self.workers.iter() {
+            let Some(message_id) = &worker.in_message_id else {
                 continue;
             };
-            let late = machine.heard_at.is_some_and(|t| self.now - t > late_s);
-            out.to_silent += usize::from(machine.on_record || machine.unreached || late);
-            if self.now - flight.since < YOUNG_S {
-                out.young += cost(flight);
+            let late = worker
+                .last_heartbeat_at
+                .is_some_and(|t| self.now - t > late_s);
+            out.to_silent += usize::from(worker.fenced || worker.commands_unanswered || late);
+            if self.now - message_id.since < YOUNG_S {
+                out.young += cost(message_id);
             } else {
-                out.old[machine.zone as usize] += 1;
+                out.predates_election[worker.zone as usize] += 1;
             }
         }
         out
     }
 
-    /// Why a machine is to be written to now, if it is.
+    /// Why a worker is to be written to now, if it is.
     fn due(&mut self, m: u32) -> Option<Reason> {
-        let silent = self.is_silent(m);
-        let machine = &self.machines[m];
-        let may_probe = machine.next_probe <= self.now;
-        let unheard = machine.was_recorded && !machine.synced && !self.settled;
-        let never = machine.session <= machine.dead_session;
-        if never || (silent && unheard) {
-            // Recorded by an earlier leader, and not heard yet, or heard by a holder before this
+        let silent = self.is_unresponsive(m);
+        let worker = &self.workers[m];
+        let may_probe = worker.next_probe <= self.now;
+        let unreconciled =
+            worker.known_to_predecessor && !worker.reconciled && !self.reconciliation_complete;
+        let never = worker.incarnation <= worker.expired_incarnation;
+        if never || (silent && unreconciled) {
+            // Recorded by an earlier leader, and not heard yet, or heard by a shard owner before this
             // leader was there: ask it.
-            let asked = unheard && may_probe && !self.is_being_told();
-            return asked.then_some(if machine.on_record || !never {
+            let asked = unreconciled && may_probe && !self.is_being_told();
+            return asked.then_some(if worker.fenced || !never {
                 Reason::QuestionToSilent
             } else {
-                Reason::Question
+                Reason::PendingLookup
             });
         }
-        let on_record = machine.on_record;
-        let unreached = machine.unreached;
-        if silent || on_record || unreached {
+        let fenced = worker.fenced;
+        let commands_unanswered = worker.commands_unanswered;
+        if silent || fenced || commands_unanswered {
             self.unqueue_all(m);
         }
         if silent || !may_probe {
             return None;
         }
-        let machine = &self.machines[m];
-        if unreached && machine.outbox.is_empty() {
+        let worker = &self.workers[m];
+        if commands_unanswered && worker.outbox.is_empty() {
             return Some(Reason::QuestionToSilent);
         }
         let reason = |c: &Command| match c.verb {
@@ -202,36 +212,36 @@
             Verb::Stop { .. } => Reason::Rush,
             Verb::Forget => Reason::Rest,
         };
-        let most_urgent = machine.outbox.iter().map(reason).min();
+        let most_urgent = worker.outbox.iter().map(reason).min();
         // One that has not learned of this leader yet is taught by a question.
-        if machine.synced {
+        if worker.reconciled {
             most_urgent
         } else {
-            Some(Reason::Question)
+            Some(Reason::PendingLookup)
         }
     }
 
     fn send_orders(&mut self, m: u32) {
-        let flight = self.new_flight();
-        let commands = self.take_outbox(m, Sent::Direct { flight });
+        let message_id = self.new_message_id();
+        let commands = self.drain_outbox(m, Sent::Direct { message_id });
         let starts = commands
             .iter()
             .filter(|c| c.verb == Verb::Start)
             .filter_map(|c| {
-                Some(CopyKey {
+                Some(InstanceId {
                     job: *self.job_ids.get(&c.job)?,
                     task: c.task,
                     attempt: c.attempt,
                 })
             })
             .collect();
-        let via = self.fly(m, flight, starts, true);
-        let machine = &self.machines[m];
+        let via = self.record_in_flight(m, message_id, starts, true);
+        let worker = &self.workers[m];
         self.effects.push(Effect::Direct {
-            machine: machine.name.clone(),
-            address: machine.address.clone(),
-            session: machine.session,
-            flight,
+            worker: worker.name.clone(),
+            address: worker.address.clone(),
+            incarnation: worker.incarnation,
+            message_id,
             commands,
             via,
         });
--- a/src/coordination/drains.rs
+++ b/src/coordination/drains.rs
@@ -5,17 +5,17 @@
 //! since to start less breaks nothing, and its operator is answered when it is stored;
 //! the end of a drain counts once it is stored.
 
-use copperfield_operators::views;
+use copperfield_admin::views;
 use serde::Serialize;
 use serde_json::json;
 
-use crate::bookkeeping::writer::{Write, Written};
-use crate::bookkeeping::{DrainRecord, StoredDrain};
-use crate::protocol::peer::Order;
+use crate::protocol::peer::AdminRequest;
+use crate::storage::writer::{Write, Written};
+use crate::storage::{DrainRecord, StoredDrain};
 
 use super::messages::Effect;
+use super::migration::amounts;
 use super::model::*;
-use super::relocation::amounts;
 use super::state::{Core, Drain};
 
 /// Nodes, moves or jobs in one answer, which stays well under 64 KiB.
@@ -23,8 +23,8 @@
 
 impl Core {
     pub(super) fn restore_drain(&mut self, stored: StoredDrain) {
-        if let Some(&m) = self.machine_ids.get(&stored.node) {
-            self.machines[m].draining = true;
+        if let Some(&m) = self.worker_ids.get(&stored.node) {
+            self.workers[m].draining = true;
         }
         let drain = Drain {
             // One that cannot be read drains on, and is written anew if anyone changes it.
@@ -39,27 +39,27 @@
         self.drains.insert(stored.node, drain);
     }
 
-    pub(super) fn operate(&mut self, ticket: u64, order: Order, unix_ms: u64) {
+    pub(super) fn operate(&mut self, ticket: u64, order: AdminRequest, unix_ms: u64) {
         match order {
-            Order::Nodes { since } => {
+            AdminRequest::Nodes { since } => {
                 let nodes = self.nodes(&since);
                 self.answer(ticket, 200, &nodes);
             }
-            Order::Moves => {
+            AdminRequest::Moves => {
                 let moves = self.moves_view();
                 self.answer(ticket, 200, &moves);
             }
-            Order::Drain {
+            AdminRequest::Drain {
                 node,
                 deadline_s,
                 yes,
             } => self.drain(ticket, node, deadline_s, yes, unix_ms),
-            Order::Undrain { node } => self.undrain(ticket, &node),
+            AdminRequest::Undrain { node } => self.undrain(ticket, &node),
         }
     }
 
     fn answer(&mut self, ticket: u64, status: u16, value: &impl Serialize) {
-        self.effects.push(Effect::Operated {
+        self.effects.push(Effect::AdminAnswered {
             ticket,
             status,
             body: serde_json::to_vec(value).expect("plain data"),
@@ -79,7 +79,7 @@
         yes: bool,
         unix_ms: u64,
     ) {
-        let Some(&m) = self.machine_ids.get(&node) else {
+        let Some(&m) = self.worker_ids.get(&node) else {
             return self.no_such_node(ticket, &node);
         };
         let protected = self.protected_on(m);
@@ -102,10 +102,10 @@
         drain.until = deadline_s.map(|s| now + s);
         drain.waiters.push(ticket);
         drain.due |= !same;
-        self.machines[m].draining = true;
+        self.workers[m].draining = true;
         self.unqueue_all(m);
         if same {
-            let name = self.machines[m].name.clone();
+            let name = self.workers[m].name.clone();
             self.answer_waiters(&name);
         }
     }
@@ -117,14 +117,14 @@
             drain.until = None;
             drain.due = true;
             drain.waiters.push(ticket);
-        } else if self.machine_ids.contains_key(node) {
+        } else if self.worker_ids.contains_key(node) {
             self.answer_node(ticket, node);
         } else {
             self.no_such_node(ticket, node);
         }
     }
 
-    /// The machine is gone for good, and its name with it.
+    /// The worker is gone for good, and its name with it.
     pub(super) fn forget_drain(&mut self, node: &str) {
         if let Some(drain) = self.drains.get_mut(node) {
             drain.record = None;
@@ -133,9 +133,9 @@
         }
     }
 
-    pub(super) fn drain_writes(&mut self, batch: &mut Vec<Write>, most: usize, ops: &mut usize) {
+    pub(super) fn drain_writes(&mut self, batch: &mut Vec<Write>, limit: usize, ops: &mut usize) {
         for (node, drain) in &mut self.drains {
-            if *ops >= most {
+            if *ops >= limit {
                 return;
             }
             if drain.due && !drain.writing {
@@ -174,8 +174,8 @@
             return;
         }
         if record.is_none() {
-            if let Some(&m) = self.machine_ids.get(&node) {
-                self.machines[m].draining = false;
+            if let Some(&m) = self.worker_ids.get(&node) {
+                self.workers[m].draining = false;
             }
             let waiters = self.drains.remove(&node).map(|d| d.waiters);
             for ticket in waiters.unwrap_or_default() {
@@ -203,38 +203,38 @@
 
     /// Also of a node that drains and that this leader has not heard of.
     fn node_named(&self, name: &str) -> views::Node {
-        match self.machine_ids.get(name) {
+        match self.worker_ids.get(name) {
             Some(&m) => self.node(m),
             None => lost(name),
         }
     }
 
     /// Once a second: moves work off draining nodes, and stops what is left at the deadline.
-    pub(super) fn tend_drains(&mut self) {
+    pub(super) fn advance_drains(&mut self) {
         let draining: Vec<(u32, Option<Time>)> = self
             .drains
             .iter()
             .filter(|(_, d)| d.record.is_some())
-            .filter_map(|(name, d)| Some((*self.machine_ids.get(name)?, d.until)))
+            .filter_map(|(name, d)| Some((*self.worker_ids.get(name)?, d.until)))
             .collect();
         for (m, until) in draining {
             if until.is_some_and(|t| t <= self.now) {
-                let keys: Vec<CopyKey> = self.machines[m].copies.keys().copied().collect();
+                let keys: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
                 for key in keys {
-                    let copy = self.machines[m].copies.get(&key);
-                    if copy.is_some_and(|c| c.possible() && c.stop.is_none()) {
+                    let instance = self.workers[m].instances.get(&key);
+                    if instance.is_some_and(|c| c.possible() && c.stop.is_none()) {
                         self.stop_in_order(m, key);
                     }
                 }
-            } else if !self.is_silent(m) {
+            } else if !self.is_unresponsive(m) {
                 self.evacuate(m);
             }
         }
     }
 
     fn protected_on(&self, m: u32) -> Vec<String> {
-        let copies = self.machines[m].copies.iter();
-        let mut jobs: Vec<u32> = copies
+        let instances = self.workers[m].instances.iter();
+        let mut jobs: Vec<u32> = instances
             .filter(|(k, c)| c.possible() && self.jobs[k.job].protected)
             .map(|(k, _)| k.job)
             .collect();
@@ -247,9 +247,9 @@
     }
 
     fn nodes(&self, since: &str) -> views::Nodes {
-        let known = self.machine_ids.keys().map(String::as_str);
+        let known = self.worker_ids.keys().map(String::as_str);
         let unknown = self.drains.keys().map(String::as_str);
-        let unknown = unknown.filter(|n| !self.machine_ids.contains_key(*n));
+        let unknown = unknown.filter(|n| !self.worker_ids.contains_key(*n));
         let mut names: Vec<&str> = known.chain(unknown).filter(|n| *n > since).collect();
         names.sort_unstable();
         let more = names.len() > PAGE;
@@ -261,56 +261,56 @@
     }
 
     fn node(&self, m: u32) -> views::Node {
-        let machine = &self.machines[m];
-        let possible = || machine.copies.iter().filter(|(_, c)| c.possible());
-        let state = if machine.returning {
+        let worker = &self.workers[m];
+        let possible = || worker.instances.iter().filter(|(_, c)| c.possible());
+        let state = if worker.returning {
             views::NodeState::Returning
-        } else if machine.session <= machine.dead_session {
+        } else if worker.incarnation <= worker.expired_incarnation {
             views::NodeState::Lost
-        } else if self.is_silent(m) {
+        } else if self.is_unresponsive(m) {
             views::NodeState::Late
-        } else if machine.draining && possible().next().is_none() {
+        } else if worker.draining && possible().next().is_none() {
             views::NodeState::Drained
-        } else if machine.draining {
+        } else if worker.draining {
             views::NodeState::Draining
-        } else if machine.reclaim_at.is_some() {
+        } else if worker.reclaim_at.is_some() {
             views::NodeState::Reclaimed
-        } else if machine.quarantined_until > self.now {
+        } else if worker.quarantined_until > self.now {
             views::NodeState::Quarantined
         } else {
             views::NodeState::Ready
         };
-        let all = self.types.get(machine.kind).map(|t| t.whole);
+        let all = self.types.get(worker.kind).map(|t| t.whole);
         let all = amounts(&all.unwrap_or_default());
-        let used = amounts(&machine.used);
+        let used = amounts(&worker.used);
         let share = |d: usize| views::Share {
             used: used[d],
             all: all[d],
         };
-        let until = self.drains.get(&machine.name).and_then(|d| d.until);
+        let until = self.drains.get(&worker.name).and_then(|d| d.until);
         views::Node {
-            name: machine.name.clone(),
-            machine_type: self.types.names.name(machine.kind).to_string(),
-            zone: self.zones.name(machine.zone).to_string(),
-            spot: machine.spot,
+            name: worker.name.clone(),
+            machine_type: self.types.names.name(worker.kind).to_string(),
+            zone: self.zones.name(worker.zone).to_string(),
+            spot: worker.spot,
             state,
             tasks: possible().count() as u32,
             protected: possible()
                 .filter(|(k, _)| self.jobs[k.job].protected)
                 .count() as u32,
-            leaving: self.leaving(&machine.name),
+            leaving: self.leaving(&worker.name),
             cpus: share(0),
             gpus: share(1),
             memory_gb: share(2),
             deadline_s: until.map(|t| (t - self.now).max(0.0)),
-            heard_s: machine.heard_at.map(|t| self.now - t),
+            heard_s: worker.last_heartbeat_at.map(|t| self.now - t),
             controller: self.answered_at_node(m).map(str::to_string),
         }
     }
 
     fn moves_view(&self) -> views::Moves {
-        let moves = &self.relocations;
-        let view = |r: &super::state::Relocation, state: &str| views::Move {
+        let moves = &self.migrations;
+        let view = |r: &super::state::TaskMigration, state: &str| views::Move {
             task: format!("{}/{}", r.id, r.key.task),
             from: r.from.clone(),
             to: r.to.clone(),
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -19,13 +19,13 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::bookkeeping::store::{StoreError, call_peer, put};
-use crate::bookkeeping::{FOUNDED, LEADER, SILENCE};
-use crate::commands::{Command, Handle};
+use crate::controller::commands::{Command, Handle};
+use crate::controller::context::ControllerContext;
 use crate::protocol::peer::{PeerReply, PeerRequest};
 use crate::protocol::state::{Change, Transaction};
-use crate::shared::Shared;
-use crate::transport::budget::Urgency;
+use crate::storage::store::{StoreError, call_peer, put};
+use crate::storage::{FENCING, FOUNDED, LEADER};
+use crate::transport::rate_limiter::Urgency;
 
 const FOLLOW_EVERY: Duration = Duration::from_millis(300);
 /// A node that is there answers within a few milliseconds.
@@ -34,7 +34,7 @@
 const LED: &str = "led";
 /// Within this the state service answers a node that it serves.
 const READ_KEY: Duration = Duration::from_millis(300);
-const HAND_OVER: Duration = Duration::from_millis(300);
+const TRANSFER_DEADLINE: Duration = Duration::from_millis(300);
 /// One renewal may fail by chance.
 const FAILURES: u32 = 2;
 const TRY_AGAIN: Duration = Duration::from_millis(80);
@@ -47,43 +47,43 @@
     sent: Instant,
 }
 
-pub async fn run(shared: Arc<Shared>, handle: Handle) {
-    let ttl = Duration::from_millis(shared.tuning.leader_ttl_ms);
+pub async fn run(context: Arc<ControllerContext>, handle: Handle) {
+    let ttl = Duration::from_millis(context.tuning.leader_ttl_ms);
     loop {
-        if let Some(token) = shared.take_handed_over()
-            && remove_key(&shared, token).await
+        if let Some(token) = context.take_leadership_transfer()
+            && remove_key(&context, token).await
         {
             tracing::info!(token, "the key of a leader that cannot renew is removed");
         }
-        match shared.store.get(LEADER, Urgency::Renewal, false).await {
+        match context.store.get(LEADER, Urgency::Renewal, false).await {
             Ok(Some(item)) => {
                 let member = item.value.get("member").and_then(|m| m.as_str());
-                if member == Some(&shared.settings.member) && bury(&shared, item.version).await {
+                if member == Some(&context.settings.member) && bury(&context, item.version).await {
                     continue;
                 }
                 handle
                     .send(Command::LeaderSeen(member.map(str::to_string)))
                     .await;
             }
-            Ok(None) if shared.stands_back() => handle.send(Command::LeaderSeen(None)).await,
+            Ok(None) if context.is_backing_off() => handle.send(Command::LeaderSeen(None)).await,
             Ok(None) => {
                 handle.send(Command::LeaderSeen(None)).await;
                 // A little apart, so that the nodes do not all ask for a lease at once.
-                let jitter = shared.random(40);
+                let jitter = context.random(40);
                 sleep(Duration::from_millis(jitter)).await;
-                let others = ask_whether_idle(&shared).await;
-                if cannot_use_the_record(&shared, others).await {
+                let others = ask_whether_idle(&context).await;
+                if cannot_use_the_record(&context, others).await {
                     sleep(GIVE_WAY).await;
                 }
-                shared.set_campaigning(true);
-                let outcome = campaign(&shared, ttl).await;
+                context.set_campaigning(true);
+                let outcome = campaign(&context, ttl).await;
                 if let Ok(Some(won)) = &outcome {
-                    shared.begin_leading(won.token, won.sent);
+                    context.begin_leading(won.token, won.sent);
                 }
-                shared.set_campaigning(false);
+                context.set_campaigning(false);
                 match outcome {
                     Ok(Some(won)) => {
-                        lead(&shared, &handle, ttl, won).await;
+                        lead(&context, &handle, ttl, won).await;
                         continue;
                     }
                     Ok(None) => {}
@@ -92,43 +92,43 @@
             }
             Err(error) => tracing::debug!(%error, "cannot read the leader key"),
         }
-        let _ = timeout(FOLLOW_EVERY, shared.election_due.notified()).await;
+        let _ = timeout(FOLLOW_EVERY, context.election_due.notified()).await;
     }
 }
 
 /// For how long the other nodes have lived, in ms, if all say that they are idle; asked if this
 /// node may have promised not to campaign. Then there is no leader that could act on the promise:
 /// a word binds one that lives. After a crash of all a TTL was once waited out from the restart.
-async fn ask_whether_idle(shared: &Shared) -> Option<Vec<u64>> {
-    if !shared.has_promised() {
+async fn ask_whether_idle(context: &ControllerContext) -> Option<Vec<u64>> {
+    if !context.has_promised() {
         return None;
     }
-    shared.set_asking(true);
+    context.set_asking(true);
     let idle = |reply| match reply {
         PeerReply::Idle { up_ms } => Some(up_ms),
         _ => None,
     };
-    let lived = all_answer(shared, &PeerRequest::Idle, ASK_IDLE, idle).await;
+    let lived = all_answer(context, &PeerRequest::Idle, ASK_IDLE, idle).await;
     if lived.is_some() {
-        shared.released();
+        context.released();
     }
-    shared.set_asking(false);
+    context.set_asking(false);
     lived
 }
 
-/// Whether this node restarted so lately that it must take silent machines as answered since,
+/// Whether this node restarted so lately that it must take silent workers as answered since,
 /// and there are some. Another may know better: elected 6 s after its restart in the cut of a
-/// zone, a node once started the leases of 396 machines anew. `others`: for how long they have
+/// zone, a node once started the leases of 396 workers anew. `others`: for how long they have
 /// lived, in ms, as far as is known; if all restarted lately too there is nobody to give way to.
-async fn cannot_use_the_record(shared: &Shared, others: Option<Vec<u64>>) -> bool {
-    let lease_s = shared.settings.cluster.workers.lease_s;
+async fn cannot_use_the_record(context: &ControllerContext, others: Option<Vec<u64>>) -> bool {
+    let lease_s = context.settings.cluster.workers.lease_s;
     let lately = |up_ms: &u64| *up_ms as f64 / 1000.0 <= lease_s;
     let all_lately = others.is_some_and(|others| others.iter().all(lately));
-    if shared.now_s() > lease_s || all_lately {
+    if context.now_s() > lease_s || all_lately {
         return false;
     }
     let named = |value: &serde_json::Value| value.as_object().is_some_and(|o| !o.is_empty());
-    let pages = shared.store.list(SILENCE).await;
+    let pages = context.store.list(FENCING).await;
     pages.is_ok_and(|(pages, _)| pages.iter().any(|p| named(&p.value)))
 }
 
@@ -138,13 +138,13 @@
 ///
 /// A platform starts a process of a node when the one before it has ended, so the key's leader
 /// is no more; while it stood no other was valid, see docs/notes/quick-restarts.md.
-async fn bury(shared: &Shared, token: u64) -> bool {
-    let led = shared.store.get(FOUNDED, Urgency::Renewal, false).await;
+async fn bury(context: &ControllerContext, token: u64) -> bool {
+    let led = context.store.get(FOUNDED, Urgency::Renewal, false).await;
     let led = led.ok().flatten();
     if led.and_then(|item| item.value.get(LED)?.as_u64()) != Some(token) {
         return false;
     }
-    let removed = remove_key(shared, token).await;
+    let removed = remove_key(context, token).await;
     if removed {
         tracing::info!(token, "the key of this node's last process is removed");
     }
@@ -153,39 +153,39 @@
 
 /// Removes the leader key of a token whose leader is surely no more, and will not be again.
 /// Then no word that was given until now binds anybody.
-async fn remove_key(shared: &Shared, token: u64) -> bool {
+async fn remove_key(context: &ControllerContext, token: u64) -> bool {
     let drop = Transaction {
         conditions: vec![(LEADER.to_string(), token)],
         changes: vec![Change::Delete {
             key: LEADER.to_string(),
         }],
     };
-    shared.set_asking(true);
-    let dropped = shared.store.commit(&drop, Urgency::Renewal, false).await;
+    context.set_asking(true);
+    let dropped = context.store.commit(&drop, Urgency::Renewal, false).await;
     if dropped.is_ok() {
-        shared.released();
+        context.released();
     }
-    shared.set_asking(false);
+    context.set_asking(false);
     dropped.is_ok()
 }
 
 /// What this node says to a leader that cannot renew. What it knows of the state service from a
 /// moment ago is enough to vouch; before it says no, it asks anew.
-pub async fn answer_to_leader(shared: &Shared, token: u64) -> PeerReply {
-    if shared.vouch(token) {
-        return PeerReply::Vouched;
+pub async fn answer_to_leader(context: &ControllerContext, token: u64) -> PeerReply {
+    if context.vote_to_extend_lease(token) {
+        return PeerReply::VoteGranted;
     }
-    let key = shared.store.get(LEADER, Urgency::Renewal, false);
+    let key = context.store.get(LEADER, Urgency::Renewal, false);
     let key = timeout(READ_KEY, key).await;
     if let Ok(Ok(Some(key))) = &key
         && key.version == token
-        && shared.is_idle()
-        && !shared.stands_back()
+        && context.is_idle()
+        && !context.is_backing_off()
     {
-        return PeerReply::CanTakeOver;
+        return PeerReply::ReadyForTransfer;
     }
-    if shared.vouch(token) {
-        PeerReply::Vouched
+    if context.vote_to_extend_lease(token) {
+        PeerReply::VoteGranted
     } else {
         PeerReply::Unable
     }
@@ -193,22 +193,22 @@
 
 /// Tells later processes of this node that the leader of this token knew that it led, and so
 /// gave its word to nobody.
-async fn leave_a_mark(shared: Arc<Shared>, token: u64) {
+async fn leave_a_mark(context: Arc<ControllerContext>, token: u64) {
     let mark = Transaction {
         conditions: vec![(LEADER.to_string(), token)],
         changes: vec![put(FOUNDED.to_string(), json!({ LED: token }))],
     };
-    while shared.leads(token) {
-        match shared.store.commit(&mark, Urgency::High, false).await {
+    while context.leads(token) {
+        match context.store.commit(&mark, Urgency::High, false).await {
             Ok(_) | Err(StoreError::Conflict(_)) => return,
             Err(_) => sleep(FOLLOW_EVERY).await,
         }
     }
 }
 
-async fn campaign(shared: &Shared, ttl: Duration) -> Result<Option<Won>, StoreError> {
-    if shared.has_promised()
-        && shared
+async fn campaign(context: &ControllerContext, ttl: Duration) -> Result<Option<Won>, StoreError> {
+    if context.has_promised()
+        && context
             .store
             .get(FOUNDED, Urgency::Renewal, false)
             .await?
@@ -217,27 +217,27 @@
         return Ok(None);
     }
     let sent = Instant::now();
-    let lease = shared.store.new_lease(ttl).await?;
+    let lease = context.store.new_lease(ttl).await?;
     // Tells this process's key from one that an earlier process of the same name wrote.
-    let nonce = shared.random(1 << 52);
+    let nonce = context.random(1 << 52);
     let txn = Transaction {
         conditions: vec![(LEADER.to_string(), 0)],
         changes: vec![
             Change::Put {
                 key: LEADER.to_string(),
-                value: json!({"member": shared.settings.member, "nonce": nonce}),
+                value: json!({"member": context.settings.member, "nonce": nonce}),
                 lease: Some(lease),
             },
             put(FOUNDED.to_string(), json!({})),
         ],
     };
-    match shared.store.commit(&txn, Urgency::Renewal, false).await {
+    match context.store.commit(&txn, Urgency::Renewal, false).await {
         Ok(_) | Err(StoreError::Unknown(_)) => {}
         Err(StoreError::Conflict(_)) => return Ok(None),
         Err(error) => return Err(error),
     }
     // Read back: the key says who has won, and its version is the token.
-    let Some(item) = shared.store.get(LEADER, Urgency::Renewal, false).await? else {
+    let Some(item) = context.store.get(LEADER, Urgency::Renewal, false).await? else {
         return Ok(None);
     };
     if item.value.get("nonce").and_then(|n| n.as_u64()) != Some(nonce) {
@@ -253,36 +253,36 @@
 /// Renews until the lease has surely ended. While renewals fail the leader is
 /// suspended rather than deposed: after an outage every lease has its full
 /// time again, so the same key, and with it the token, may still be ours.
-async fn lead(shared: &Arc<Shared>, handle: &Handle, ttl: Duration, won: Won) {
+async fn lead(context: &Arc<ControllerContext>, handle: &Handle, ttl: Duration, won: Won) {
     handle.send(Command::Elected { token: won.token }).await;
     tracing::info!(token = won.token, "elected");
-    tokio::spawn(leave_a_mark(shared.clone(), won.token));
+    tokio::spawn(leave_a_mark(context.clone(), won.token));
     let every = ttl / 6;
     let mut on_word = false;
     let mut failures = 0;
     loop {
         sleep(if failures == 1 { TRY_AGAIN } else { every }).await;
-        if !shared.leads(won.token) {
+        if !context.leads(won.token) {
             break;
         }
         let sent = Instant::now();
-        let left = shared
+        let left = context
             .valid_for()
             .clamp(Duration::from_millis(150), Duration::from_millis(600));
-        match shared.store.extend_lease(won.lease, left).await {
+        match context.store.extend_lease(won.lease, left).await {
             Ok(()) => {
-                if shared.valid_for().is_zero() || on_word {
+                if context.valid_for().is_zero() || on_word {
                     tracing::info!(token = won.token, "lease renewed after a pause");
                 }
                 (on_word, failures) = (false, 0);
-                shared.renewed(sent);
+                context.renewed(sent);
             }
             Err(StoreError::NoLease) => break,
             Err(error) => {
                 tracing::debug!(%error, "renewal failed");
                 let asked = Instant::now();
-                let others = ask_others(shared, won.token, left).await;
-                if others == Others::Vouch && shared.vouched_for(asked) {
+                let others = ask_others(context, won.token, left).await;
+                if others == Others::VoteToExtendLease && context.lease_extended_by_peers(asked) {
                     if !on_word {
                         tracing::info!(%error, "cannot renew; all other nodes vouch");
                     }
@@ -290,18 +290,18 @@
                     continue;
                 }
                 failures += 1;
-                if let Others::CanTakeOver(peer) = others
+                if let Others::ReadyForTransfer(peer) = others
                     && failures >= FAILURES
                 {
-                    hand_over(shared, handle, won.token, peer).await;
+                    transfer_leadership(context, handle, won.token, peer).await;
                     return;
                 }
             }
         }
     }
-    shared.step_down(won.token);
+    context.step_down(won.token);
     // The next leader need not wait for the rest of the lease.
-    shared.store.end_lease(won.lease).await;
+    context.store.end_lease(won.lease).await;
     tracing::info!(token = won.token, "no longer leader");
     handle.send(Command::Lost { token: won.token }).await;
 }
@@ -310,31 +310,36 @@
 /// served, and steps down for good before it says so. Its lease once had to run out: nobody was
 /// valid for a second or two, and where an outage of all began in them, for as long as that, so
 /// that every worker's lease ran out.
-async fn hand_over(shared: &Shared, handle: &Handle, token: u64, to: SocketAddr) {
-    shared.step_down(token);
+async fn transfer_leadership(
+    context: &ControllerContext,
+    handle: &Handle,
+    token: u64,
+    to: SocketAddr,
+) {
+    context.step_down(token);
     tracing::info!(token, "cannot renew and another node can: handing over");
     // Before it hears who leads next.
     handle.send(Command::Lost { token }).await;
-    let told = PeerRequest::TakeOver { token };
-    call_peer(shared.http.as_ref(), to, &told, HAND_OVER).await;
+    let told = PeerRequest::TransferLeadership { token };
+    call_peer(context.http.as_ref(), to, &told, TRANSFER_DEADLINE).await;
 }
 
 /// What the others say to a leader that cannot renew.
 #[derive(Debug, PartialEq)]
 enum Others {
     /// All vouch.
-    Vouch,
+    VoteToExtendLease,
     /// This one is served.
-    CanTakeOver(SocketAddr),
+    ReadyForTransfer(SocketAddr),
     Neither,
 }
 
-async fn ask_others(shared: &Shared, token: u64, deadline: Duration) -> Others {
+async fn ask_others(context: &ControllerContext, token: u64, deadline: Duration) -> Others {
     let mut asked = tokio::task::JoinSet::new();
-    for peer in &shared.settings.others {
-        let (http, address) = (shared.http.clone(), peer.peer_addr);
+    for peer in &context.settings.others {
+        let (http, address) = (context.http.clone(), peer.peer_addr);
         asked.spawn(async move {
-            let request = PeerRequest::Vouch { token };
+            let request = PeerRequest::VoteToExtendLease { token };
             let reply = call_peer(http.as_ref(), address, &request, deadline).await;
             (address, reply)
         });
@@ -342,13 +347,15 @@
     let mut all_vouch = true;
     while let Some(reply) = asked.join_next().await {
         match reply {
-            Ok((_, Some(PeerReply::Vouched))) => {}
-            Ok((address, Some(PeerReply::CanTakeOver))) => return Others::CanTakeOver(address),
+            Ok((_, Some(PeerReply::VoteGranted))) => {}
+            Ok((address, Some(PeerReply::ReadyForTransfer))) => {
+                return Others::ReadyForTransfer(address);
+            }
             _ => all_vouch = false,
         }
     }
     if all_vouch {
-        Others::Vouch
+        Others::VoteToExtendLease
     } else {
         Others::Neither
     }
@@ -356,14 +363,14 @@
 
 /// What is wanted of each reply, if all other nodes give one that has it.
 async fn all_answer<T>(
-    shared: &Shared,
+    context: &ControllerContext,
     request: &PeerRequest,
     deadline: Duration,
     wanted: impl Fn(PeerReply) -> Option<T>,
 ) -> Option<Vec<T>> {
     let mut asked = tokio::task::JoinSet::new();
-    for peer in &shared.settings.others {
-        let http = shared.http.clone();
+    for peer in &context.settings.others {
+        let http = context.http.clone();
         let (address, request) = (peer.peer_addr, request.clone());
         asked.spawn(async move { call_peer(http.as_ref(), address, &request, deadline).await });
     }
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -16,17 +16,17 @@
 impl Core {
     /// A task of a gang's attempt is gone without being done: the rest of the
     /// attempt is of no use, and leaves before the next one starts.
-    pub(super) fn gang_lost_task(&mut self, key: CopyKey) {
+    pub(super) fn gang_lost_task(&mut self, key: InstanceId) {
         let Some(job) = self.jobs.get(key.job) else {
             return;
         };
         if !job.is_gang() || job.spec.tasks == 1 || job.done > 0 {
             return;
         }
-        for m in self.machines.indices() {
-            for other in self.copies_of(m, key.job) {
+        for m in self.workers.indices() {
+            for other in self.instances_of(m, key.job) {
                 if other.attempt == key.attempt {
-                    self.stop_copy(m, other, 0.0);
+                    self.stop_instance(m, other, 0.0);
                 }
             }
         }
@@ -37,9 +37,9 @@
     /// would hold its places, and the next attempt back, until it gives up by itself.
     pub(super) fn end_broken_attempts(&mut self, ix: u32) {
         let mut tasks: BTreeMap<u64, BTreeSet<u32>> = BTreeMap::new();
-        for m in self.machines.indices() {
-            for key in self.copies_of(m, ix) {
-                if self.machines[m].copies[&key].possible() {
+        for m in self.workers.indices() {
+            for key in self.instances_of(m, ix) {
+                if self.workers[m].instances[&key].possible() {
                     tasks.entry(key.attempt).or_default().insert(key.task);
                 }
             }
@@ -47,7 +47,7 @@
         let all = self.jobs[ix].spec.tasks as usize;
         for (attempt, _) in tasks.into_iter().filter(|(_, t)| t.len() < all) {
             tracing::info!(job = %self.jobs[ix].spec.id, attempt, "an inherited attempt is broken");
-            self.gang_lost_task(CopyKey {
+            self.gang_lost_task(InstanceId {
                 job: ix,
                 task: 0,
                 attempt,
@@ -58,26 +58,26 @@
     /// Orderly: every task is told in the same step, with the time to save.
     pub(super) fn stop_gang(&mut self, ix: u32) {
         let grace = grace_to_save(self.jobs[ix].spec.save_s);
-        for m in self.machines.indices() {
-            for key in self.copies_of(m, ix) {
-                self.stop_copy(m, key, grace);
+        for m in self.workers.indices() {
+            for key in self.instances_of(m, ix) {
+                self.stop_instance(m, key, grace);
             }
         }
     }
 
     /// Stops a copy with the time to save, and a gang as a whole.
-    pub(super) fn stop_in_order(&mut self, m: u32, key: CopyKey) {
+    pub(super) fn stop_in_order(&mut self, m: u32, key: InstanceId) {
         if self.is_whole_gang(key.job) {
             self.stop_gang(key.job);
         } else {
-            self.stop_copy(m, key, self.grace_of(key.job));
+            self.stop_instance(m, key, self.grace_of(key.job));
         }
     }
 
-    /// The machine will be taken: what can save does so now, gangs as a whole.
+    /// The worker will be taken: what can save does so now, gangs as a whole.
     /// What cannot save runs on, and may finish before.
     pub(super) fn save_before_reclaim(&mut self, m: u32) {
-        let keys: Vec<CopyKey> = self.machines[m].copies.keys().copied().collect();
+        let keys: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
         for key in keys {
             if self.grace_of(key.job) > 0.0 {
                 self.stop_in_order(m, key);
@@ -102,10 +102,10 @@
         let mut best: Option<(f64, Vec<u32>)> = None;
         for zone in zones {
             let mut lots: Vec<(u32, f64)> = self
-                .machines
+                .workers
                 .indices()
                 .into_iter()
-                .filter(|&m| zone.is_none_or(|z| self.machines[m].zone == z))
+                .filter(|&m| zone.is_none_or(|z| self.workers[m].zone == z))
                 .filter(|&m| self.may_start(ix, 0, m))
                 .map(|m| (m, self.value(ix, m)))
                 .collect();
@@ -114,8 +114,8 @@
             let mut worth = 0.0;
             let mut by_zone = vec![0u32; self.zones.len()];
             for (m, value) in lots {
-                let mut room = self.room_after_claims(m, ix);
-                let z = self.machines[m].zone as usize;
+                let mut room = self.room_after_reservations(m, ix);
+                let z = self.workers[m].zone as usize;
                 while places.len() < job.spec.tasks as usize
                     && job.spec.needs.fits_in(&room)
                     && by_zone[z] < job.zone_cap()
@@ -136,10 +136,10 @@
         best.map(|(_, places)| places)
     }
 
-    /// Lets late gangs gather machines, one gang a zone. Without that, smaller
-    /// gangs took every machine as it came free, and one that needs several at
+    /// Lets late gangs gather workers, one gang a zone. Without that, smaller
+    /// gangs took every worker as it came free, and one that needs several at
     /// once waited for minutes. Before it is late a gang does better to wait for
-    /// another to end, which frees several at once. Only machines that are free
+    /// another to end, which frees several at once. Only workers that are free
     /// are held, for one batch at a time, and nobody holds any in two zones, so
     /// no two gangs can wait for each other.
     pub(super) fn gather_for_gangs(&mut self, order: &[u32]) {
@@ -155,53 +155,55 @@
             {
                 continue;
             }
-            let own = self.claimed_by_zone(ix);
+            let own = self.reserved_by_zone(ix);
             let best = (0..self.zones.len())
                 .filter(|&z| !held_by_zone[z])
                 .filter_map(|z| {
-                    let machines = self.soonest_for(ix, z as u32)?;
-                    let ready = machines.last().map_or(0.0, |m| m.0);
+                    let workers = self.soonest_for(ix, z as u32)?;
+                    let ready = workers.last().map_or(0.0, |m| m.0);
                     // It stays where it has begun.
-                    Some((own[z] == 0, ready, z, machines))
+                    Some((own[z] == 0, ready, z, workers))
                 })
                 .min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-            let Some((_, _, zone, machines)) = best else {
+            let Some((_, _, zone, workers)) = best else {
                 continue;
             };
             held_by_zone[zone] = true;
             let needs = self.jobs[ix].spec.needs;
-            for (_, m) in machines {
-                self.machines[m].claims.retain(|c| c.job == ix);
-                if !self.machines[m].claims.is_empty() {
-                    self.renew_claim(m, ix, GATHER_CLAIM_S);
-                } else if needs.fits_in(&self.room_after_claims(m, ix)) {
-                    self.claim(m, ix, GATHER_CLAIM_S);
+            for (_, m) in workers {
+                self.workers[m].reservations.retain(|c| c.job == ix);
+                if !self.workers[m].reservations.is_empty() {
+                    self.renew_reservation(m, ix, GATHER_CLAIM_S);
+                } else if needs.fits_in(&self.room_after_reservations(m, ix)) {
+                    self.reserve(m, ix, GATHER_CLAIM_S);
                 }
             }
         }
     }
 
-    /// The machines of a zone that have room for all tasks of a gang soonest, as
+    /// The workers of a zone that have room for all tasks of a gang soonest, as
     /// far as estimates tell, and in how many seconds.
     fn soonest_for(&self, ix: u32, zone: u32) -> Option<Vec<(f64, u32)>> {
         let job = &self.jobs[ix];
         let weight = self.weight(ix);
         // Room kept for lighter work of the same shape is taken over.
-        let yields = |c: &Claim| {
-            c.job == ix || (self.jobs[c.job].shape == job.shape && self.weight(c.job) < weight)
+        let yields = |c: &Reservation| {
+            c.job == ix
+                || (self.jobs[c.job].large_task_profile == job.large_task_profile
+                    && self.weight(c.job) < weight)
         };
-        let mut machines: Vec<(f64, u32)> = self
-            .machines
+        let mut workers: Vec<(f64, u32)> = self
+            .workers
             .indices()
             .into_iter()
-            .filter(|&m| self.machines[m].zone == zone && self.claimable(ix, m))
-            .filter(|&m| self.machines[m].claims.iter().all(yields))
+            .filter(|&m| self.workers[m].zone == zone && self.reservable(ix, m))
+            .filter(|&m| self.workers[m].reservations.iter().all(yields))
             .filter_map(|m| Some((self.drained_in(&job.spec.needs, m)?, m)))
             .collect();
-        machines.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        workers.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let tasks = job.spec.tasks as usize;
-        machines.truncate(tasks);
-        (machines.len() == tasks).then_some(machines)
+        workers.truncate(tasks);
+        (workers.len() == tasks).then_some(workers)
     }
 
     fn team_allows_all(&self, ix: u32) -> bool {
@@ -218,7 +220,7 @@
         for (task, &m) in (0u32..).zip(places) {
             if !self.may_start(ix, task, m) {
                 tracing::error!(job = %self.jobs[ix].spec.id, "a planned gang does not fit");
-                self.gang_lost_task(CopyKey {
+                self.gang_lost_task(InstanceId {
                     job: ix,
                     task,
                     attempt,
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -1,37 +1,37 @@
 //! What goes into the core and what comes out of it.
 
-use crate::bookkeeping::StoredJob;
-use crate::bookkeeping::writer::{Write, Written};
 use crate::protocol::JobId;
-use crate::protocol::cloud::{Listed, MachineType};
-use crate::protocol::job::Standing;
+use crate::protocol::cloud::{ListedWorker, MachineType};
+use crate::protocol::job::JobOutcome;
 pub use crate::protocol::peer::Outcome;
-use crate::protocol::peer::{Downward, Order, Told, Upward};
-use crate::protocol::worker::{Command, Report};
+use crate::protocol::peer::{AdminRequest, ForwardedHeartbeat, ShardStatus, ShardUpdate};
+use crate::protocol::worker::{Command, Heartbeat};
+use crate::storage::StoredJob;
+use crate::storage::writer::{Write, Written};
 
 #[derive(Debug)]
 pub enum Input {
-    Report {
+    Heartbeat {
         ticket: u64,
-        report: Report,
+        heartbeat: Heartbeat,
     },
     /// The end of a direct message.
     Direct {
-        machine: String,
-        flight: u64,
+        worker: String,
+        message_id: u64,
         outcome: Outcome,
     },
-    /// What a holder of some of the machines tells.
-    Upward {
+    /// What a shard owner of some of the workers tells.
+    ShardStatus {
         ticket: u64,
-        word: Upward,
+        word: ShardStatus,
     },
     /// What this node had heard before it was elected.
-    Heard(Vec<Told>),
+    BufferedHeartbeats(Vec<ForwardedHeartbeat>),
     /// Messages that another node was to carry and did not take; `surely`: it carries none.
-    NotCarried {
-        node: u32,
-        flights: Vec<u64>,
+    RelayFailed {
+        controller: u32,
+        message_ids: Vec<u64>,
         surely: bool,
     },
     Job(StoredJob),
@@ -41,30 +41,30 @@
     },
     CancelSettled {
         job: JobId,
-        end: Option<Standing>,
+        end: Option<JobOutcome>,
     },
-    Operate {
+    Admin {
         ticket: u64,
-        order: Order,
+        order: AdminRequest,
         /// The time of day, for what is stored.
         unix_ms: u64,
     },
     Written(Vec<(Write, Written)>),
     Types(Vec<MachineType>),
-    Listed(Vec<Listed>),
-    Rented {
+    ListedWorker(Vec<ListedWorker>),
+    ScaledOut {
         request: String,
-        outcome: RentOutcome,
+        outcome: ScaleOutOutcome,
     },
-    Returned {
-        machines: Vec<String>,
+    ScaledIn {
+        workers: Vec<String>,
         ok: bool,
     },
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum RentOutcome {
-    Machines(Vec<String>),
+pub enum ScaleOutOutcome {
+    Workers(Vec<String>),
     NoCapacity,
     /// Not carried out; worth trying later.
     Refused,
@@ -73,7 +73,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelBegin {
-    Over(Standing),
+    Terminal(JobOutcome),
     /// Its end is just being stored.
     Busy,
     /// Nothing of it is started any more; store the cancellation, and how many of its
@@ -98,39 +98,39 @@
     /// Answer a report without renewing anything: this node is to be reported to.
     SendTo {
         ticket: u64,
-        node: u32,
+        controller: u32,
     },
-    /// Answer a holder; `None`: it was overtaken by another word of the same.
+    /// Answer a shard owner; `None`: it was overtaken by another word of the same.
     Granted {
         ticket: u64,
-        down: Option<Downward>,
+        down: Option<ShardUpdate>,
     },
     Direct {
-        machine: String,
+        worker: String,
         address: String,
-        session: u64,
-        flight: u64,
+        incarnation: u64,
+        message_id: u64,
         commands: Vec<Command>,
         /// Through this node.
         via: Option<u32>,
     },
     Inspect {
-        machine: String,
+        worker: String,
         address: String,
         /// As far as is known, or as it most likely is.
-        session: u64,
-        flight: u64,
+        incarnation: u64,
+        message_id: u64,
         via: Option<u32>,
     },
     Write(Vec<Write>),
-    Rent {
+    ScaleOut {
         request: String,
         machine_type: String,
         zone: String,
         spot: bool,
         count: u32,
     },
-    Return(Vec<String>),
+    ScaleIn(Vec<String>),
     List,
     ReadTypes,
     Cancel {
@@ -138,7 +138,7 @@
         begin: CancelBegin,
     },
     /// Answer an operator.
-    Operated {
+    AdminAnswered {
         ticket: u64,
         status: u16,
         body: Vec<u8>,
@@ -151,6 +151,6 @@
 /// commands in the response before it, only a direct answer of its message.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Source {
-    Hello,
-    Direct { flight: u64, executed: bool },
+    Heartbeat,
+    Direct { message_id: u64, executed: bool },
 }
--- a/src/coordination/relocation.rs
+++ b/src/coordination/migration.rs
@@ -1,16 +1,16 @@
-//! Work that moves so that whole machines come free, or so that a node empties.
+//! Work that moves so that whole workers come free, or so that a node empties.
 //!
 //! `copperfield_defrag` plans; this carries out. A move claims its target, stops the
 //! task in order, and waits until the old copy is surely gone. Then the task waits
 //! like any other, and the claim brings it to its target with a new attempt. So a
 //! move adds no way for a task to start: whatever fails on the way, the rules are
-//! kept by the same checks as ever (`copies`). Nothing of a move is stored: a new
+//! kept by the same checks as ever (`instances`). Nothing of a move is stored: a new
 //! leader finds the task where it is, saving, or nowhere, and goes on from there.
 
 use std::collections::BTreeMap;
 
 use copperfield_defrag as defrag;
-use copperfield_protocol::job::Amounts;
+use copperfield_protocol::job::Resources;
 
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
@@ -18,7 +18,7 @@
 
 use super::gangs::grace_to_save;
 use super::model::*;
-use super::state::{Core, Relocation, SETTLED_S};
+use super::state::{Core, SETTLED_S, TaskMigration};
 
 /// What ends by itself within so many seconds is not moved.
 const SOON_S: f64 = 5.0;
@@ -41,21 +41,21 @@
 /// The fleet as the planner sees it, and which indices are whose.
 struct View {
     fleet: defrag::Fleet,
-    machines: Vec<u32>,
-    copies: Vec<CopyKey>,
+    workers: Vec<u32>,
+    instances: Vec<InstanceId>,
 }
 
 impl Core {
-    /// Once a second: moves what may move off the machines that the most important
-    /// whole-machine jobs wait for.
-    pub(super) fn free_whole_machines(&mut self) {
+    /// Once a second: moves what may move off the workers that the most important
+    /// whole-worker jobs wait for.
+    pub(super) fn free_whole_workers(&mut self) {
         let now = self.now;
         let mut wants: Vec<(f64, u32)> = self
             .jobs
             .iter()
             .filter(|(ix, j)| {
                 j.state == JobState::Live
-                    && j.shape.is_some()
+                    && j.large_task_profile.is_some()
                     && !j.blocked
                     && j.unplaced_since.is_some_and(|t| now - t > 1.0)
                     && !self.is_mistaken(*ix)
@@ -64,7 +64,7 @@
             .collect();
         wants.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         let waiting: Vec<JobId> = wants.iter().map(|&(_, ix)| self.jobs[ix].spec.id).collect();
-        let moves = &mut self.relocations;
+        let moves = &mut self.migrations;
         moves.reasons.retain(|id, _| waiting.contains(id));
         moves.patience.retain(|id, _| waiting.contains(id));
         let mut planned = 0;
@@ -74,7 +74,7 @@
             }
             let id = self.jobs[ix].spec.id;
             let (tries, next) = self
-                .relocations
+                .migrations
                 .patience
                 .get(&id)
                 .copied()
@@ -93,7 +93,7 @@
                     }
                 }
             };
-            self.relocations.reasons.insert(id, reason);
+            self.migrations.reasons.insert(id, reason);
         }
     }
 
@@ -103,10 +103,10 @@
         let id = job.spec.id;
         let whole = self.is_whole_gang(ix);
         let missing = job.waiting().min(self.canaries(ix));
-        let sure = self.sure_claims(ix);
+        let sure = self.certain_reservations(ix);
         let missing = missing.saturating_sub(sure.len() as u32);
         let under_way = |core: &Self| {
-            let live = core.relocations.live.iter();
+            let live = core.migrations.live.iter();
             live.filter(|r| r.wanted_by == Some(id)).count()
         };
         if missing == 0 {
@@ -138,7 +138,7 @@
         }
         tracing::info!(
             job = %id,
-            machines = plan.frees.len(),
+            workers = plan.frees.len(),
             moves = plan.moves.len(),
             lost_s = plan.lost_s,
             cost = plan.cost,
@@ -147,43 +147,43 @@
         let longest = plan
             .moves
             .iter()
-            .map(|mv| self.stop_s(view.copies[mv.copy as usize].job))
+            .map(|mv| self.stop_s(view.instances[mv.instance as usize].job))
             .fold(SOON_S, f64::max);
         // What it waited for elsewhere it waits for no more.
-        for m in self.machines.indices() {
+        for m in self.workers.indices() {
             if !sure.contains(&m) {
-                self.machines[m].claims.retain(|c| c.job != ix);
+                self.workers[m].reservations.retain(|c| c.job != ix);
             }
         }
         for &m in plan.frees.iter().chain(&plan.free_already) {
-            self.claim(view.machines[m as usize], ix, longest + ARRIVAL_S);
+            self.reserve(view.workers[m as usize], ix, longest + ARRIVAL_S);
         }
         if !self.begin(&view, &plan.moves, Some(id)) {
             return Err("room at a target is gone again".into());
         }
         for &m in plan.frees.iter().chain(&plan.free_already) {
-            self.clear_guests(view.machines[m as usize], ix);
+            self.clear_guests(view.workers[m as usize], ix);
         }
         Ok(under_way(self))
     }
 
-    /// Machines that are claimed for a job and will surely have room: moves off them are
+    /// Workers that are claimed for a job and will surely have room: moves off them are
     /// under way, or what is on them ends in a moment. Other claims only keep new work off
-    /// a machine until the old has ended, and moves may do better.
-    fn sure_claims(&self, ix: u32) -> Vec<u32> {
+    /// a worker until the old has ended, and moves may do better.
+    fn certain_reservations(&self, ix: u32) -> Vec<u32> {
         let job = &self.jobs[ix];
         let moving = |m: u32| {
-            let mut live = self.relocations.live.iter();
-            live.any(|r| r.wanted_by == Some(job.spec.id) && r.from == self.machines[m].name)
+            let mut live = self.migrations.live.iter();
+            live.any(|r| r.wanted_by == Some(job.spec.id) && r.from == self.workers[m].name)
         };
-        let claimed = |m: &u32| self.machines[*m].claims.iter().any(|c| c.job == ix);
-        let mut machines = self.machines.indices();
-        machines.retain(claimed);
-        machines.retain(|&m| {
+        let reserved = |m: &u32| self.workers[*m].reservations.iter().any(|c| c.job == ix);
+        let mut workers = self.workers.indices();
+        workers.retain(reserved);
+        workers.retain(|&m| {
             let soon = self.drained_in(&job.spec.needs, m);
             moving(m) || soon.is_some_and(|s| s <= SOON_S)
         });
-        machines
+        workers
     }
 
     /// In how many seconds a job would have its places without any move, as far as
@@ -191,14 +191,14 @@
     fn by_itself_s(&self, ix: u32, places: usize) -> f64 {
         let job = &self.jobs[ix];
         let mut by_zone: BTreeMap<u32, Vec<f64>> = BTreeMap::new();
-        for m in self.machines.indices() {
-            let yields = |c: &Claim| c.job == ix;
-            if self.claimable(ix, m)
-                && self.machines[m].claims.iter().all(yields)
+        for m in self.workers.indices() {
+            let yields = |c: &Reservation| c.job == ix;
+            if self.reservable(ix, m)
+                && self.workers[m].reservations.iter().all(yields)
                 && let Some(s) = self.drained_in(&job.spec.needs, m)
             {
                 let zone = if job.spec.one_zone {
-                    self.machines[m].zone
+                    self.workers[m].zone
                 } else {
                     0
                 };
@@ -212,7 +212,7 @@
         last.fold(f64::INFINITY, f64::min)
     }
 
-    /// What a job wants of the planner; `None` if no known machine suits it. A place is
+    /// What a job wants of the planner; `None` if no known worker suits it. A place is
     /// worth the waiting that it spares.
     fn want(
         &self,
@@ -234,7 +234,7 @@
         let mut by_zone = job.by_zone.clone();
         by_zone.resize(self.zones.len(), 0);
         for &m in sure {
-            by_zone[self.machines[m].zone as usize] += 1;
+            by_zone[self.workers[m].zone as usize] += 1;
         }
         Some(defrag::Want {
             needs: job.spec.needs,
@@ -252,9 +252,9 @@
     }
 
     fn limits(&self) -> defrag::Limits {
-        let most = self.config.tuning.defragmentation.most_moves as usize;
+        let limit = self.config.tuning.defragmentation.most_moves as usize;
         defrag::Limits {
-            moves: most.saturating_sub(self.relocations.live.len()),
+            moves: limit.saturating_sub(self.migrations.live.len()),
             soon_s: SOON_S,
             move_s: MOVE_S,
         }
@@ -263,87 +263,87 @@
     /// The fleet for a plan: for a job that waits, or for a node that drains.
     fn view(&self, want: Option<u32>, sure: &[u32]) -> View {
         let now = self.now;
-        let shape = want.and_then(|ix| self.jobs[ix].shape);
+        let large_task_profile = want.and_then(|ix| self.jobs[ix].large_task_profile);
         let mut view = View {
             fleet: defrag::Fleet::default(),
-            machines: Vec::new(),
-            copies: Vec::new(),
+            workers: Vec::new(),
+            instances: Vec::new(),
         };
         let mut dense: BTreeMap<u32, u32> = BTreeMap::new();
         let mut away: BTreeMap<JobId, u32> = BTreeMap::new();
-        for r in &self.relocations.live {
+        for r in &self.migrations.live {
             *away.entry(r.id).or_default() += 1;
         }
         let mut avoid: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
-        for (m, machine) in self.machines.iter() {
-            let Some(kind) = self.types.get(machine.kind) else {
+        for (m, worker) in self.workers.iter() {
+            let Some(kind) = self.types.get(worker.kind) else {
                 continue;
             };
-            let at = view.machines.len() as u32;
-            view.machines.push(m);
-            let usable = self.machine_usable(m);
-            let own = machine.kept_for.is_some() && machine.kept_for == shape;
-            let weak = |c: &Claim| Some(c.job) == want && !sure.contains(&m);
-            let unclaimed = machine.claims.iter().all(weak);
-            let price = if machine.spot {
+            let at = view.workers.len() as u32;
+            view.workers.push(m);
+            let usable = self.worker_usable(m);
+            let own = worker.reserved_for.is_some() && worker.reserved_for == large_task_profile;
+            let weak = |c: &Reservation| Some(c.job) == want && !sure.contains(&m);
+            let unclaimed = worker.reservations.iter().all(weak);
+            let price = if worker.spot {
                 kind.spot_price
             } else {
                 kind.price * self.config.tuning.owned_price
             };
-            view.fleet.machines.push(defrag::Machine {
-                zone: machine.zone,
-                kind: machine.kind,
-                spot: machine.spot,
+            view.fleet.workers.push(defrag::Worker {
+                zone: worker.zone,
+                kind: worker.kind,
+                spot: worker.spot,
                 receives: usable,
-                frees: usable && unclaimed && (own || machine.kept_for.is_none()),
+                frees: usable && unclaimed && (own || worker.reserved_for.is_none()),
                 whole: kind.whole,
                 room: match want.filter(|_| unclaimed) {
-                    Some(ix) => self.room_after_claims(m, ix),
-                    None => self.room_after_claims(m, u32::MAX),
+                    Some(ix) => self.room_after_reservations(m, ix),
+                    None => self.room_after_reservations(m, u32::MAX),
                 },
                 price: price / 3600.0,
                 fetch_gb_per_s: kind.fetch_gb_per_s,
-                images: machine.images.clone(),
+                images: worker.images.clone(),
                 yields: self.yields(m, kind, price / 3600.0),
             });
-            for (&job, _) in machine.failed.iter().filter(|(_, t)| **t > now) {
+            for (&job, _) in worker.failed.iter().filter(|(_, t)| **t > now) {
                 avoid.entry(job).or_default().push(at);
             }
-            for (key, copy) in machine.copies.iter().filter(|(_, c)| c.possible()) {
+            for (key, instance) in worker.instances.iter().filter(|(_, c)| c.possible()) {
                 let work = *dense.entry(key.job).or_insert_with(|| {
                     let away = away.get(&self.jobs[key.job].spec.id).copied();
                     view.fleet.works.push(self.work(key.job, away.unwrap_or(0)));
                     view.fleet.works.len() as u32 - 1
                 });
-                let (ends_in_s, lost_s) = self.prospects(key, copy);
-                view.fleet.copies.push(defrag::Copy {
-                    machine: at,
+                let (ends_in_s, lost_s) = self.prospects(key, instance);
+                view.fleet.instances.push(defrag::TaskInstance {
+                    worker: at,
                     work,
-                    movable: self.may_move(key, copy, lost_s, machine.draining),
+                    movable: self.may_move(key, instance, lost_s, worker.draining),
                     ends_in_s,
                     lost_s,
                 });
-                view.copies.push(*key);
+                view.instances.push(*key);
             }
         }
-        for (job, machines) in avoid {
+        for (job, workers) in avoid {
             if let Some(&work) = dense.get(&job) {
-                view.fleet.works[work as usize].avoid = machines;
+                view.fleet.works[work as usize].avoid = workers;
             }
         }
         view
     }
 
-    /// What on a machine gives way to higher work, and for how much: what its stop loses,
+    /// What on a worker gives way to higher work, and for how much: what its stop loses,
     /// in the money that moves cost.
     fn yields(&self, m: u32, kind: &MachineType, price: f64) -> Vec<defrag::Yield> {
-        let copies = self.machines[m].copies.iter();
-        let stoppable =
-            copies.filter(|(k, c)| c.possible() && c.stop.is_none() && !self.is_whole_gang(k.job));
+        let instances = self.workers[m].instances.iter();
+        let stoppable = instances
+            .filter(|(k, c)| c.possible() && c.stop.is_none() && !self.is_whole_gang(k.job));
         let mut yields: Vec<defrag::Yield> = stoppable
-            .map(|(key, copy)| {
+            .map(|(key, instance)| {
                 let spec = &self.jobs[key.job].spec;
-                let (_, lost_s) = self.prospects(key, copy);
+                let (_, lost_s) = self.prospects(key, instance);
                 let share = spec.needs.share_of(&kind.whole);
                 defrag::Yield {
                     rank: spec.priority as u8,
@@ -360,7 +360,7 @@
         let job = &self.jobs[ix];
         let share = self.config.tuning.defragmentation.away_share;
         let gang = self.is_whole_gang(ix);
-        let most = if gang {
+        let limit = if gang {
             job.spec.tasks
         } else {
             (f64::from(job.active) * share).floor().max(1.0) as u32
@@ -378,22 +378,22 @@
             image: job.image,
             image_gb: job.spec.image_gb,
             gang,
-            may_leave: most.saturating_sub(away),
+            may_leave: limit.saturating_sub(away),
             avoid: Vec::new(),
         }
     }
 
     /// In how many seconds a copy ends by itself, and how many seconds of its work a
     /// stop would lose.
-    fn prospects(&self, key: &CopyKey, copy: &Copy) -> (f64, f64) {
+    fn prospects(&self, key: &InstanceId, instance: &TaskInstance) -> (f64, f64) {
         let job = &self.jobs[key.job];
-        if copy.stop.is_some() {
+        if instance.stop.is_some() {
             return (0.0, 0.0);
         }
         if job.is_service() {
             return (f64::INFINITY, 0.0);
         }
-        let ran = copy.running_since.map_or(0.0, |t| self.now - t);
+        let ran = instance.running_since.map_or(0.0, |t| self.now - t);
         // One that has run for longer than was thought may run on for a while.
         let left = (job.work_s() - ran).max(job.work_s() * 0.1);
         let lost = if job.spec.checkpoint_s > 0.0 {
@@ -406,23 +406,31 @@
 
     /// Whether a copy may be moved now. A node that drains does not wait for a start to
     /// have lasted; everything else holds for it too.
-    fn may_move(&self, key: &CopyKey, copy: &Copy, lost_s: f64, drains: bool) -> bool {
+    fn may_move(
+        &self,
+        key: &InstanceId,
+        instance: &TaskInstance,
+        lost_s: f64,
+        drains: bool,
+    ) -> bool {
         let job = &self.jobs[key.job];
         let settings = &self.config.tuning.defragmentation;
         let saves = job.spec.checkpoint_s > 0.0;
-        let settled = copy.running_since.is_some_and(|t| self.now - t > SETTLED_S);
+        let reconciliation_complete = instance
+            .running_since
+            .is_some_and(|t| self.now - t > SETTLED_S);
         let has_aim = !job.start_by.is_empty() && job.patience_s < 120.0;
-        let again = self.relocations.moved_at.get(&(job.spec.id, key.task));
+        let again = self.migrations.moved_at.get(&(job.spec.id, key.task));
         job.movable
             && job.state == JobState::Live
             && !job.blocked
             // What of it waits would take the target before the task comes there.
             && job.waiting() == 0
-            && copy.phase == Some(TaskPhase::Running)
-            && copy.sent == Sent::Seen
-            && !copy.loose
-            && copy.stop.is_none()
-            && (drains || settled || !(has_aim || job.is_service()))
+            && instance.phase == Some(TaskPhase::Running)
+            && instance.sent == Sent::Seen
+            && !instance.unacknowledged
+            && instance.stop.is_none()
+            && (drains || reconciliation_complete || !(has_aim || job.is_service()))
             && (job.is_service() || saves || lost_s < settings.lost_work_s)
             && again.is_none_or(|t| self.now - t > settings.again_after_s)
     }
@@ -438,16 +446,20 @@
         gang_s + workers.report_s * 1.25 + PROOF_S
     }
 
-    /// Stops what is of a lower rank on a machine, as far as the job needs its room beside
+    /// Stops what is of a lower rank on a worker, as far as the job needs its room beside
     /// what leaves anyway.
     fn clear_guests(&mut self, m: u32, ix: u32) {
         let needs = self.jobs[ix].spec.needs;
         let mut room = self.free_room(m);
-        let mut guests: Vec<(f64, CopyKey)> = Vec::new();
-        for (key, copy) in self.machines[m].copies.iter().filter(|(_, c)| c.possible()) {
+        let mut guests: Vec<(f64, InstanceId)> = Vec::new();
+        for (key, instance) in self.workers[m]
+            .instances
+            .iter()
+            .filter(|(_, c)| c.possible())
+        {
             let job = &self.jobs[key.job];
-            let (ends_in_s, lost_s) = self.prospects(key, copy);
-            if copy.stop.is_some() || ends_in_s <= SOON_S {
+            let (ends_in_s, lost_s) = self.prospects(key, instance);
+            if instance.stop.is_some() || ends_in_s <= SOON_S {
                 room.add(&job.spec.needs);
             } else if job.spec.priority < self.jobs[ix].spec.priority
                 && !self.is_whole_gang(key.job)
@@ -469,16 +481,16 @@
     /// in order; or does nothing if a target turns out to have no room.
     fn begin(&mut self, view: &View, moves: &[defrag::Move], wanted_by: Option<JobId>) -> bool {
         let wanted = wanted_by.and_then(|id| self.job_ids.get(&id));
-        let shape = wanted.and_then(|&ix| self.jobs[ix].shape);
+        let large_task_profile = wanted.and_then(|&ix| self.jobs[ix].large_task_profile);
         let mut stops = Vec::new();
         let mut held: Vec<(u32, u32)> = Vec::new();
         for mv in moves {
-            let job = view.copies[mv.copy as usize].job;
-            let to = view.machines[mv.to as usize];
+            let job = view.instances[mv.instance as usize].job;
+            let to = view.workers[mv.to as usize];
             // One of those kept whole for the job is given up for the others: on a site
-            // where all free room is kept, and no machine of it free, nothing else helps.
-            if shape.is_some() && self.machines[to].kept_for == shape {
-                self.machines[to].kept_for = None;
+            // where all free room is kept, and no worker of it free, nothing else helps.
+            if large_task_profile.is_some() && self.workers[to].reserved_for == large_task_profile {
+                self.workers[to].reserved_for = None;
             }
             let Some((_, victims)) = self.victims(job, to) else {
                 for (m, job) in held {
@@ -498,16 +510,16 @@
         }
         let mut going = Vec::new();
         for mv in moves {
-            let key = view.copies[mv.copy as usize];
-            let from = view.fleet.copies[mv.copy as usize].machine;
-            let (from, to) = (view.machines[from as usize], view.machines[mv.to as usize]);
+            let key = view.instances[mv.instance as usize];
+            let from = view.fleet.instances[mv.instance as usize].worker;
+            let (from, to) = (view.workers[from as usize], view.workers[mv.to as usize]);
             let stop_s = self.stop_s(key.job);
             let start_s = self.fetch_s(key.job, to) * 1.5 + ARRIVAL_S;
-            let relocation = Relocation {
+            let migration = TaskMigration {
                 id: self.jobs[key.job].spec.id,
                 key,
-                from: self.machines[from].name.clone(),
-                to: self.machines[to].name.clone(),
+                from: self.workers[from].name.clone(),
+                to: self.workers[to].name.clone(),
                 wanted_by,
                 began: self.now,
                 left: false,
@@ -515,15 +527,15 @@
                 start_s,
             };
             tracing::info!(
-                job = %relocation.id,
+                job = %migration.id,
                 task = key.task,
-                from = relocation.from,
-                to = relocation.to,
+                from = migration.from,
+                to = migration.to,
                 "move begins"
             );
-            let id = (relocation.id, key.task);
-            self.relocations.moved_at.insert(id, self.now);
-            self.relocations.live.push(relocation);
+            let id = (migration.id, key.task);
+            self.migrations.moved_at.insert(id, self.now);
+            self.migrations.live.push(migration);
             going.push((from, key));
         }
         for (from, key) in going {
@@ -534,14 +546,16 @@
 
     /// A claim that stands before any task of the job waits.
     fn hold(&mut self, m: u32, ix: u32, for_s: f64) {
-        self.claim(m, ix, for_s);
-        let claims = self.machines[m].claims.iter_mut();
-        claims.filter(|c| c.job == ix).for_each(|c| c.held = true);
+        self.reserve(m, ix, for_s);
+        let reservations = self.workers[m].reservations.iter_mut();
+        reservations
+            .filter(|c| c.job == ix)
+            .for_each(|c| c.held = true);
     }
 
     /// Once a second: how far each move is, and what has become of it.
-    pub(super) fn watch_relocations(&mut self) {
-        let mut live = std::mem::take(&mut self.relocations.live);
+    pub(super) fn advance_migrations(&mut self) {
+        let mut live = std::mem::take(&mut self.migrations.live);
         let mut failed = Vec::new();
         live.retain_mut(|r| {
             let Some(end) = self.look_at(r) else {
@@ -554,29 +568,29 @@
             if end != ARRIVED {
                 self.let_go(r);
             }
-            self.relocations.recent.push_back((r.clone(), end));
-            self.relocations.ended += 1;
+            self.migrations.recent.push_back((r.clone(), end));
+            self.migrations.ended += 1;
             false
         });
-        self.relocations.live = live;
-        while self.relocations.recent.len() > RECENT {
-            self.relocations.recent.pop_front();
+        self.migrations.live = live;
+        while self.migrations.recent.len() > RECENT {
+            self.migrations.recent.pop_front();
         }
         failed.sort_unstable();
         failed.dedup();
         for id in failed {
-            let (tries, next) = self.relocations.patience.entry(id).or_default();
+            let (tries, next) = self.migrations.patience.entry(id).or_default();
             *next = self.now + PAUSE_S * 2f64.powi(*tries as i32);
             *tries += 1;
         }
         let again_s = self.config.tuning.defragmentation.again_after_s;
         let now = self.now;
-        let moved_at = &mut self.relocations.moved_at;
+        let moved_at = &mut self.migrations.moved_at;
         moved_at.retain(|_, t| now - *t <= again_s);
     }
 
     /// How a move ended, if it has.
-    fn look_at(&mut self, r: &mut Relocation) -> Option<&'static str> {
+    fn look_at(&mut self, r: &mut TaskMigration) -> Option<&'static str> {
         let job = self.jobs.get(r.key.job).filter(|j| j.spec.id == r.id);
         let Some(job) = job.filter(|j| matches!(j.state, JobState::Live | JobState::Finishing))
         else {
@@ -585,10 +599,10 @@
         if job.tasks[r.key.task as usize].done {
             return Some(DONE);
         }
-        let copy_at = |name: &str, test: &dyn Fn(&CopyKey) -> bool| {
-            let machine = self.machine_ids.get(name).map(|&m| &self.machines[m])?;
-            let mut copies = machine.copies.iter();
-            copies
+        let copy_at = |name: &str, test: &dyn Fn(&InstanceId) -> bool| {
+            let worker = self.worker_ids.get(name).map(|&m| &self.workers[m])?;
+            let mut instances = worker.instances.iter();
+            instances
                 .find(|(k, c)| c.possible() && test(k))
                 .map(|(_, c)| c.phase)
         };
@@ -599,61 +613,61 @@
             r.left = true;
             r.until = self.now + r.start_s;
         }
-        let task = |k: &CopyKey| k.job == r.key.job && k.task == r.key.task;
+        let task = |k: &InstanceId| k.job == r.key.job && k.task == r.key.task;
         match copy_at(&r.to, &task) {
             Some(Some(TaskPhase::Running)) => return Some(ARRIVED),
             Some(_) => return (self.now > r.until).then_some(LATE),
             None => {}
         }
-        if job.tasks[r.key.task as usize].copies > 0 {
+        if job.tasks[r.key.task as usize].instances > 0 {
             return Some(ELSEWHERE);
         }
         (self.now > r.until).then_some(UNPLACED)
     }
 
     /// Room that was held for a move that does not come.
-    fn let_go(&mut self, r: &Relocation) {
-        let Some(&to) = self.machine_ids.get(&r.to) else {
+    fn let_go(&mut self, r: &TaskMigration) {
+        let Some(&to) = self.worker_ids.get(&r.to) else {
             return;
         };
         self.drop_hold(to, r.key.job);
     }
 
     fn drop_hold(&mut self, m: u32, ix: u32) {
-        let claims = &mut self.machines[m].claims;
-        if let Some(c) = claims.iter_mut().find(|c| c.job == ix && c.held) {
+        let reservations = &mut self.workers[m].reservations;
+        if let Some(c) = reservations.iter_mut().find(|c| c.job == ix && c.held) {
             c.count = c.count.saturating_sub(1);
         }
-        claims.retain(|c| c.count > 0);
+        reservations.retain(|c| c.count > 0);
     }
 
     /// Moves off a draining node what may move and finds a place.
     pub(super) fn evacuate(&mut self, m: u32) {
         let limits = self.limits();
-        if limits.moves == 0 || self.machines[m].copies.is_empty() {
+        if limits.moves == 0 || self.workers[m].instances.is_empty() {
             return;
         }
         let view = self.view(None, &[]);
-        let Some(at) = view.machines.iter().position(|&o| o == m) else {
+        let Some(at) = view.workers.iter().position(|&o| o == m) else {
             return;
         };
         let moves = defrag::empty(&view.fleet, at as u32, &limits);
         self.begin(&view, &moves, None);
     }
 
-    /// What is whose on a machine, for operators.
+    /// What is whose on a worker, for operators.
     pub(super) fn leaving(&self, name: &str) -> u32 {
-        let live = self.relocations.live.iter();
+        let live = self.migrations.live.iter();
         live.filter(|r| !r.left && r.from == name).count() as u32
     }
 
     /// Moves that have ended under this leader, however they did.
     pub fn moves_ended(&self) -> usize {
-        self.relocations.ended
+        self.migrations.ended
     }
 
     /// How far a move is.
-    pub(super) fn stage(r: &Relocation) -> &'static str {
+    pub(super) fn stage(r: &TaskMigration) -> &'static str {
         match r.left {
             false => "stopping",
             true => "starting",
@@ -671,6 +685,6 @@
 const UNPLACED: &str = "waits for a place";
 
 /// Room in the units that people read.
-pub(super) fn amounts(a: &Amounts) -> [f64; 3] {
+pub(super) fn amounts(a: &Resources) -> [f64; 3] {
     [a.cpus, a.gpus, a.memory].map(|x| x as f64 / 1000.0)
 }
