--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -1,14 +1,14 @@
 //! Whole controllers against the stand-ins: simulated time, seeded, every rule checked.
 
-mod world;
+mod simulated_cluster;
 
 use std::time::Duration;
 
-use copperfield_standins::site::{Job, Site};
+use copperfield_simulation::cluster::{Job, Site};
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-use world::*;
+use simulated_cluster::*;
 
 #[test]
 fn a_quiet_day() {
@@ -27,10 +27,10 @@
 }
 
 #[test]
-fn the_leader_is_killed_in_an_outage_while_a_machine_is_cut() {
+fn the_leader_is_killed_in_an_outage_while_a_worker_is_cut() {
     let faults = [
         (12.0, Fault::Outage(9.0)),
-        (14.0, Fault::CutMachine(2, 12.0)),
+        (14.0, Fault::CutWorker(2, 12.0)),
         (15.0, Fault::Kill(0)),
         (16.0, Fault::Kill(1)),
         (40.0, Fault::Outage(12.0)),
@@ -51,12 +51,12 @@
 }
 
 #[test]
-fn machines_hang_die_and_are_cut_while_messages_are_held() {
+fn workers_hang_die_and_are_cut_while_messages_are_held() {
     let faults = [
         (6.0, Fault::Hang(1, 4.0)),
         (12.0, Fault::Hang(3, 20.0)),
-        (20.0, Fault::CutMachine(5, 4.0)),
-        (26.0, Fault::CutMachine(2, 25.0)),
+        (20.0, Fault::CutWorker(5, 4.0)),
+        (26.0, Fault::CutWorker(2, 25.0)),
         (30.0, Fault::Die(4)),
         (35.0, Fault::Kill(0)),
     ];
@@ -66,21 +66,21 @@
 /// Longer and shorter than their lease, with one leader after another ending meanwhile, and
 /// over an outage in which the leader acts on the word of all.
 #[test]
-fn machines_fall_silent_and_come_back_while_leaders_change() {
+fn workers_fall_silent_and_come_back_while_leaders_change() {
     let faults = [
-        (10.0, Fault::CutMachine(2, 14.0)),
-        (10.0, Fault::CutMachine(4, 5.0)),
+        (10.0, Fault::CutWorker(2, 14.0)),
+        (10.0, Fault::CutWorker(4, 5.0)),
         (13.0, Fault::Kill(0)),
         (14.5, Fault::Kill(1)),
         (16.0, Fault::Kill(2)),
-        (28.0, Fault::CutMachine(1, 4.5)),
+        (28.0, Fault::CutWorker(1, 4.5)),
         (28.0, Fault::Hang(3, 5.0)),
         (30.0, Fault::Outage(5.0)),
         (36.0, Fault::Kill(1)),
-        (48.0, Fault::CutMachine(0, 4.0)),
+        (48.0, Fault::CutWorker(0, 4.0)),
         (51.0, Fault::Outage(4.0)),
         (53.0, Fault::KillAll),
-        (62.0, Fault::CutMachine(5, 9.0)),
+        (62.0, Fault::CutWorker(5, 9.0)),
         (65.0, Fault::Freeze(0, 2.5)),
         (65.5, Fault::Freeze(1, 2.0)),
     ];
@@ -114,7 +114,7 @@
         (14.0, Fault::Freeze(2, 9.0)),
         (28.0, Fault::Cut(0, "state", 8.0)),
         (29.0, Fault::Freeze(1, 5.0)),
-        (30.0, Fault::CutMachine(2, 14.0)),
+        (30.0, Fault::CutWorker(2, 14.0)),
         (42.0, Fault::Freeze(0, 4.0)),
         (42.0, Fault::Freeze(1, 4.5)),
         (42.0, Fault::Freeze(2, 5.0)),
@@ -147,7 +147,7 @@
     let faults = [
         (6.0, Fault::RestartAll(0.05)),
         (10.0, Fault::RestartLeaders(8, 0.1)),
-        (18.0, Fault::CutMachine(2, 14.0)),
+        (18.0, Fault::CutWorker(2, 14.0)),
         (22.0, Fault::RestartAll(0.5)),
         (22.3, Fault::RestartAll(0.2)),
         (23.0, Fault::RestartAll(0.1)),
@@ -212,10 +212,10 @@
 fn until_elected(seed: u64, all: bool, again_s: f64) -> f64 {
     simulate(async move {
         let world = site(seed, 0.0);
-        tokio::spawn(machines(world.clone()));
+        tokio::spawn(workers(world.clone()));
         sleep(Duration::from_secs(6)).await;
         let first = leader(&world).expect("a leader");
-        let token = |w: &Shared2| {
+        let token = |w: &SharedCluster| {
             w.lock()
                 .unwrap()
                 .state
@@ -259,21 +259,16 @@
 }
 
 /// A node that restarted a moment ago may have given its word just before, so it must take
-/// silent machines as answered since. It once led, and started the leases of 396 machines
+/// silent workers as answered since. It once led, and started the leases of 396 workers
 /// anew, though another node remembered all of it.
 #[test]
-fn who_restarted_lately_lets_others_lead_while_machines_are_silent() {
+fn who_restarted_lately_lets_others_lead_while_workers_are_silent() {
     for seed in 100..106 {
         simulate(async move {
             let world = site(seed, 0.0);
-            tokio::spawn(machines(world.clone()));
+            tokio::spawn(workers(world.clone()));
             sleep(Duration::from_secs(8)).await;
-            tokio::spawn(inflict(
-                world.clone(),
-                0.0,
-                Fault::CutMachine(2, 30.0),
-                seed,
-            ));
+            tokio::spawn(inflict(world.clone(), 0.0, Fault::CutWorker(2, 30.0), seed));
             // On the record by now.
             sleep(Duration::from_secs_f64(3.4)).await;
             let first = leader(&world).expect("a first");
@@ -303,10 +298,10 @@
 }
 
 /// Starts a task and says which rules that broke.
-fn put(site: &mut Site, machine: &str, task: &str, attempt: u64) -> Vec<String> {
+fn put(site: &mut Site, worker: &str, task: &str, attempt: u64) -> Vec<String> {
     let order = json!([{"verb": "start", "shard": task, "try": attempt}]);
-    site.execute(machine, &order);
-    site.live(machine, 0.0);
+    site.execute(worker, &order);
+    site.live(worker, 0.0);
     site.broken
         .drain(..)
         .map(|b| b.split(' ').nth(1).unwrap().to_string())
@@ -317,9 +312,9 @@
 #[test]
 fn the_checker_sees_planted_violations() {
     let mut site = Site::default();
-    let a = site.add_machine("small", "a", true, 0.0);
-    let b = site.add_machine("small", "b", false, 0.0);
-    let c = site.add_machine("small", "b", false, 0.0);
+    let a = site.add_worker("small", "a", true, 0.0);
+    let b = site.add_worker("small", "b", false, 0.0);
+    let c = site.add_worker("small", "b", false, 0.0);
     let mut plant = |id: usize, extra: Value| {
         let body = job(id, "service", 2, extra);
         let job = Job {
@@ -358,7 +353,7 @@
     assert_eq!(put(&mut site, &b, "wk-000003/0", 4), Vec::<String>::new());
     assert_eq!(put(&mut site, &c, "wk-000003/1", 5), ["wrong_place:"]);
     assert_eq!(put(&mut site, &c, "wk-000004/0", 6), Vec::<String>::new());
-    let d = site.add_machine("small", "a", false, 0.0);
+    let d = site.add_worker("small", "a", false, 0.0);
     assert_eq!(put(&mut site, &d, "wk-000004/1", 7), ["wrong_place:"]);
     assert_eq!(put(&mut site, &d, "wk-000005/0", 8), ["ran_cancelled:"]);
     site.user_told("wk-000001", 1.0, 200, Some("done"));
@@ -401,7 +396,7 @@
 #[test]
 fn the_checker_sees_limits_waits_and_late_starts() {
     let mut site = Site::default();
-    let a = site.add_machine("small", "a", false, 0.0);
+    let a = site.add_worker("small", "a", false, 0.0);
     site.limits.insert("team".into(), 3.0);
     let mut plant = |id: usize| {
         let body = job(id, "sweep", 1, json!({"pull_gb": 0.0}));
@@ -415,7 +410,7 @@
     assert_eq!(put(&mut site, &a, "wk-000001/0", 1), Vec::<String>::new());
     assert_eq!(put(&mut site, &a, "wk-000002/0", 2), ["quota:"]);
 
-    // Without the two the machine has room, and the team may use it.
+    // Without the two the worker has room, and the team may use it.
     site.execute(
         &a,
         &json!([{"verb": "halt", "shard": "wk-000001/0", "try": 1, "drain_s": 0.0},
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -4,15 +4,15 @@
 
 use std::fmt::Write as _;
 
-use copperfield::bookkeeping::writer::{Write as Store, Written};
-use copperfield::bookkeeping::{MachineRecord, RosterPage, Snapshot, StoredJob};
 use copperfield::coordination::core::{Config, Core, Effect, Input, Outcome};
 use copperfield::protocol::JobId;
-use copperfield::protocol::cloud::parse_types;
-use copperfield::protocol::job::{JobSpec, Phase, Standing};
-use copperfield::protocol::peer::Order;
-use copperfield::protocol::worker::{Report, orders_body};
+use copperfield::protocol::cloud::parse_machine_types;
+use copperfield::protocol::job::{JobOutcome, JobSpec, Phase};
+use copperfield::protocol::peer::AdminRequest;
+use copperfield::protocol::worker::{Heartbeat, orders_body};
 use copperfield::settings::Tuning;
+use copperfield::storage::writer::{Write as Store, Written};
+use copperfield::storage::{Snapshot, StoredJob, StoredRegistryPage, WorkerRecord};
 use serde_json::{Value, json};
 
 const TOKEN: u64 = 50;
@@ -42,11 +42,11 @@
     JobSpec::from_json(&body).expect("valid")
 }
 
-fn roster(machines: Vec<(String, MachineRecord)>) -> Vec<RosterPage> {
-    vec![RosterPage {
+fn registry(workers: Vec<(String, WorkerRecord)>) -> Vec<StoredRegistryPage> {
+    vec![StoredRegistryPage {
         page: 0,
         version: 7,
-        machines: Some(machines),
+        workers: Some(workers),
     }]
 }
 
@@ -59,8 +59,8 @@
     }
 }
 
-fn recorded(name: &str, zone: &str) -> (String, MachineRecord) {
-    let record = MachineRecord {
+fn registered(name: &str, zone: &str) -> (String, WorkerRecord) {
+    let record = WorkerRecord {
         address: "10.1.0.1:9000".into(),
         machine_type: "m4".into(),
         zone: zone.into(),
@@ -72,7 +72,7 @@
 
 impl Play {
     fn new(snapshot: Snapshot) -> Self {
-        let types = parse_types(
+        let types = parse_machine_types(
             br#"{"flavors":[{"name":"m4","cpus":4,"memory_gb":16,"local_gb":50,"pull_gb_per_s":1,"price":0.4,"ready_s":10,"regions":["a","b"]}]}"#,
         )
         .expect("valid");
@@ -104,16 +104,19 @@
                 Effect::Answer { body, .. } => format!("answer {}", String::from_utf8_lossy(body)),
                 Effect::Refuse { why, .. } => format!("refuse: {why}"),
                 Effect::Direct {
-                    machine,
-                    session,
+                    worker,
+                    incarnation,
                     commands,
                     ..
                 } => {
-                    let body = orders_body(TOKEN, Some(*session), commands);
-                    format!("to {machine}: {}", String::from_utf8_lossy(&body))
+                    let body = orders_body(TOKEN, Some(*incarnation), commands);
+                    format!("to {worker}: {}", String::from_utf8_lossy(&body))
                 }
-                Effect::Inspect { machine, .. } => format!("ask {machine}"),
-                Effect::SendTo { ticket, node } => format!("report {ticket}: to node {node}"),
+                Effect::Inspect { worker, .. } => format!("ask {worker}"),
+                Effect::SendTo {
+                    ticket,
+                    controller: node,
+                } => format!("report {ticket}: to node {node}"),
                 Effect::Granted { ticket, down } => format!("holder {ticket}: {down:?}"),
                 Effect::Write(batch) => {
                     // The state service of a trace takes every write at once.
@@ -126,7 +129,7 @@
                         .iter()
                         .map(|w| match w {
                             Store::Finish { job, .. } => format!("{job} is done"),
-                            Store::Roster { value, .. } => {
+                            Store::WorkerRegistry { value, .. } => {
                                 let names: Vec<&String> =
                                     value.as_object().expect("a map").keys().collect();
                                 format!("roster {names:?}")
@@ -139,14 +142,14 @@
                         .collect();
                     format!("store {}", names.join(", "))
                 }
-                Effect::Return(names) => format!("return {}", names.join(", ")),
+                Effect::ScaleIn(names) => format!("return {}", names.join(", ")),
                 Effect::Cancel { begin, .. } => format!("cancel: {begin:?}"),
-                Effect::Operated { status, body, .. } => {
+                Effect::AdminAnswered { status, body, .. } => {
                     format!("operator: {status} {}", String::from_utf8_lossy(body))
                 }
                 Effect::Deposed => "deposed".into(),
                 // Renting has its own rhythm, and is not what these traces show.
-                Effect::Rent { .. } | Effect::List | Effect::ReadTypes => continue,
+                Effect::ScaleOut { .. } | Effect::List | Effect::ReadTypes => continue,
             };
             writeln!(self.text, "{:6.1} < {line}", self.now).expect("to a string");
         }
@@ -155,31 +158,31 @@
         }
     }
 
-    fn report(&mut self, machine: &str, session: u64, token: u64, tasks: Value) -> Report {
+    fn heartbeat(&mut self, worker: &str, incarnation: u64, token: u64, tasks: Value) -> Heartbeat {
         self.counter += 1;
-        let body = json!({"host": machine, "address": "10.1.0.1:9000", "flavor": "m4", "region": "a",
-            "tenure": session, "counter": self.counter, "fence": token, "shards": tasks});
-        Report::parse(body.to_string().as_bytes()).expect("valid")
+        let body = json!({"host": worker, "address": "10.1.0.1:9000", "flavor": "m4", "region": "a",
+            "tenure": incarnation, "counter": self.counter, "fence": token, "shards": tasks});
+        Heartbeat::parse(body.to_string().as_bytes()).expect("valid")
     }
 
-    fn hello(&mut self, machine: &str, session: u64, tasks: Value) {
-        let report = self.report(machine, session, TOKEN, tasks.clone());
+    fn send_heartbeat(&mut self, worker: &str, incarnation: u64, tasks: Value) {
+        let heartbeat = self.heartbeat(worker, incarnation, TOKEN, tasks.clone());
         self.ticket += 1;
         let ticket = self.ticket;
         self.step(
-            &format!("{machine} reports {tasks}"),
-            vec![Input::Report { ticket, report }],
+            &format!("{worker} reports {tasks}"),
+            vec![Input::Heartbeat { ticket, heartbeat }],
         );
     }
 
     /// The end of the last direct message, whose number counts up from 1.
-    fn direct(&mut self, machine: &str, flight: u64, shown: &str, outcome: Outcome) {
+    fn direct(&mut self, worker: &str, message_id: u64, shown: &str, outcome: Outcome) {
         let input = Input::Direct {
-            machine: machine.into(),
-            flight,
+            worker: worker.into(),
+            message_id,
             outcome,
         };
-        self.step(&format!("{machine} {shown}"), vec![input]);
+        self.step(&format!("{worker} {shown}"), vec![input]);
     }
 
     fn wait(&mut self, seconds: f64) {
@@ -217,7 +220,7 @@
 fn a_task_starts_at_once_and_is_forgotten_only_after_its_end_is_stored() {
     let mut p = Play::new(Snapshot::default());
     p.note("a new machine is recorded before it is given anything");
-    p.hello("vm-000001", 1, json!([]));
+    p.send_heartbeat("vm-000001", 1, json!([]));
     p.wait(0.4);
     p.note("a job comes; its start does not wait for the next report");
     p.step(
@@ -227,25 +230,25 @@
     p.wait(0.3);
     let a = started(&p.text);
     let tasks = |phase: &str| json!([{"shard": "wk-000001/0", "try": a - 1, "phase": phase, "exit_reason": "done"}, {"shard": "wk-000001/1", "try": a, "phase": "running"}]);
-    let report = p.report("vm-000001", 1, TOKEN, tasks("running"));
+    let heartbeat = p.heartbeat("vm-000001", 1, TOKEN, tasks("running"));
     p.direct(
         "vm-000001",
         1,
         "executes the commands",
-        Outcome::Executed(report),
+        Outcome::Executed(heartbeat),
     );
     p.note("one task is done: it is not cleared before its bit is stored");
-    p.hello("vm-000001", 1, tasks("ended"));
+    p.send_heartbeat("vm-000001", 1, tasks("ended"));
     p.wait(2.2);
-    p.hello("vm-000001", 1, tasks("ended"));
+    p.send_heartbeat("vm-000001", 1, tasks("ended"));
     p.keep("start_and_clear");
 }
 
 #[test]
 fn an_unanswered_start_stays_possible_and_is_sent_again_with_the_same_attempt() {
     let mut p = Play::new(Snapshot::default());
-    p.hello("vm-000001", 1, json!([]));
-    p.hello("vm-000002", 1, json!([]));
+    p.send_heartbeat("vm-000001", 1, json!([]));
+    p.send_heartbeat("vm-000002", 1, json!([]));
     p.wait(0.3);
     p.step("job wk-000001", vec![Input::Job(stored(1, 55, json!({})))]);
     p.wait(0.3);
@@ -253,8 +256,8 @@
     p.note("no answer: the message may be held for minutes, so the task starts nowhere else");
     p.direct("vm-000001", 1, "gives no answer", Outcome::Unknown);
     p.wait(1.0);
-    p.hello("vm-000002", 1, json!([]));
-    p.hello("vm-000001", 1, json!([]));
+    p.send_heartbeat("vm-000002", 1, json!([]));
+    p.send_heartbeat("vm-000001", 1, json!([]));
     p.note("its user cancels: held as an exited attempt that is never forgotten, the late start does nothing");
     p.step(
         "cancel wk-000001",
@@ -267,14 +270,14 @@
         "cancelled, stored",
         vec![Input::CancelSettled {
             job: JobId(1),
-            end: Some(Standing {
+            end: Some(JobOutcome {
                 phase: Phase::Cancelled,
                 done: 0,
             }),
         }],
     );
-    p.hello("vm-000001", 1, json!([]));
-    p.hello(
+    p.send_heartbeat("vm-000001", 1, json!([]));
+    p.send_heartbeat(
         "vm-000001",
         1,
         json!([{"shard": "wk-000001/0", "try": a, "phase": "ended", "exit_reason": "stopped"}]),
@@ -283,10 +286,10 @@
 }
 
 #[test]
-fn a_silent_machine_is_returned_for_its_replicas_and_they_start_elsewhere() {
+fn a_silent_worker_is_returned_for_its_replicas_and_they_start_elsewhere() {
     let mut p = Play::new(Snapshot::default());
     let service = json!({"shape": "service", "rank": "production", "runtime_s": 0.0});
-    p.hello("vm-000001", 1, json!([]));
+    p.send_heartbeat("vm-000001", 1, json!([]));
     p.wait(0.2);
     p.step(
         "service wk-000001",
@@ -295,17 +298,17 @@
     p.wait(0.3);
     let a = started(&p.text);
     let running = json!([{"shard": "wk-000001/0", "try": a, "phase": "running"}]);
-    let report = p.report("vm-000001", 1, TOKEN, running.clone());
+    let heartbeat = p.heartbeat("vm-000001", 1, TOKEN, running.clone());
     p.direct(
         "vm-000001",
         1,
         "executes the commands",
-        Outcome::Executed(report),
+        Outcome::Executed(heartbeat),
     );
     for _ in 0..2 {
         p.wait(0.5);
         for name in ["vm-000002", "vm-000003", "vm-000004"] {
-            p.hello(name, 1, json!([]));
+            p.send_heartbeat(name, 1, json!([]));
         }
     }
     p.note("vm-000001 falls silent; the others go on");
@@ -313,15 +316,15 @@
     p.direct("vm-000001", 2, "cannot be reached", Outcome::Unsent);
     p.wait(0.2);
     for name in ["vm-000002", "vm-000003", "vm-000004"] {
-        p.hello(name, 1, json!([]));
+        p.send_heartbeat(name, 1, json!([]));
     }
     p.wait(0.5);
     p.note("only the cloud's answer proves that the replica is gone");
     let names = vec!["vm-000001".to_string()];
     p.step(
         "the cloud has taken it back",
-        vec![Input::Returned {
-            machines: names,
+        vec![Input::ScaledIn {
+            workers: names,
             ok: true,
         }],
     );
@@ -330,14 +333,17 @@
 }
 
 #[test]
-fn a_new_leader_blocks_only_what_a_silent_machine_may_hold() {
+fn a_new_leader_blocks_only_what_a_silent_worker_may_hold() {
     let snapshot = Snapshot {
         jobs: vec![
             stored(1, 40, json!({})),
             stored(2, 40, json!({"cpus": 1.0})),
         ],
         progress: Vec::new(),
-        roster: roster(vec![recorded("vm-000001", "a"), recorded("vm-000002", "b")]),
+        registry: registry(vec![
+            registered("vm-000001", "a"),
+            registered("vm-000002", "b"),
+        ]),
         ..Snapshot::default()
     };
     let mut p = Play::new(snapshot);
@@ -345,14 +351,19 @@
     p.wait(0.1);
     p.note("one answers: it runs wk-000001 and is taught the token");
     let running = json!([{"shard": "wk-000001/0", "try": 3, "phase": "running"}]);
-    let report = p.report("vm-000001", 4, 30, running.clone());
-    p.direct("vm-000001", 1, "answers", Outcome::Rejected(Some(report)));
-    let report = p.report("vm-000001", 4, TOKEN, running.clone());
+    let heartbeat = p.heartbeat("vm-000001", 4, 30, running.clone());
+    p.direct(
+        "vm-000001",
+        1,
+        "answers",
+        Outcome::Rejected(Some(heartbeat)),
+    );
+    let heartbeat = p.heartbeat("vm-000001", 4, TOKEN, running.clone());
     p.direct(
         "vm-000001",
         3,
         "has seen the token",
-        Outcome::Executed(report),
+        Outcome::Executed(heartbeat),
     );
     p.note("wk-000002 may run on the silent one and waits; wk-000003 came after the election and starts");
     p.direct("vm-000002", 2, "cannot be reached", Outcome::Unsent);
@@ -365,17 +376,17 @@
     p.direct("vm-000001", 4, "cannot be reached", Outcome::Unsent);
     p.now = 109.0;
     p.note("it reports; before it gets the start once more it has to answer");
-    p.hello("vm-000001", 4, running.clone());
-    let report = p.report("vm-000001", 4, TOKEN, running.clone());
-    p.direct("vm-000001", 5, "answers", Outcome::Executed(report));
+    p.send_heartbeat("vm-000001", 4, running.clone());
+    let heartbeat = p.heartbeat("vm-000001", 4, TOKEN, running.clone());
+    p.direct("vm-000001", 5, "answers", Outcome::Executed(heartbeat));
     p.wait(0.3);
     let both = json!([{"shard": "wk-000001/0", "try": 3, "phase": "running"}, {"shard": "wk-000003/0", "try": a + 1, "phase": "running"}]);
-    let report = p.report("vm-000001", 4, TOKEN, both);
+    let heartbeat = p.heartbeat("vm-000001", 4, TOKEN, both);
     p.direct(
         "vm-000001",
         7,
         "executes the commands",
-        Outcome::Executed(report),
+        Outcome::Executed(heartbeat),
     );
     p.now = 110.0;
     p.note("the silent machine's lease has surely run out 10 s and a margin after the election");
@@ -385,7 +396,7 @@
     p.keep("new_leader");
 }
 
-/// Found in an incident: a leader that lost the network returned good machines.
+/// Found in an incident: a leader that lost the network returned good workers.
 #[test]
 fn a_leader_that_is_cut_off_returns_nobody_and_gives_way() {
     let mut p = Play::new(Snapshot::default());
@@ -396,17 +407,17 @@
     );
     let names = ["vm-000001", "vm-000002", "vm-000003"];
     for name in names {
-        p.hello(name, 1, json!([]));
+        p.send_heartbeat(name, 1, json!([]));
         p.wait(0.6);
     }
     p.note("from here on nothing arrives and every question goes unanswered");
     for _ in 0..45 {
         p.wait(0.1);
-        for flight in 1..40 {
+        for message_id in 1..40 {
             for name in names {
                 let input = Input::Direct {
-                    machine: name.into(),
-                    flight,
+                    worker: name.into(),
+                    message_id,
                     outcome: Outcome::Unsent,
                 };
                 p.step("", vec![input]);
@@ -414,28 +425,28 @@
         }
     }
     assert!(!p.text.contains("return"), "{}", p.text);
-    assert!(p.core.hears_nobody());
+    assert!(p.core.has_lost_all_workers());
 }
 
 #[test]
 fn a_drain_is_answered_once_stored_and_stops_what_is_left_at_its_deadline() {
     let mut p = Play::new(Snapshot::default());
-    p.hello("vm-000001", 1, json!([]));
+    p.send_heartbeat("vm-000001", 1, json!([]));
     p.wait(0.3);
     p.step("job wk-000001", vec![Input::Job(stored(1, 55, json!({})))]);
     p.wait(0.3);
     let a = started(&p.text);
     let task = json!([{"shard": "wk-000001/0", "try": a, "phase": "running"}]);
-    let report = p.report("vm-000001", 1, TOKEN, task.clone());
-    let executed = Outcome::Executed(report);
+    let heartbeat = p.heartbeat("vm-000001", 1, TOKEN, task.clone());
+    let executed = Outcome::Executed(heartbeat);
     p.direct("vm-000001", 1, "executes the commands", executed);
     p.note("an operator drains the machine: the answer comes after the record");
-    let order = Order::Drain {
+    let order = AdminRequest::Drain {
         node: "vm-000001".into(),
         deadline_s: Some(3.0),
         yes: false,
     };
-    let input = Input::Operate {
+    let input = Input::Admin {
         ticket: 9,
         order,
         unix_ms: 1_000_000,
@@ -445,19 +456,19 @@
     let extra = json!({"cpus": 1.0});
     p.step("job wk-000002", vec![Input::Job(stored(2, 56, extra))]);
     p.wait(1.0);
-    p.hello("vm-000001", 1, task.clone());
+    p.send_heartbeat("vm-000001", 1, task.clone());
     p.note("what cannot move runs on until the deadline, and is then stopped");
     p.wait(1.5);
-    p.hello("vm-000001", 1, task);
+    p.send_heartbeat("vm-000001", 1, task);
     p.wait(1.5);
     let stopped =
         json!([{"shard": "wk-000001/0", "try": a, "phase": "ended", "exit_reason": "stopped"}]);
-    p.hello("vm-000001", 1, stopped);
+    p.send_heartbeat("vm-000001", 1, stopped);
     p.note("taken back: the record goes first, then work comes again");
-    let order = Order::Undrain {
+    let order = AdminRequest::Undrain {
         node: "vm-000001".into(),
     };
-    let input = Input::Operate {
+    let input = Input::Admin {
         ticket: 10,
         order,
         unix_ms: 1_004_000,
--- a/tests/whole_nodes.rs
+++ b/tests/whole_nodes.rs
@@ -7,11 +7,11 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use copperfield_operators::client::{Client, ClientError};
-use copperfield_operators::views::{DrainOrder, NodeState};
-use copperfield_standins::history::What;
-use copperfield_standins::loopback::{Loopback, NODES, free_address};
-use copperfield_standins::site::Site;
+use copperfield_admin::client::{Client, ClientError};
+use copperfield_admin::views::{DrainOrder, NodeState};
+use copperfield_simulation::cluster::Site;
+use copperfield_simulation::history::What;
+use copperfield_simulation::loopback::{Loopback, NODES, free_address};
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
@@ -74,7 +74,7 @@
         site.types = serde_json::from_str(TYPES).expect("our own");
         site.capacity = 4;
         for zone in ["a", "a", "b", "b"] {
-            site.add_machine("gpu4", zone, false, 0.0);
+            site.add_worker("gpu4", zone, false, 0.0);
         }
         let site = Loopback::new(site, |_, _| free_address());
         let served = site.clone();
@@ -168,10 +168,10 @@
             .iter()
             .filter(|e| !e.task.starts_with("wk-0009"))
         {
-            *on.entry(&e.machine).or_default() += if e.what == What::Starts { 1 } else { -1 };
+            *on.entry(&e.worker).or_default() += if e.what == What::Starts { 1 } else { -1 };
         }
         w.site
-            .machines
+            .workers
             .keys()
             .map(|m| on.get(m.as_str()).map_or(0, |&n| n as usize))
             .collect()
--- a/tests/wire_fingerprint.rs
+++ b/tests/wire_fingerprint.rs
@@ -7,7 +7,7 @@
 //! /tmp/after.DAY`. A hash changes only together with a commit that changes the behaviour on
 //! purpose and says so; the failing test prints the new one.
 
-mod world;
+mod simulated_cluster;
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -20,7 +20,7 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::time::sleep;
 
-use world::*;
+use simulated_cluster::*;
 
 /// The random number generator of the system, for this test program: always the same bytes.
 ///
@@ -220,7 +220,7 @@
 }
 
 /// An operator asks by way of any node; an empty body is a question.
-async fn operator(world: Shared2, at: f64, path: &'static str, body: &'static str) {
+async fn operator(world: SharedCluster, at: f64, path: &'static str, body: &'static str) {
     sleep(Duration::from_secs_f64(at)).await;
     let method = if body.is_empty() {
         Method::GET
@@ -303,7 +303,7 @@
         seed: 4,
         faults: vec![
             (9.0, Fault::KillAll),
-            (9.5, Fault::CutMachine(2, 14.0)),
+            (9.5, Fault::CutWorker(2, 14.0)),
             (26.0, Fault::RestartAll(0.2)),
         ],
         ..Day::default()
@@ -361,14 +361,14 @@
 }
 
 #[test]
-fn gangs_on_machines_that_fail() {
+fn gangs_on_workers_that_fail() {
     let gang = json!({"one_zone": true, "cpus": 2.0});
     let day = Day {
         name: "gangs",
         seed: 7,
         faults: vec![
             (6.0, Fault::Hang(1, 4.0)),
-            (10.0, Fault::CutMachine(2, 14.0)),
+            (10.0, Fault::CutWorker(2, 14.0)),
             (12.0, Fault::Deafen(3, 5.0)),
             (20.0, Fault::Die(4)),
         ],
@@ -410,7 +410,7 @@
         seed: 9,
         faults: vec![
             (9.0, Fault::Outage(8.0)),
-            (11.0, Fault::CutMachine(2, 4.0)),
+            (11.0, Fault::CutWorker(2, 4.0)),
             (24.0, Fault::Outage(4.0)),
             (25.0, Fault::RestartLeaders(1, 0.3)),
             (34.0, Fault::LoseAnswers(0.3, 6.0)),
@@ -454,7 +454,7 @@
     day.expect(0x6159_b47f_7aca_3771);
 }
 
-/// Machines are rented for the jobs, and returned once idle.
+/// Workers are rented for the jobs, and returned once idle.
 fn scale_in() -> Day {
     Day {
         name: "scale-in",
@@ -471,18 +471,18 @@
 }
 
 #[test]
-fn machines_are_rented_and_returned() {
+fn workers_are_rented_and_returned() {
     scale_in().expect(SCALE_IN);
 }
 
 #[test]
-fn one_node_speaks_with_all_machines() {
+fn one_node_speaks_with_all_workers() {
     let day = Day {
         name: "no-shares",
         seed: 13,
         faults: vec![
             (9.0, Fault::RestartLeaders(1, 1.0)),
-            (16.0, Fault::CutMachine(1, 8.0)),
+            (16.0, Fault::CutWorker(1, 8.0)),
             (28.0, Fault::Outage(3.0)),
         ],
         tune: |t| t.shares = Switch::Off,
