--- a/crates/admin/src/cli.rs
+++ b/crates/admin/src/cli.rs
@@ -26,7 +26,7 @@
     /// List the nodes.
     Nodes {
         /// Count the nodes that each controller speaks with instead.
-        #[arg(long, conflicts_with = "json")]
+        #[arg(long = "by-holder", conflicts_with = "json")]
         by_shard_owner: bool,
         #[command(flatten)]
         at: At,
