--- a/crates/http/benches/held.rs
+++ b/crates/http/benches/held.rs
@@ -16,6 +16,10 @@
 static HELD: AtomicIsize = AtomicIsize::new(0);
 
 // SAFETY: every call goes on to the system's allocator unchanged; only sizes are noted.
+#[expect(
+    unsafe_code,
+    reason = "an allocator that counts can only be written so"
+)]
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         HELD.fetch_add(layout.size() as isize, Ordering::Relaxed);
--- a/crates/sharding/src/table.rs
+++ b/crates/sharding/src/table.rs
@@ -90,7 +90,7 @@
         self.workers.get(&worker).copied()
     }
 
-    /// Who has, or is to have, each worker, for [`crate::assign`].
+    /// Who has, or is to have, each worker, for `assign`.
     pub fn shard_owners(&self) -> impl Iterator<Item = (u32, Option<u32>)> {
         self.workers.iter().map(|(&m, place)| {
             let by = match *place {
--- a/crates/simulation/examples/fragmentation.rs
+++ b/crates/simulation/examples/fragmentation.rs
@@ -201,7 +201,7 @@
 fn play_all(cases: &[Case]) -> Vec<Outcome> {
     let next = Mutex::new(cases.len());
     let results: Mutex<Vec<Option<Outcome>>> = Mutex::new((0..cases.len()).map(|_| None).collect());
-    let threads = thread::available_parallelism().map_or(1, |n| n.get());
+    let threads = thread::available_parallelism().map_or(1, std::num::NonZero::get);
     thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -648,7 +648,7 @@
                     let state = &self.workers[m].tasks[t].state;
                     matches!(state, State::Gathering { .. })
                 });
-            for (m, t) in members.iter() {
+            for (m, t) in &members {
                 let task = self
                     .workers
                     .get_mut(m)
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -192,7 +192,7 @@
     }
 
     pub fn begin_leaderless(&self) -> bool {
-        self.leadership(|l, now| l.begin_leaderless(now))
+        self.leadership(copperfield_leadership::Leadership::begin_leaderless)
     }
 
     pub fn end_leaderless(&self) {
@@ -212,7 +212,7 @@
     }
 
     pub fn released(&self) {
-        self.leadership(|l, now| l.released(now));
+        self.leadership(copperfield_leadership::Leadership::released);
     }
 
     /// The leader of this token has stepped down, and wants this node to lead.
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -153,7 +153,7 @@
     fn take(&mut self, command: Command, inputs: &mut Vec<Input>) {
         match command {
             Command::Heartbeat { heartbeat, reply } => {
-                self.answer_heartbeat(heartbeat, reply, inputs)
+                self.answer_heartbeat(heartbeat, reply, inputs);
             }
             Command::Ask { jobs, reply } => {
                 let found = jobs.into_iter().map(|job| self.lookup(job)).collect();
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -236,7 +236,7 @@
             Input::Types(types) => self.learn_types(types),
             Input::ListedWorker(list) => self.handle_worker_list(list),
             Input::ScaledOut { request, outcome } => {
-                self.handle_scale_out_result(&request, outcome)
+                self.handle_scale_out_result(&request, outcome);
             }
             Input::ScaledIn { workers, ok } => self.handle_scale_in_result(workers, ok),
         }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -240,7 +240,7 @@
     let Some(item) = context.store.get(LEADER, Urgency::Renewal, false).await? else {
         return Ok(None);
     };
-    if item.value.get("nonce").and_then(|n| n.as_u64()) != Some(nonce) {
+    if item.value.get("nonce").and_then(serde_json::Value::as_u64) != Some(nonce) {
         return Ok(None);
     }
     Ok(Some(Won {
--- a/src/coordination/persistence.rs
+++ b/src/coordination/persistence.rs
@@ -110,7 +110,7 @@
                     job, chunk, value, ..
                 } => self.progress_written(job, chunk, &value, &written),
                 Write::WorkerRegistry { page, value, .. } => {
-                    self.registry_written(page, &value, &written)
+                    self.registry_written(page, &value, &written);
                 }
                 Write::FencingRecord { page, .. } => self.fencing_written(page, &written),
                 Write::Drain { node, record, .. } => self.drain_written(node, record, &written),
--- a/src/transport/rate_limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -136,7 +136,7 @@
         tokio::task::yield_now().await;
         tokio::time::sleep(Duration::from_millis(1)).await;
         assert_eq!(budget.backlog().as_secs_f64(), 3.0, "30 beyond the burst");
-        waiting.iter().for_each(|w| w.abort());
+        waiting.iter().for_each(tokio::task::JoinHandle::abort);
         tokio::time::sleep(Duration::from_millis(1)).await;
         assert_eq!(budget.backlog(), Duration::ZERO);
     }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -155,7 +155,10 @@
         let answer = service.clone().call(request);
         async move {
             let (parts, body) = answer.await.unwrap_or_else(|e| match e {}).into_parts();
-            let body = body.collect().await.map(|b| b.to_bytes());
+            let body = body
+                .collect()
+                .await
+                .map(http_body_util::Collected::to_bytes);
             Response::from_parts(parts, body.unwrap_or_default())
         }
     })
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -236,7 +236,7 @@
         }),
         ("the save fails", |s, _, _| s.crew.saving = Saving::Fails),
         ("the save is slow", |s, _, _| {
-            s.crew.saving = Saving::Slow(30.0)
+            s.crew.saving = Saving::Slow(30.0);
         }),
         ("the leader is killed", |s, _, _| s.crew.next_leader()),
         ("all controllers are killed", |s, _, _| {
--- a/tests/migration_random.rs
+++ b/tests/migration_random.rs
@@ -164,10 +164,10 @@
             let zones: BTreeSet<&str> = places.iter().map(|(_, m)| &m[..1]).collect();
             match shape {
                 LargeTaskProfile::Pair | LargeTaskProfile::WholePair => {
-                    assert!(zones.len() < 2, "{job}: {places:?}")
+                    assert!(zones.len() < 2, "{job}: {places:?}");
                 }
                 LargeTaskProfile::Service => {
-                    assert!(places.len() < 2 || zones.len() == 2, "{places:?}")
+                    assert!(places.len() < 2 || zones.len() == 2, "{places:?}");
                 }
                 _ => {}
             }
--- a/tests/simulated_cluster/mod.rs
+++ b/tests/simulated_cluster/mod.rs
@@ -1,6 +1,6 @@
 //! The simulated world of the days in `tests/`: whole controllers against the stand-ins, in
 //! simulated time, seeded.
-#![allow(dead_code)] // Each file of tests uses a part of it.
+#![allow(dead_code, reason = "each file of tests uses a part of it")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/tests/wire_fingerprint.rs
+++ b/tests/wire_fingerprint.rs
@@ -31,6 +31,10 @@
 /// # Safety
 ///
 /// As in the C library, `buffer` must be valid for writes of `length` bytes.
+#[expect(
+    unsafe_code,
+    reason = "the C library's symbol can be replaced in no other way"
+)]
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn getrandom(buffer: *mut u8, length: usize, _flags: u32) -> isize {
     // SAFETY: the caller's promise.
