--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,9 @@
 use clap::{Parser, Subcommand};
 use copperfield::api::Service;
 use copperfield::protocol::{MAX_BODY, MAX_PEER_BODY};
-use copperfield::settings::{Log, LogFormat, Settings, Tuning, tuning_beside};
+use copperfield::settings::{
+    LeaderTtlTooLong, Log, LogFormat, Settings, SettingsError, Tuning, tuning_beside,
+};
 use copperfield::transport::client::Http;
 use copperfield::transport::server::{bind, serve};
 use copperfield_http::Meter;
@@ -52,12 +54,23 @@
     tuning: Option<PathBuf>,
 }
 
+/// Why the process does not start.
+#[derive(Debug, thiserror::Error)]
+enum LoadError {
+    #[error("--config FILE is missing")]
+    ConfigMissing,
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error(transparent)]
+    LeaderTtl(#[from] LeaderTtlTooLong),
+}
+
 impl Files {
-    fn load(&self) -> Result<(Settings, Tuning), String> {
-        let config = self.config.as_ref().ok_or("--config FILE is missing")?;
-        let settings = Settings::load(config).map_err(|e| e.to_string())?;
+    fn load(&self) -> Result<(Settings, Tuning), LoadError> {
+        let config = self.config.as_ref().ok_or(LoadError::ConfigMissing)?;
+        let settings = Settings::load(config)?;
         let tuning = match self.tuning.clone().or_else(|| tuning_beside(config)) {
-            Some(path) => Tuning::load(&path).map_err(|e| e.to_string())?,
+            Some(path) => Tuning::load(&path)?,
             None => Tuning::default(),
         };
         tuning.check_against(&settings)?;
@@ -79,8 +92,8 @@
     };
     let (settings, tuning) = match files.load() {
         Ok(loaded) => loaded,
-        Err(problem) => {
-            eprintln!("copperfield: {}", problem.replace('\n', " "));
+        Err(error) => {
+            eprintln!("copperfield: {}", error.to_string().replace('\n', " "));
             return ExitCode::from(2);
         }
     };
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -427,7 +427,7 @@
         &tuning_lines(&Tuning::default()),
     );
     let refused = tuning.check_against(&full).expect_err("too long");
-    check_lines("settings/against.txt", &[refused]);
+    check_lines("settings/against.txt", &[refused.to_string()]);
 }
 
 /// The first line of what is said of a settings file, without the file's name.
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -81,12 +81,13 @@
     assert!(
         slow.check_against(&settings)
             .expect_err("too long")
+            .to_string()
             .starts_with("leader_ttl_ms")
     );
 }
 
 #[test]
-fn the_blocks_of_what_is_new_are_checked() {
+fn blocks_of_operators_settings_are_checked() {
     let text = include_str!("../deploy/defragmentation.hcl");
     let tuning = Tuning::load(&file("shipped.hcl", text)).expect("what is shipped is good");
     assert!(tuning.defragmentation.enabled && tuning.operators.is_none());
