--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,4 +1,7 @@
-//! What controllers say to each other, in `borsh`.
+//! Requests and replies between controllers, in `borsh`.
+//!
+//! borsh writes positions, not names: fields and variants are added at the end and never reordered.
+//! What a controller of another version does not understand it refuses.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use copperfield_sharding::{OwnerStatus, ShardLease};
@@ -7,24 +10,28 @@
 use crate::job::{JobOutcome, Phase};
 use crate::worker::{Command, Heartbeat};
 
+/// A request from one controller to another.
 #[derive(Debug, Clone, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
-    /// What the leader knows of each of these jobs.
-    Lookup(Vec<JobId>),
-    /// Cancel a job, asked of the leader.
-    Cancel(JobId),
-    /// A request to the state service on behalf of a node that it refuses.
+    /// To the leader: what it knows of each of these jobs. Answered by [`PeerReply::Lookups`].
+    LookUpJobs(Vec<JobId>),
+    /// To the leader: cancel a job. Answered by [`PeerReply::Cancelled`].
+    CancelJob(JobId),
+    /// A request to the state service on behalf of a controller that it refuses. Answered by
+    /// [`PeerReply::State`].
     State {
+        /// The HTTP method.
         method: String,
+        /// Path and query.
         path: String,
         body: Vec<u8>,
     },
     /// The leader cannot renew: does the state service refuse you as well, and
     /// will you not campaign for one TTL? Or does it serve you?
     VoteToExtendLease { token: u64 },
-    /// Are you there?
+    /// Whether the controller can be reached. Answered by [`PeerReply::Pong`].
     Ping,
-    /// What an operator asks, of the leader.
+    /// To the leader: an operator's request. Answered by [`PeerReply::AdminResponse`].
     Admin(AdminRequest),
     /// Do you not lead? Then no word that was given until now binds you.
     Idle,
@@ -97,42 +104,47 @@
     Unknown,
 }
 
-/// What an operator asks.
+/// An operator's request. Its "node" is the published name for a worker.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum AdminRequest {
-    /// A page of the nodes, by name, beginning after `since`.
+    /// A page of the nodes in the order of their names.
     Nodes {
+        /// The page begins with the first name after this one; empty: with the first of all.
         since: String,
     },
-    /// Moves under way, the last ones, and what waits for whole workers.
+    /// Migrations under way, the last ones, and the large tasks that wait for whole workers.
     Moves,
-    /// Nothing new is started on a node; what may move moves; the rest ends by itself, or
-    /// is stopped in order once the deadline has passed.
+    /// Start nothing new on a node, migrate what is movable, and let the rest complete.
     Drain {
         node: String,
+        /// Seconds from now after which what still runs is stopped; `None`: it completes.
         deadline_s: Option<f64>,
-        /// Also if it disturbs a protected class.
+        /// Confirms a drain that disturbs a protected class.
         yes: bool,
     },
-    Undrain {
-        node: String,
-    },
+    /// End the drain of a node.
+    Undrain { node: String },
 }
 
+/// A controller's answer to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum PeerReply {
-    Job(Lookup),
-    Jobs(Vec<Lookup>),
+    /// How a job stands after the request to cancel it.
+    Cancelled(Lookup),
+    /// One result for each job asked for, in the same order.
+    Lookups(Vec<Lookup>),
+    /// The state service's answer to a forwarded request, as HTTP has it.
     State {
         status: u16,
         body: Vec<u8>,
     },
+    /// The request was received.
     Pong,
     VoteGranted,
-    /// The node asked cannot answer now.
+    /// The controller cannot answer now.
     Unable,
     /// The leader's answer to an operator, as HTTP has it.
-    AdminAnswered {
+    AdminResponse {
         status: u16,
         body: Vec<u8>,
     },
@@ -147,19 +159,24 @@
     ReadyForTransfer,
 }
 
+/// What a controller knows of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Lookup {
+    /// The job has ended, and its outcome is stored.
     Terminal(JobOutcome),
+    /// The job has not ended.
     Live {
         phase: Phase,
+        /// Tasks that are known to be completed.
         done: u32,
+        /// Tasks that run now.
         running: u32,
     },
-    /// Not in the leader's memory, or its end is just being stored: only the
-    /// state service can tell.
-    AskState,
-    /// The state service was asked and has never seen it.
-    Never,
-    /// The node asked does not lead.
-    NotLeading,
+    /// Not in the leader's memory, or its outcome is just being stored: only the state service
+    /// can tell.
+    NotInMemory,
+    /// The state service was asked and knows no such job.
+    NotFound,
+    /// The controller that was asked does not lead.
+    NotLeader,
 }
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -1,99 +1,123 @@
-//! The state service's items, transactions and watches.
+//! The state service's items, pages, watches, transactions and leases.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 
+/// A stored key and its value.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Item {
+    /// Empty where the request named the key.
     #[serde(rename = "path", default)]
     pub key: String,
     #[serde(rename = "data")]
     pub value: Value,
+    /// The revision of the transaction that wrote it last.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
+/// One page of the items below a prefix, in the order of their keys.
 #[derive(Debug, Deserialize)]
 pub struct Page {
     pub items: Vec<Item>,
+    /// Whether another page follows.
     #[serde(default)]
     pub more: bool,
+    /// The revision of the store as the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
+/// One change of a watched key.
 #[derive(Debug, Deserialize)]
 pub struct Event {
+    /// The key that was written; `None`: a key was deleted.
     #[serde(rename = "set", default)]
     pub put: Option<String>,
     #[serde(rename = "data", default)]
     pub value: Value,
+    /// The revision of the transaction that wrote it.
     #[serde(rename = "stamp", default)]
     pub version: u64,
 }
 
+/// The answer to a watch.
 #[derive(Debug, Deserialize)]
 pub struct Changes {
+    /// From which the next watch goes on.
     #[serde(rename = "epoch")]
     pub revision: u64,
     pub events: Vec<Event>,
 }
 
+/// Changes that are carried out together, if every condition holds, or not at all.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
+    /// Keys and the versions they must have; version 0: the key must not exist.
     pub conditions: Vec<(String, u64)>,
     pub changes: Vec<Change>,
 }
 
+/// One change of a transaction.
 #[derive(Debug, Clone)]
 pub enum Change {
+    /// Writes a key.
     Put {
         key: String,
         value: Value,
+        /// The key is deleted when this lease ends; `None`: it stays.
         lease: Option<u64>,
     },
-    Delete {
-        key: String,
-    },
+    /// Deletes a key, if it exists.
+    Delete { key: String },
+}
+
+impl Change {
+    fn to_json(&self) -> Value {
+        match self {
+            Self::Put {
+                key,
+                value,
+                lease: Some(lease),
+            } => json!({"set": key, "data": value, "grant": lease}),
+            Self::Put { key, value, .. } => json!({"set": key, "data": value}),
+            Self::Delete { key } => json!({"drop": key}),
+        }
+    }
 }
 
 impl Transaction {
+    /// The request's JSON body.
     pub fn body(&self) -> Vec<u8> {
-        let guards: Vec<Value> = self
-            .conditions
-            .iter()
+        let conditions = self.conditions.iter();
+        let guards: Vec<Value> = conditions
             .map(|(key, version)| json!({"path": key, "stamp": version}))
             .collect();
-        let apply: Vec<Value> = self
-            .changes
-            .iter()
-            .map(|c| match c {
-                Change::Put {
-                    key,
-                    value,
-                    lease: Some(lease),
-                } => json!({"set": key, "data": value, "grant": lease}),
-                Change::Put { key, value, .. } => json!({"set": key, "data": value}),
-                Change::Delete { key } => json!({"drop": key}),
-            })
-            .collect();
-        serde_json::to_vec(&json!({"guards": guards, "apply": apply})).expect("plain data")
+        let apply: Vec<Value> = self.changes.iter().map(Change::to_json).collect();
+        let body = json!({"guards": guards, "apply": apply});
+        serde_json::to_vec(&body).expect("a JSON value always serializes")
     }
 }
 
-#[derive(Deserialize)]
+/// The answer to a transaction that was carried out.
+#[derive(Debug, Deserialize)]
 pub struct Revision {
+    /// The revision of the transaction, which is the version of all it wrote.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-#[derive(Deserialize)]
+/// The answer to a transaction of which a condition failed.
+#[derive(Debug, Deserialize)]
 pub struct Conflict {
+    /// The keys whose condition failed.
     pub failed: Vec<String>,
 }
 
-#[derive(Deserialize)]
-pub struct ShardLease {
+/// The answer to the request for a lease.
+#[derive(Debug, Deserialize)]
+pub struct NewLease {
+    /// The number of the lease.
     #[serde(rename = "grant")]
     pub lease: u64,
 }
--- a/crates/protocol/tests/pinned_bytes.rs
+++ b/crates/protocol/tests/pinned_bytes.rs
@@ -6,7 +6,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use copperfield_protocol::JobId;
 use copperfield_protocol::cloud;
-use copperfield_protocol::job::{JobOutcome, JobSpec, Phase};
+use copperfield_protocol::job::{InvalidField, JobOutcome, JobSpec, Phase};
 use copperfield_protocol::peer::{
     AdminRequest, ForwardedHeartbeat, Lookup, Outcome, PeerReply, PeerRequest, RelayedCommand,
     ShardStatus, ShardUpdate,
@@ -309,14 +309,14 @@
         done: 70,
         running: 71,
     });
-    all.extend([Lookup::AskState, Lookup::Never, Lookup::NotLeading]);
+    all.extend([Lookup::NotInMemory, Lookup::NotFound, Lookup::NotLeader]);
     all
 }
 
 fn requests() -> Vec<PeerRequest> {
     let mut all = vec![
-        PeerRequest::Lookup(vec![job(1), job(999_999_999)]),
-        PeerRequest::Cancel(job(2)),
+        PeerRequest::LookUpJobs(vec![job(1), job(999_999_999)]),
+        PeerRequest::CancelJob(job(2)),
         PeerRequest::State {
             method: "POST".into(),
             path: "/x".into(),
@@ -342,9 +342,9 @@
 }
 
 fn replies() -> Vec<PeerReply> {
-    let mut all: Vec<PeerReply> = lookups().into_iter().map(PeerReply::Job).collect();
+    let mut all: Vec<PeerReply> = lookups().into_iter().map(PeerReply::Cancelled).collect();
     all.extend([
-        PeerReply::Jobs(lookups()),
+        PeerReply::Lookups(lookups()),
         PeerReply::State {
             status: 409,
             body: vec![3, 4, 254],
@@ -352,7 +352,7 @@
         PeerReply::Pong,
         PeerReply::VoteGranted,
         PeerReply::Unable,
-        PeerReply::AdminAnswered {
+        PeerReply::AdminResponse {
             status: 404,
             body: vec![5, 6],
         },
@@ -407,11 +407,12 @@
 #[test]
 fn jobs_keep_their_bytes() {
     let written = |spec: JobSpec| spec.to_json().to_string();
+    let text = |error: InvalidField| error.to_string();
     check_bodies("jobs/submitted.json", |body| {
-        JobSpec::submitted(body).map(written)
+        JobSpec::submitted(body).map(written).map_err(text)
     });
     check_bodies("jobs/stored.json", |body| {
-        JobSpec::from_json(body).map(written)
+        JobSpec::from_json(body).map(written).map_err(text)
     });
     let spellings: Vec<String> = job_phases()
         .into_iter()
@@ -429,7 +430,7 @@
 #[test]
 fn reports_of_workers_are_read_as_before() {
     check_bodies("workers/reports.json", |body| {
-        let heartbeat = Heartbeat::parse(body.to_string().as_bytes())?;
+        let heartbeat = Heartbeat::parse(body.to_string().as_bytes()).map_err(|e| e.to_string())?;
         Ok(to_hex(&borsh::to_vec(&heartbeat).expect("plain data")))
     });
 }
@@ -469,8 +470,9 @@
         .collect();
     check_lines("cloud/types.txt", &made);
 
-    let (listed, more) = cloud::parse_list(pinned("cloud/list.json").as_bytes()).expect("list");
-    let mut made: Vec<String> = listed
+    let page = cloud::parse_list(pinned("cloud/list.json").as_bytes()).expect("list");
+    let mut made: Vec<String> = page
+        .workers
         .iter()
         .map(|l| {
             format!(
@@ -479,9 +481,9 @@
             )
         })
         .collect();
-    made.push(more.to_string());
-    let (none, more) = cloud::parse_list(pinned("cloud/list_short.json").as_bytes()).expect("list");
-    made.push(format!("{} {more}", none.len()));
+    made.push(page.more.to_string());
+    let page = cloud::parse_list(pinned("cloud/list_short.json").as_bytes()).expect("list");
+    made.push(format!("{} {}", page.workers.len(), page.more));
     check_lines("cloud/list.txt", &made);
 
     let rented = cloud::parse_scale_out(pinned("cloud/rented.json").as_bytes()).expect("rented");
@@ -492,10 +494,10 @@
 fn requests_to_the_cloud_keep_their_bytes() {
     let names = ["vm-1".to_string(), "vm-2".to_string()];
     let made = [
-        cloud::rental_body("r-1", "g8", "a", true, 3).to_string(),
-        cloud::rental_body("r-2", "small", "b", false, 1).to_string(),
-        cloud::return_body(&names).to_string(),
-        cloud::return_body(&[]).to_string(),
+        cloud::scale_out_body("r-1", "g8", "a", true, 3).to_string(),
+        cloud::scale_out_body("r-2", "small", "b", false, 1).to_string(),
+        cloud::scale_in_body(&names).to_string(),
+        cloud::scale_in_body(&[]).to_string(),
     ];
     check_lines("cloud/requests.txt", &made);
 }
@@ -551,7 +553,7 @@
             .join(" "),
     );
     made.push(
-        read::<state::ShardLease>("state/granted.json")
+        read::<state::NewLease>("state/granted.json")
             .lease
             .to_string(),
     );
--- a/crates/protocol/tests/submission.rs
+++ b/crates/protocol/tests/submission.rs
@@ -48,15 +48,16 @@
 }
 
 fn refusal(body: &Value) -> String {
-    JobSpec::submitted(body).expect_err(&body.to_string())
+    let error = JobSpec::submitted(body).expect_err(&body.to_string());
+    error.to_string()
 }
 
 #[test]
-fn every_field_of_a_submission_is_judged() {
+fn every_field_of_a_submission_is_validated() {
     let fields = fields();
-    let judged: Vec<&str> = fields.iter().map(|f| f.0).collect();
+    let validated: Vec<&str> = fields.iter().map(|f| f.0).collect();
     for name in sample().as_object().expect("an object").keys() {
-        assert!(judged.contains(&name.as_str()), "{name}");
+        assert!(validated.contains(&name.as_str()), "{name}");
     }
     for (field, refused, allowed, _) in fields {
         for value in refused {
@@ -74,8 +75,7 @@
     }
 }
 
-/// Only what may be null may be omitted. A submission without `spread`, `preemptibles`, `gpus` and
-/// the like was once accepted, and ran as if its user had said no.
+/// Only what may be null may be omitted: a default must not stand in for what a user left out.
 #[test]
 fn a_submission_that_lacks_a_field_is_refused() {
     for (field, _, allowed, optional) in fields() {
@@ -96,8 +96,27 @@
     }
 }
 
+/// The one line of an error is about one field: a value that is not allowed goes before a missing
+/// one, and of several missing ones the first in the order of the description.
 #[test]
-fn what_is_no_description_at_all_is_refused() {
+fn of_several_faults_a_value_that_is_not_allowed_is_named_first() {
+    let mut body = sample();
+    for field in ["snapshot_s", "spread", "gpus"] {
+        body.as_object_mut().expect("an object").remove(field);
+    }
+    assert_eq!(
+        refusal(&body),
+        "gpus: found nothing, allowed is a number from 0"
+    );
+    body["movable"] = json!("no");
+    assert_eq!(
+        refusal(&body),
+        "movable: found \"no\", allowed is true or false"
+    );
+}
+
+#[test]
+fn a_body_that_is_no_object_is_refused() {
     for body in [json!([1]), json!(null), json!("wk-000412")] {
         let error = refusal(&body);
         assert!(error.starts_with("description: found "), "{error}");
@@ -105,12 +124,12 @@
 }
 
 #[test]
-fn a_submission_survives_storage() {
+fn a_stored_submission_reads_back_unchanged() {
     let spec = JobSpec::submitted(&sample()).expect("valid");
     assert_eq!(JobSpec::from_json(&spec.to_json()), Ok(spec));
 }
 
-/// A job that an earlier version has accepted is never dropped for what that did not ask for.
+/// A job that an earlier version accepted must not be lost for fields it did not ask for.
 #[test]
 fn a_stored_job_that_lacks_a_field_is_read() {
     let mut body = sample();
--- a/src/api.rs
+++ b/src/api.rs
@@ -153,7 +153,7 @@
     async fn heartbeat(&self, body: &[u8]) -> Outgoing {
         let heartbeat = match Heartbeat::parse(body) {
             Ok(heartbeat) => heartbeat,
-            Err(error) => return Outgoing::error(400, &error),
+            Err(error) => return Outgoing::error(400, &error.to_string()),
         };
         if heartbeat.address.parse::<SocketAddr>().is_err() {
             return Outgoing::error(400, "address: not an IP address and port");
@@ -173,7 +173,7 @@
     async fn ask_owner(&self, job: JobId) -> (Lookup, Option<String>) {
         let (found, leader) = self.ask_owner_all(vec![job]).await;
         (
-            found.into_iter().next().unwrap_or(Lookup::NotLeading),
+            found.into_iter().next().unwrap_or(Lookup::NotLeader),
             leader,
         )
     }
@@ -184,7 +184,7 @@
         if !self.context.is_valid() {
             for f in &mut found {
                 if let Lookup::Live { .. } = f {
-                    *f = Lookup::NotLeading;
+                    *f = Lookup::NotLeader;
                 }
             }
         }
@@ -200,7 +200,7 @@
         };
         let spec = match JobSpec::submitted(&value) {
             Ok(spec) => spec,
-            Err(error) => return Outgoing::error(400, &error),
+            Err(error) => return Outgoing::error(400, &error.to_string()),
         };
         let id = spec.id;
         let types = self.handle.ask(|reply| Command::AskTypes { reply }).await;
@@ -323,7 +323,7 @@
     /// What this node or the leader knows of a job.
     async fn find(&self, id: JobId) -> Lookup {
         let (found, leader) = self.ask_owner(id).await;
-        let (Lookup::NotLeading, Some(leader)) = (found, leader) else {
+        let (Lookup::NotLeader, Some(leader)) = (found, leader) else {
             return found;
         };
         let (reply, answer) = oneshot::channel();
@@ -334,9 +334,9 @@
         };
         // Where too much is asked the state service may still have time.
         if self.questions.try_send(question).is_err() {
-            return Lookup::NotLeading;
+            return Lookup::NotLeader;
         }
-        answer.await.unwrap_or(Lookup::NotLeading)
+        answer.await.unwrap_or(Lookup::NotLeader)
     }
 
     /// Asks the leader what users ask this node, many at a time: in a storm of
@@ -356,13 +356,13 @@
             tokio::spawn(async move {
                 let jobs = batch.iter().map(|q| q.job).collect();
                 let leader = batch.last().map(|q| q.leader.clone());
-                let asked = PeerRequest::Lookup(jobs);
+                let asked = PeerRequest::LookUpJobs(jobs);
                 let found = match this.ask_leader(leader, asked, PEER_DEADLINE).await {
-                    Some(PeerReply::Jobs(found)) => found,
+                    Some(PeerReply::Lookups(found)) => found,
                     _ => Vec::new(),
                 };
                 drop(permit);
-                let unknown = std::iter::repeat(Lookup::NotLeading);
+                let unknown = std::iter::repeat(Lookup::NotLeader);
                 for (question, found) in batch.into_iter().zip(found.into_iter().chain(unknown)) {
                     this.remember(question.job, found).await;
                     let _ = question.reply.send(found);
@@ -396,7 +396,7 @@
     async fn cancel(&self, id: JobId) -> Outgoing {
         match self.cancelled(id).await {
             Lookup::Terminal(end) => phase_answer(id, end.phase, end.done, 0),
-            Lookup::Never => Outgoing::error(404, "no such job"),
+            Lookup::NotFound => Outgoing::error(404, "no such job"),
             _ => Outgoing::busy("cannot be stored now", 1),
         }
     }
@@ -405,14 +405,14 @@
         let (found, leader) = self.ask_owner(id).await;
         match found {
             Lookup::Terminal(_) => return found,
-            Lookup::NotLeading => {}
+            Lookup::NotLeader => {}
             _ => return self.cancel_as_leader(id).await,
         }
         let by_leader = self
-            .ask_leader(leader, PeerRequest::Cancel(id), CANCEL_DEADLINE)
+            .ask_leader(leader, PeerRequest::CancelJob(id), CANCEL_DEADLINE)
             .await;
         match by_leader {
-            Some(PeerReply::Job(found @ (Lookup::Terminal(_) | Lookup::Never))) => {
+            Some(PeerReply::Cancelled(found @ (Lookup::Terminal(_) | Lookup::NotFound))) => {
                 self.remember(id, found).await;
                 found
             }
@@ -429,7 +429,7 @@
                 .ask(|reply| Command::BeginCancel { job: id, reply })
                 .await;
             match begin.flatten() {
-                None => return Lookup::NotLeading,
+                None => return Lookup::NotLeader,
                 Some((CancelBegin::Terminal(end), _)) => return Lookup::Terminal(end),
                 Some((CancelBegin::Busy, _)) => sleep(Duration::from_millis(30)).await,
                 Some((CancelBegin::Go { done }, token)) => break (done, token),
@@ -450,9 +450,9 @@
                 }
                 sleep(Duration::from_millis(200)).await;
             }
-            Lookup::NotLeading
+            Lookup::NotLeader
         });
-        settled.await.unwrap_or(Lookup::NotLeading)
+        settled.await.unwrap_or(Lookup::NotLeader)
     }
 
     /// Without a leader nobody starts anything or answers from memory, and the
@@ -460,7 +460,7 @@
     /// else it might still tell users that the job is running.
     async fn cancel_without_leader(&self, id: JobId) -> Lookup {
         if !self.context.begin_leaderless() {
-            return Lookup::NotLeading;
+            return Lookup::NotLeader;
         }
         // Goes on when the user has given up, so that its end is always noted.
         let this = self.clone();
@@ -470,7 +470,7 @@
             this.remember(id, found).await;
             found
         });
-        stored.await.unwrap_or(Lookup::NotLeading)
+        stored.await.unwrap_or(Lookup::NotLeader)
     }
 
     /// The transaction may be carried out minutes later, when this process is gone and a later
@@ -481,14 +481,14 @@
         let store = &self.context.store;
         let founded = store.get(FOUNDED, Urgency::High, true).await;
         let Ok(founded) = founded.map(|item| item.map_or(0, |i| i.version)) else {
-            return Lookup::NotLeading;
+            return Lookup::NotLeader;
         };
         let Ok(None) = store.get(LEADER, Urgency::High, true).await else {
-            return Lookup::NotLeading;
+            return Lookup::NotLeader;
         };
         let guards = [(LEADER, 0), (FOUNDED, founded)];
         let stored = self.store_cancelled(id, 0, &guards).await;
-        stored.unwrap_or(Lookup::NotLeading)
+        stored.unwrap_or(Lookup::NotLeader)
     }
 
     /// `Unknown` only if the transaction may still be carried out.
@@ -510,7 +510,7 @@
             return Ok(Lookup::Terminal(end));
         }
         let Some(live) = live else {
-            return Ok(Lookup::Never);
+            return Ok(Lookup::NotFound);
         };
         let mut conditions = vec![(job_key(id), live.version), (terminal_key(id), 0)];
         conditions.extend(
@@ -539,7 +539,7 @@
         let (_, leader) = self.ask_owner_all(Vec::new()).await;
         let asked = PeerRequest::Admin(order);
         match self.ask_leader(leader, asked, CANCEL_DEADLINE).await {
-            Some(PeerReply::AdminAnswered { status, body }) => Outgoing {
+            Some(PeerReply::AdminResponse { status, body }) => Outgoing {
                 status,
                 body,
                 retry_after_s: None,
@@ -577,11 +577,11 @@
             }
         };
         let reply = match message {
-            PeerRequest::Lookup(jobs) => PeerReply::Jobs(self.ask_owner_all(jobs).await.0),
-            PeerRequest::Cancel(id) => PeerReply::Job(
+            PeerRequest::LookUpJobs(jobs) => PeerReply::Lookups(self.ask_owner_all(jobs).await.0),
+            PeerRequest::CancelJob(id) => PeerReply::Cancelled(
                 timeout(CANCEL_DEADLINE, self.cancel_as_leader(id))
                     .await
-                    .unwrap_or(Lookup::AskState),
+                    .unwrap_or(Lookup::NotInMemory),
             ),
             PeerRequest::State { method, path, body } => {
                 self.context.store.pass_on(&method, &path, body).await
@@ -624,7 +624,7 @@
                 let asked = timeout(CANCEL_DEADLINE, self.operate_as_leader(order));
                 match asked.await.ok().flatten() {
                     Some(Outgoing { status, body, .. }) => {
-                        PeerReply::AdminAnswered { status, body }
+                        PeerReply::AdminResponse { status, body }
                     }
                     None => PeerReply::Unable,
                 }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -102,12 +102,13 @@
             spot,
             count,
         } => {
-            let body = cloud::rental_body(&request, &machine_type, &zone, spot, count).to_string();
+            let body =
+                cloud::scale_out_body(&request, &machine_type, &zone, spot, count).to_string();
             let outcome = rent(context, body.into_bytes()).await;
             Some(Input::ScaledOut { request, outcome })
         }
         Effect::ScaleIn(workers) => {
-            let body = cloud::return_body(&workers).to_string().into_bytes();
+            let body = cloud::scale_in_body(&workers).to_string().into_bytes();
             context.cloud_budget.spend(1.0, Urgency::High).await;
             // A leader that stood still meanwhile would return what the next one uses.
             let ok = context.is_valid()
@@ -312,12 +313,12 @@
         if answer.status != 200 {
             return None;
         }
-        let (hosts, more) = cloud::parse_list(&answer.body)
+        let page = cloud::parse_list(&answer.body)
             .inspect_err(|error| tracing::warn!(%error, "machine list does not parse"))
             .ok()?;
-        let empty = hosts.is_empty();
-        all.extend(hosts);
-        if !more || empty {
+        let more = page.more && !page.workers.is_empty();
+        all.extend(page.workers);
+        if !more {
             return Some(all);
         }
     }
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -335,7 +335,7 @@
         }
         match &self.role {
             Role::Leading(l) if self.context.is_valid() => l.core.lookup(job),
-            _ => Lookup::NotLeading,
+            _ => Lookup::NotLeader,
         }
     }
 
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -202,7 +202,7 @@
                 running: job.running,
             },
             // An end that is being stored may already be known elsewhere.
-            _ => Lookup::AskState,
+            _ => Lookup::NotInMemory,
         }
     }
 
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -66,7 +66,8 @@
 }
 
 pub fn parse_job_record(value: &Value) -> Result<(JobSpec, u64), String> {
-    let spec = JobSpec::from_json(value.get("spec").ok_or("spec: missing")?)?;
+    let spec = value.get("spec").ok_or("spec: missing")?;
+    let spec = JobSpec::from_json(spec).map_err(|error| error.to_string())?;
     Ok((spec, value.get("at").and_then(Value::as_u64).unwrap_or(0)))
 }
 
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -16,7 +16,7 @@
 use crate::protocol::job::{JobOutcome, Phase};
 use crate::protocol::peer::{PeerReply, PeerRequest};
 use crate::protocol::state::{
-    Change, Changes, Conflict, Item, Page, Revision, ShardLease, Transaction,
+    Change, Changes, Conflict, Item, NewLease, Page, Revision, Transaction,
 };
 use crate::transport::client::{Answer, CallError, Network};
 use crate::transport::rate_limiter::{RateLimiter, Urgency};
@@ -366,7 +366,7 @@
             .direct(Method::POST, "/leases", body.into_bytes(), ATTEMPT)
             .await?;
         match answer.status {
-            200 => parse::<ShardLease>(&answer).map(|g| g.lease),
+            200 => parse::<NewLease>(&answer).map(|g| g.lease),
             other => Err(StoreError::Refused(other)),
         }
     }
