--- a/crates/protocol/src/job/resources.rs
+++ b/crates/protocol/src/job/resources.rs
@@ -52,15 +52,18 @@
             .max(share(self.memory, whole.memory))
     }
 
-    pub(super) fn whole_cpus(&self) -> f64 {
+    /// Whole CPUs.
+    pub fn whole_cpus(&self) -> f64 {
         self.cpus as f64 / UNITS_PER_WHOLE
     }
 
-    pub(super) fn whole_gpus(&self) -> f64 {
+    /// Whole GPUs.
+    pub fn whole_gpus(&self) -> f64 {
         self.gpus as f64 / UNITS_PER_WHOLE
     }
 
-    pub(super) fn memory_gb(&self) -> f64 {
+    /// Memory in GB.
+    pub fn memory_gb(&self) -> f64 {
         self.memory as f64 / UNITS_PER_WHOLE
     }
 }
--- /dev/null
+++ b/src/api/admin.rs
@@ -0,0 +1,107 @@
+//! Operators' requests, which the leader answers.
+
+use copperfield_admin::views::DrainOrder;
+use subtle::ConstantTimeEq;
+use warp::http::Method;
+
+use super::error::ApiError;
+use super::lookup::LocalLookups;
+use super::peers::call_leader;
+use super::{Api, CANCEL_DEADLINE};
+use crate::controller::commands::Command;
+use crate::protocol::peer::{AdminRequest, PeerReply, PeerRequest};
+use crate::transport::server::{Incoming, Outgoing};
+
+/// Longest time to a drain's deadline, in seconds.
+const MAX_DRAIN_DEADLINE_S: f64 = 1e6;
+
+impl Api {
+    /// Checks the key of an operator's request.
+    pub(super) fn authorize(&self, request: &Incoming) -> Result<(), ApiError> {
+        let operators = self.context.tuning.operators.as_ref();
+        let key = &operators.ok_or(ApiError::NoSuchPath)?.key;
+        let authorization = request.authorization.as_deref().unwrap_or_default();
+        let given = authorization.strip_prefix("Bearer ").unwrap_or_default();
+        if !bool::from(given.as_bytes().ct_eq(key.as_bytes())) {
+            return Err(ApiError::Unauthorized);
+        }
+        Ok(())
+    }
+
+    /// Answers an operator, here or through the leader.
+    pub(super) async fn admin(&self, request: AdminRequest) -> Result<Outgoing, ApiError> {
+        if let Some(answer) = self.admin_as_leader(request.clone()).await {
+            return Ok(answer);
+        }
+        let LocalLookups { leader, .. } = self.look_up_all_locally(Vec::new()).await;
+        let request = PeerRequest::Admin(request);
+        match call_leader(&self.context, leader.as_deref(), request, CANCEL_DEADLINE).await {
+            Some(PeerReply::AdminResponse { status, body }) => Ok(answer(status, body)),
+            _ => Err(ApiError::NoLeader),
+        }
+    }
+
+    /// `None` if this controller does not lead.
+    pub(super) async fn admin_as_leader(&self, request: AdminRequest) -> Option<Outgoing> {
+        let response = self
+            .handle
+            .ask(|reply| Command::Admin {
+                order: request,
+                reply,
+            })
+            .await;
+        let (status, body) = response.flatten()?;
+        Some(answer(status, body))
+    }
+}
+
+fn answer(status: u16, body: Vec<u8>) -> Outgoing {
+    Outgoing {
+        status,
+        body,
+        retry_after_s: None,
+    }
+}
+
+/// What an operator asks by HTTP, at `page` below the operators' path.
+pub(super) fn parse_request(request: &Incoming, page: &str) -> Result<AdminRequest, ApiError> {
+    if request.method == Method::GET {
+        return parse_get(request, page);
+    }
+    let named = page
+        .strip_prefix("nodes/")
+        .and_then(|rest| rest.split_once('/'));
+    match named {
+        Some((node, "drain")) => parse_drain(node, &request.body),
+        Some((node, "undrain")) => Ok(AdminRequest::Undrain { node: node.into() }),
+        _ => Err(ApiError::NoSuchAdminPage),
+    }
+}
+
+fn parse_get(request: &Incoming, page: &str) -> Result<AdminRequest, ApiError> {
+    let query = request.query.as_deref().unwrap_or_default();
+    match page {
+        "nodes" => Ok(AdminRequest::Nodes {
+            since: query.strip_prefix("since=").unwrap_or_default().into(),
+        }),
+        "moves" => Ok(AdminRequest::Moves),
+        _ => Err(ApiError::NoSuchAdminPage),
+    }
+}
+
+fn parse_drain(node: &str, body: &[u8]) -> Result<AdminRequest, ApiError> {
+    let order = match body {
+        b"" => DrainOrder::default(),
+        body => serde_json::from_slice(body).map_err(ApiError::InvalidDrain)?,
+    };
+    if let Some(deadline_s) = order.deadline_s
+        && !(0.0..=MAX_DRAIN_DEADLINE_S).contains(&deadline_s)
+    {
+        return Err(ApiError::DrainDeadline(deadline_s));
+    }
+    Ok(AdminRequest::Drain {
+        node: node.into(),
+        deadline_s: order.deadline_s,
+        yes: order.yes,
+    })
+}
--- /dev/null
+++ b/src/api/health.rs
@@ -0,0 +1,24 @@
+//! Whether a load balancer should send requests to this controller.
+
+use serde_json::json;
+
+use super::Api;
+use super::error::ApiError;
+use crate::transport::server::Outgoing;
+
+/// A controller that neither the state service nor a peer answers for so long cannot take
+/// requests.
+const CUT_OFF_S: f64 = 6.0;
+
+impl Api {
+    pub(super) fn health(&self) -> Result<Outgoing, ApiError> {
+        let context = &self.context;
+        let cut_off = context.store.unserved_s() > CUT_OFF_S
+            && !context.settings.others.is_empty()
+            && context.peers_silent_s() > CUT_OFF_S;
+        if cut_off {
+            return Err(ApiError::CutOff);
+        }
+        Ok(Outgoing::json(200, &json!({"ok": true})))
+    }
+}
--- /dev/null
+++ b/src/api/heartbeat.rs
@@ -0,0 +1,34 @@
+//! Heartbeats of workers.
+
+use std::net::SocketAddr;
+
+use serde_json::json;
+use warp::http::StatusCode;
+
+use super::Api;
+use super::error::ApiError;
+use crate::controller::commands::Command;
+use crate::protocol::worker::Heartbeat;
+use crate::transport::server::Outgoing;
+
+/// The worker is to report to another controller.
+const REDIRECT: u16 = StatusCode::MISDIRECTED_REQUEST.as_u16();
+
+impl Api {
+    /// Answers a heartbeat with commands, or with a redirect to another controller.
+    pub(super) async fn heartbeat(&self, body: &[u8]) -> Result<Outgoing, ApiError> {
+        let heartbeat = Heartbeat::parse(body)?;
+        if heartbeat.address.parse::<SocketAddr>().is_err() {
+            return Err(ApiError::WorkerAddress);
+        }
+        let answer = self
+            .handle
+            .ask(|reply| Command::Heartbeat { heartbeat, reply })
+            .await;
+        match answer {
+            // Checked again as the answer leaves: the process may have been paused since.
+            Some(answer) if answer.status == REDIRECT || self.context.may_answer() => Ok(answer),
+            _ => Ok(Outgoing::json(REDIRECT, &json!({}))),
+        }
+    }
+}
--- /dev/null
+++ b/src/api/peers.rs
@@ -0,0 +1,156 @@
+//! Requests of other controllers, and requests to them.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::time::{sleep, timeout};
+
+use super::error::ApiError;
+use super::{Api, CANCEL_DEADLINE};
+use crate::controller::commands::Command;
+use crate::controller::context::ControllerContext;
+use crate::controller::effects::relay_commands;
+use crate::coordination::election;
+use crate::protocol::JobId;
+use crate::protocol::peer::{
+    AdminRequest, Lookup, PeerReply, PeerRequest, RelayedCommand, ShardStatus,
+};
+use crate::storage::store::call_peer;
+use crate::transport::server::{Incoming, Outgoing};
+
+/// For the answer of another controller to a request that it answers at once.
+pub(super) const PEER_DEADLINE: Duration = Duration::from_millis(700);
+/// How often it is checked whether peers have to be pinged.
+const MONITOR_INTERVAL: Duration = Duration::from_secs(2);
+/// Peers are pinged once the state service has not answered for so long.
+const PING_AFTER_UNSERVED_S: f64 = 1.5;
+
+impl Api {
+    /// Answers a request of another controller.
+    pub async fn peer(self, request: Incoming) -> Outgoing {
+        self.context.heard_peer();
+        let request = match decode(&request.body) {
+            Ok(request) => request,
+            Err(error) => return error.into(),
+        };
+        let reply = self.reply_to_peer(request).await;
+        Outgoing {
+            status: 200,
+            body: borsh::to_vec(&reply).expect("writing to memory never fails"),
+            retry_after_s: None,
+        }
+    }
+
+    async fn reply_to_peer(&self, request: PeerRequest) -> PeerReply {
+        match request {
+            PeerRequest::LookUpJobs(jobs) => {
+                PeerReply::Lookups(self.look_up_all_locally(jobs).await.results)
+            }
+            PeerRequest::CancelJob(id) => self.cancel_for_peer(id).await,
+            PeerRequest::State { method, path, body } => {
+                self.context.store.pass_on(&method, &path, body).await
+            }
+            PeerRequest::VoteToExtendLease { token } => {
+                let reply = election::answer_to_leader(&self.context, token).await;
+                tracing::debug!(token, ?reply, "lease extension vote requested");
+                reply
+            }
+            PeerRequest::Ping => PeerReply::Pong,
+            PeerRequest::Idle if self.context.is_idle() => PeerReply::Idle {
+                up_ms: (self.context.now_s() * 1000.0) as u64,
+            },
+            PeerRequest::Idle => PeerReply::Unable,
+            PeerRequest::Share(status) => self.shard_status(status).await,
+            PeerRequest::RelayCommands { token, messages } => self.relay(token, messages),
+            PeerRequest::TransferLeadership { token } => {
+                self.context.transfer_leadership(token);
+                PeerReply::Pong
+            }
+            PeerRequest::LeaderAnnouncement { member } => {
+                self.handle.send(Command::LeaderSeen(Some(member))).await;
+                PeerReply::Pong
+            }
+            PeerRequest::Admin(request) => self.admin_for_peer(request).await,
+        }
+    }
+
+    async fn cancel_for_peer(&self, id: JobId) -> PeerReply {
+        let cancelled = timeout(CANCEL_DEADLINE, self.cancel_as_leader(id)).await;
+        PeerReply::Cancelled(cancelled.unwrap_or(Lookup::NotInMemory))
+    }
+
+    async fn shard_status(&self, status: ShardStatus) -> PeerReply {
+        let update = self.handle.ask(|reply| Command::ShardStatus {
+            word: status,
+            reply,
+        });
+        match update.await.flatten() {
+            Some(update) => PeerReply::Granted(update),
+            None => PeerReply::Unable,
+        }
+    }
+
+    fn relay(&self, token: u64, messages: Vec<RelayedCommand>) -> PeerReply {
+        if relay_commands(&self.context, &self.handle, token, messages) {
+            PeerReply::Relaying
+        } else {
+            PeerReply::Unable
+        }
+    }
+
+    async fn admin_for_peer(&self, request: AdminRequest) -> PeerReply {
+        let response = timeout(CANCEL_DEADLINE, self.admin_as_leader(request)).await;
+        match response.ok().flatten() {
+            Some(Outgoing { status, body, .. }) => PeerReply::AdminResponse { status, body },
+            None => PeerReply::Unable,
+        }
+    }
+}
+
+/// # Errors
+/// The request is perhaps of another version.
+fn decode(body: &[u8]) -> Result<PeerRequest, ApiError> {
+    borsh::from_slice(body).map_err(|error| {
+        let (kind, bytes) = (body.first(), body.len());
+        tracing::warn!(?kind, bytes, %error, "peer message not understood");
+        let found = match kind {
+            Some(kind) => format!("kind {kind}, {bytes} bytes"),
+            None => "nothing".into(),
+        };
+        ApiError::UnknownPeerMessage { found }
+    })
+}
+
+/// The leader's reply; `None` if no leader is known or it does not answer in time.
+pub(super) async fn call_leader(
+    context: &ControllerContext,
+    leader: Option<&str>,
+    request: PeerRequest,
+    deadline: Duration,
+) -> Option<PeerReply> {
+    let address = context.peer_address(leader?)?;
+    let reply = call_peer(context.http.as_ref(), address, &request, deadline).await;
+    if reply.is_some() {
+        context.heard_peer();
+    }
+    reply
+}
+
+/// Pings peers, for ever, while the state service does not answer this controller: their answers
+/// tell whether the controller is cut off or the service is down.
+pub(super) async fn monitor(context: Arc<ControllerContext>) {
+    loop {
+        sleep(MONITOR_INTERVAL).await;
+        if context.store.unserved_s() < PING_AFTER_UNSERVED_S {
+            continue;
+        }
+        for peer in &context.settings.others {
+            let ping = &PeerRequest::Ping;
+            let pong = call_peer(context.http.as_ref(), peer.peer_addr, ping, PEER_DEADLINE);
+            if pong.await.is_some() {
+                context.heard_peer();
+                break;
+            }
+        }
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use clap::{Parser, Subcommand};
-use copperfield::api::Service;
+use copperfield::api::Api;
 use copperfield::protocol::{MAX_BODY, MAX_PEER_BODY};
 use copperfield::settings::{Log, LogFormat, Settings, Tuning, tuning_beside};
 use copperfield::transport::client::Http;
@@ -183,22 +183,22 @@
     // does nothing in the node's name. As its successor it may remove its leader key.
     let (public, peers) = (bind(public).await?, bind(peers).await?);
     let network = Arc::new(Http::default());
-    let (service, owner) = Service::start(settings, tuning, network, rand::random());
-    let for_users = service.clone();
+    let (api, tasks) = Api::start(settings, tuning, network, rand::random());
+    let public_api = api.clone();
     let public = serve(
         public,
         for_public,
         MAX_BODY,
         meter.clone(),
-        move |request| for_users.clone().public(request),
+        move |request| public_api.clone().public(request),
     );
     let peers = serve(peers, for_peers, MAX_PEER_BODY, meter, move |request| {
-        service.clone().peer(request)
+        api.clone().peer(request)
     });
     // Whichever of these ends, the process is of no use any more.
     tokio::select! {
         result = public => result,
         result = peers => result,
-        _ = owner => Err(std::io::Error::other("the owner of the state has ended")),
+        _ = tasks.event_loop_ended() => Err(std::io::Error::other("the owner of the state has ended")),
     }
 }
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperfield::api::Service;
+use copperfield::api::Api;
 use copperfield::protocol::peer::{PeerRequest, ShardStatus, ShardUpdate};
 use copperfield::protocol::worker::{Exit, Heartbeat, TaskPhase, TaskStatus};
 use copperfield::protocol::{JobId, MAX_PEER_BODY};
@@ -140,7 +140,7 @@
     simulate(async {
         let network = Outside::new(false);
         let tuning = Tuning::default();
-        let (service, _owner) = Service::start(settings(), tuning, network.clone(), 1);
+        let (service, _owner) = Api::start(settings(), tuning, network.clone(), 1);
         sleep(Duration::from_secs(1)).await;
         let mut answers = JoinSet::new();
         for worker in 0..WORKERS {
@@ -166,7 +166,7 @@
     simulate(async {
         let network = Outside::new(true);
         let tuning = Tuning::default();
-        let (_service, _owner) = Service::start(settings(), tuning, network.clone(), 1);
+        let (_service, _owner) = Api::start(settings(), tuning, network.clone(), 1);
         sleep(Duration::from_secs(120)).await;
         let ended = network.ended.load(Ordering::Relaxed);
         let under_way = network.begun.load(Ordering::Relaxed) - ended;
--- a/tests/simulated_cluster/mod.rs
+++ b/tests/simulated_cluster/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use copperfield::api::Service;
+use copperfield::api::Api;
 use copperfield::settings::{Settings, Switch, Tuning};
 use copperfield::transport::client::{Answer, CallError, Exchange, Network, within};
 use copperfield::transport::server::Incoming;
@@ -27,7 +27,7 @@
 pub struct SimulatedCluster {
     pub site: Site,
     pub state: StateService,
-    pub services: Vec<Option<Service>>,
+    pub services: Vec<Option<Api>>,
     pub alive: Vec<Arc<AtomicBool>>,
     /// Nodes that stand still: nothing they read reaches them and nothing they
     /// have decided leaves, until they go on with both.
@@ -460,7 +460,7 @@
     let team = &mut settings.cluster.teams[0];
     let limit = world.lock().unwrap().site.limits.get(&team.name).copied();
     team.cpus_max = limit.unwrap_or(0.0);
-    let (service, _) = Service::start(settings, tuning, Arc::new(net), seed + i as u64);
+    let (service, _) = Api::start(settings, tuning, Arc::new(net), seed + i as u64);
     let mut w = world.lock().unwrap();
     w.services[i] = Some(service);
     w.alive[i] = alive;
