--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -50,11 +50,39 @@
     pub events: Vec<Event>,
 }
 
+/// A key and the version that it must have for a transaction to be carried out.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Condition {
+    key: String,
+    version: u64,
+}
+
+impl Condition {
+    /// The version of a key that does not exist.
+    const ABSENT: u64 = 0;
+
+    /// The key was last written by the transaction of this revision; 0: it does not exist.
+    pub fn at_version(key: impl Into<String>, version: u64) -> Self {
+        Self {
+            key: key.into(),
+            version,
+        }
+    }
+
+    /// The key does not exist.
+    pub fn absent(key: impl Into<String>) -> Self {
+        Self::at_version(key, Self::ABSENT)
+    }
+
+    fn to_json(&self) -> Value {
+        json!({"path": self.key, "stamp": self.version})
+    }
+}
+
 /// Changes that are carried out together, if every condition holds, or not at all.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
-    /// Keys and the versions they must have; version 0: the key must not exist.
-    pub conditions: Vec<(String, u64)>,
+    pub conditions: Vec<Condition>,
     pub changes: Vec<Change>,
 }
 
@@ -89,10 +117,7 @@
 impl Transaction {
     /// The request's JSON body.
     pub fn body(&self) -> Vec<u8> {
-        let conditions = self.conditions.iter();
-        let guards: Vec<Value> = conditions
-            .map(|(key, version)| json!({"path": key, "stamp": version}))
-            .collect();
+        let guards: Vec<Value> = self.conditions.iter().map(Condition::to_json).collect();
         let apply: Vec<Value> = self.changes.iter().map(Change::to_json).collect();
         let body = json!({"guards": guards, "apply": apply});
         serde_json::to_vec(&body).expect("a JSON value always serializes")
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -286,7 +286,7 @@
 
 /// The JSON body with commands to a worker, under the leader's fencing token: the answer to a
 /// heartbeat, without `incarnation`, or a direct message to that incarnation of the worker.
-pub fn orders_body(token: u64, incarnation: Option<u64>, commands: &[Command]) -> Vec<u8> {
+pub fn commands_body(token: u64, incarnation: Option<u64>, commands: &[Command]) -> Vec<u8> {
     let body = WireCommands {
         token,
         incarnation,
--- a/crates/protocol/tests/pinned_bytes.rs
+++ b/crates/protocol/tests/pinned_bytes.rs
@@ -13,7 +13,7 @@
 };
 use copperfield_protocol::state;
 use copperfield_protocol::worker::{
-    Command, Exit, Heartbeat, TaskPhase, TaskStatus, Verb, orders_body,
+    Command, Exit, Heartbeat, TaskPhase, TaskStatus, Verb, commands_body,
 };
 use copperfield_sharding::{Change, OwnerStatus, ReleasedWorker, ShardLease};
 use serde_json::Value;
@@ -439,10 +439,10 @@
 fn orders_to_workers_keep_their_bytes() {
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     let made = [
-        text(orders_body(7, None, &commands())),
-        text(orders_body(7, Some(8), &commands())),
-        text(orders_body(0, None, &[])),
-        text(orders_body(u64::MAX, Some(0), &[])),
+        text(commands_body(7, None, &commands())),
+        text(commands_body(7, Some(8), &commands())),
+        text(commands_body(0, None, &[])),
+        text(commands_body(u64::MAX, Some(0), &[])),
     ];
     check_lines("workers/orders.txt", &made);
 }
@@ -511,7 +511,10 @@
         lease,
     };
     let full = state::Transaction {
-        conditions: vec![("x/1".into(), 0), ("x/2".into(), u64::MAX)],
+        conditions: vec![
+            state::Condition::absent("x/1"),
+            state::Condition::at_version("x/2", u64::MAX),
+        ],
         changes: vec![
             put("x/3", None),
             put("x/4", Some(5)),
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -13,7 +13,7 @@
 use crate::protocol::JobId;
 use crate::protocol::job::{JobOutcome, Phase};
 use crate::protocol::peer::{Lookup, PeerReply, PeerRequest};
-use crate::protocol::state::{Change, Transaction};
+use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::store::{StoreError, put};
 use crate::storage::{FOUNDED, LEADER, job_key, terminal_key, terminal_record};
 use crate::transport::rate_limiter::Urgency;
@@ -24,9 +24,6 @@
 /// Before the leader tries again to store a cancellation.
 const STORE_RETRY: Duration = Duration::from_millis(200);
 
-/// A key and the version it must have for a cancellation to be stored.
-type Guard<'a> = (&'a str, u64);
-
 /// A cancellation for which the leader starts nothing of the job any more.
 struct BegunCancellation {
     /// Tasks of the job that are known to be completed.
@@ -99,8 +96,9 @@
     /// Stores a cancellation, however long it takes, while this controller leads.
     async fn settle_cancellation(&self, id: JobId, begun: BegunCancellation) -> Lookup {
         let BegunCancellation { done, token } = begun;
+        let guards = [Condition::at_version(LEADER, token)];
         while self.context.leads(token) {
-            if let Ok(found) = self.store_cancelled(id, done, &[(LEADER, token)]).await {
+            if let Ok(found) = self.store_cancelled(id, done, &guards).await {
                 let end = match found {
                     Lookup::Terminal(outcome) => Some(outcome),
                     _ => None,
@@ -146,7 +144,10 @@
         let Ok(None) = store.get(LEADER, Urgency::High, true).await else {
             return Lookup::NotLeader;
         };
-        let guards = [(LEADER, 0), (FOUNDED, term)];
+        let guards = [
+            Condition::absent(LEADER),
+            Condition::at_version(FOUNDED, term),
+        ];
         let stored = self.store_cancelled(id, 0, &guards).await;
         stored.unwrap_or(Lookup::NotLeader)
     }
@@ -160,7 +161,7 @@
         &self,
         id: JobId,
         done: u32,
-        guards: &[Guard<'_>],
+        guards: &[Condition],
     ) -> Result<Lookup, StoreError> {
         let store = &self.context.store;
         let live = store.get(&job_key(id), Urgency::High, true).await?;
@@ -170,12 +171,11 @@
         let Some(live) = live else {
             return Ok(Lookup::NotFound);
         };
-        let mut conditions = vec![(job_key(id), live.version), (terminal_key(id), 0)];
-        conditions.extend(
-            guards
-                .iter()
-                .map(|(key, version)| (key.to_string(), *version)),
-        );
+        let mut conditions = vec![
+            Condition::at_version(job_key(id), live.version),
+            Condition::absent(terminal_key(id)),
+        ];
+        conditions.extend_from_slice(guards);
         let outcome = JobOutcome {
             phase: Phase::Cancelled,
             done,
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -11,7 +11,7 @@
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobSpec, Kind, Phase, Priority};
-use crate::protocol::state::Transaction;
+use crate::protocol::state::{Condition, Transaction};
 use crate::storage::store::{StoreError, put};
 use crate::storage::{job_key, job_record, terminal_key};
 use crate::transport::rate_limiter::Urgency;
@@ -123,7 +123,10 @@
             _ => Urgency::Normal,
         };
         let transaction = Transaction {
-            conditions: vec![(job_key(id), 0), (terminal_key(id), 0)],
+            conditions: vec![
+                Condition::absent(job_key(id)),
+                Condition::absent(terminal_key(id)),
+            ],
             changes: vec![put(job_key(id), record)],
         };
         for _ in 0..STORE_ATTEMPTS {
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -12,7 +12,7 @@
 use crate::coordination::core::{Effect, Input, Outcome, ScaleOutOutcome};
 use crate::protocol::cloud::{self, MachineType};
 use crate::protocol::peer::{PeerReply, PeerRequest, RelayedCommand};
-use crate::protocol::worker::{Command as WorkerCommand, Heartbeat, orders_body};
+use crate::protocol::worker::{Command as WorkerCommand, Heartbeat, commands_body};
 use crate::storage::store::call_peer;
 use crate::storage::writer::{self, WriteError};
 use crate::transport::client::{Answer, CallError};
@@ -224,7 +224,7 @@
         Ok(to) if context.may_order(token) => to,
         _ => return Outcome::Unsent,
     };
-    let body = orders_body(token, Some(incarnation), commands);
+    let body = commands_body(token, Some(incarnation), commands);
     let sent = context
         .http
         .call(Method::POST, to, "/orders", body, DIRECT_DEADLINE);
@@ -313,12 +313,15 @@
         if answer.status != 200 {
             return None;
         }
-        let page = cloud::parse_list(&answer.body)
+        let cloud::WorkerPage {
+            workers: hosts,
+            more,
+        } = cloud::parse_list(&answer.body)
             .inspect_err(|error| tracing::warn!(%error, "machine list does not parse"))
             .ok()?;
-        let more = page.more && !page.workers.is_empty();
-        all.extend(page.workers);
-        if !more {
+        let empty = hosts.is_empty();
+        all.extend(hosts);
+        if !more || empty {
             return Some(all);
         }
     }
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -11,7 +11,7 @@
 use crate::controller::commands::{Command, Handle};
 use crate::controller::context::ControllerContext;
 use crate::protocol::peer::{ForwardedHeartbeat, Outcome, PeerReply, PeerRequest, ShardUpdate};
-use crate::protocol::worker::{Heartbeat, orders_body};
+use crate::protocol::worker::{Heartbeat, commands_body};
 use crate::settings::Switch;
 use crate::storage::store::call_peer;
 use crate::transport::server::Outgoing;
@@ -81,7 +81,7 @@
         for act in acts {
             let (ticket, answer) = match act {
                 Action::Answer { ticket, token } => {
-                    let body = orders_body(token, None, &[]);
+                    let body = commands_body(token, None, &[]);
                     let answer = Outgoing {
                         status: 200,
                         body,
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -22,7 +22,7 @@
 use crate::controller::commands::{Command, Handle};
 use crate::controller::context::ControllerContext;
 use crate::protocol::peer::{PeerReply, PeerRequest};
-use crate::protocol::state::{Change, Transaction};
+use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::store::{StoreError, call_peer, put};
 use crate::storage::{FENCING, FOUNDED, LEADER};
 use crate::transport::rate_limiter::Urgency;
@@ -155,7 +155,7 @@
 /// Then no word that was given until now binds anybody.
 async fn remove_key(context: &ControllerContext, token: u64) -> bool {
     let drop = Transaction {
-        conditions: vec![(LEADER.to_string(), token)],
+        conditions: vec![Condition::at_version(LEADER, token)],
         changes: vec![Change::Delete {
             key: LEADER.to_string(),
         }],
@@ -195,7 +195,7 @@
 /// gave its word to nobody.
 async fn leave_a_mark(context: Arc<ControllerContext>, token: u64) {
     let mark = Transaction {
-        conditions: vec![(LEADER.to_string(), token)],
+        conditions: vec![Condition::at_version(LEADER, token)],
         changes: vec![put(FOUNDED.to_string(), json!({ LED: token }))],
     };
     while context.leads(token) {
@@ -221,7 +221,7 @@
     // Tells this process's key from one that an earlier process of the same name wrote.
     let nonce = context.random(1 << 52);
     let txn = Transaction {
-        conditions: vec![(LEADER.to_string(), 0)],
+        conditions: vec![Condition::at_version(LEADER, 0)],
         changes: vec![
             Change::Put {
                 key: LEADER.to_string(),
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -6,7 +6,7 @@
 
 use crate::protocol::job::Resources;
 use crate::protocol::worker::{
-    Command, Exit, Heartbeat, MAX_COMMANDS, TaskPhase, Verb, orders_body,
+    Command, Exit, Heartbeat, MAX_COMMANDS, TaskPhase, Verb, commands_body,
 };
 
 use super::messages::{Effect, Outcome, Source};
@@ -137,7 +137,7 @@
         };
         self.effects.push(Effect::Answer {
             ticket,
-            body: orders_body(self.token, None, &commands),
+            body: commands_body(self.token, None, &commands),
         });
     }
 
--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -12,7 +12,7 @@
 
 use crate::protocol::JobId;
 use crate::protocol::job::{JobOutcome, Phase};
-use crate::protocol::state::{Change, Transaction};
+use crate::protocol::state::{Change, Condition, Transaction};
 use crate::transport::rate_limiter::Urgency;
 
 use super::store::{Store, StoreError, put};
@@ -72,7 +72,8 @@
     fn add_to(&self, txn: &mut Transaction, unix_ms: u64) {
         let (key, version, change) = match self {
             Self::Finish { job, version, done } => {
-                txn.conditions.push((terminal_key(*job), 0));
+                txn.conditions
+                    .push(Condition::at_version(terminal_key(*job), 0));
                 txn.changes
                     .push(put(terminal_key(*job), terminal_record(completed(*done))));
                 let key = job_key(*job);
@@ -128,7 +129,7 @@
                 (key, *version, change)
             }
         };
-        txn.conditions.push((key, version));
+        txn.conditions.push(Condition::at_version(key, version));
         txn.changes.push(change);
     }
 
@@ -180,7 +181,7 @@
     still_wanted: impl Fn() -> bool,
 ) -> Result<Vec<(Write, Written)>, WriteError> {
     let mut txn = Transaction {
-        conditions: vec![(LEADER.to_string(), token)],
+        conditions: vec![Condition::at_version(LEADER, token)],
         changes: Vec::new(),
     };
     for write in &batch {
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -9,7 +9,7 @@
 use copperfield::protocol::cloud::parse_machine_types;
 use copperfield::protocol::job::{JobOutcome, JobSpec, Phase};
 use copperfield::protocol::peer::AdminRequest;
-use copperfield::protocol::worker::{Heartbeat, orders_body};
+use copperfield::protocol::worker::{Heartbeat, commands_body};
 use copperfield::settings::Tuning;
 use copperfield::storage::writer::{Write as Store, Written};
 use copperfield::storage::{Snapshot, StoredJob, StoredRegistryPage, WorkerRecord};
@@ -109,7 +109,7 @@
                     commands,
                     ..
                 } => {
-                    let body = orders_body(TOKEN, Some(*incarnation), commands);
+                    let body = commands_body(TOKEN, Some(*incarnation), commands);
                     format!("to {worker}: {}", String::from_utf8_lossy(&body))
                 }
                 Effect::Inspect { worker, .. } => format!("ask {worker}"),
