--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -17,6 +17,7 @@
 /// A machine type that the cloud offers.
 #[derive(Debug, Clone)]
 pub struct MachineType {
+    /// The cloud's name for it.
     pub name: String,
     /// The resources of a worker on which nothing runs.
     pub whole: Resources,
@@ -88,13 +89,16 @@
 /// A worker in the cloud's list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ListedWorker {
+    /// The worker's name.
     #[serde(rename = "uid")]
     pub name: String,
     /// IP address and port; empty until the worker has one.
     #[serde(default)]
     pub address: String,
+    /// The name of its machine type.
     #[serde(rename = "flavor")]
     pub machine_type: String,
+    /// The zone it is in.
     #[serde(rename = "region")]
     pub zone: String,
     /// Whether the cloud may reclaim it.
@@ -110,6 +114,7 @@
 /// One page of the cloud's list of workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerPage {
+    /// In the order of their names.
     #[serde(rename = "hosts")]
     pub workers: Vec<ListedWorker>,
     /// Whether another page follows.
--- a/crates/protocol/src/job/spec.rs
+++ b/crates/protocol/src/job/spec.rs
@@ -16,12 +16,15 @@
 /// What a user wants to be run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobSpec {
+    /// Chosen by the user; a second submission under it is the same job.
     pub id: JobId,
     /// The name of the job's class, to which the settings may refer.
     pub class: String,
     /// The team whose quota and limits apply.
     pub team: String,
+    /// How its tasks relate to each other.
     pub kind: Kind,
+    /// Which jobs it goes before.
     pub priority: Priority,
     /// How many tasks the job has, at least 1.
     pub tasks: u32,
@@ -37,7 +40,7 @@
     pub zone: Option<String>,
     /// All tasks must run in one zone.
     pub one_zone: bool,
-    /// The tasks should run on different workers.
+    /// No zone may run more than half of the tasks, rounded up.
     pub spread: bool,
     /// The tasks may run on spot workers.
     pub spot: bool,
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -24,6 +24,7 @@
         method: String,
         /// Path and query.
         path: String,
+        /// The body, empty for none.
         body: Vec<u8>,
     },
     /// The leader cannot renew: does the state service refuse you as well, and
@@ -116,6 +117,7 @@
     Moves,
     /// Start nothing new on a node, migrate what is movable, and let the rest complete.
     Drain {
+        /// The worker's name.
         node: String,
         /// Seconds from now after which what still runs is stopped; `None`: it completes.
         deadline_s: Option<f64>,
@@ -123,7 +125,10 @@
         yes: bool,
     },
     /// End the drain of a node.
-    Undrain { node: String },
+    Undrain {
+        /// The worker's name.
+        node: String,
+    },
 }
 
 /// A controller's answer to a [`PeerRequest`].
@@ -135,7 +140,9 @@
     Lookups(Vec<Lookup>),
     /// The state service's answer to a forwarded request, as HTTP has it.
     State {
+        /// The HTTP status.
         status: u16,
+        /// The body.
         body: Vec<u8>,
     },
     /// The request was received.
@@ -145,7 +152,9 @@
     Unable,
     /// The leader's answer to an operator, as HTTP has it.
     AdminResponse {
+        /// The HTTP status.
         status: u16,
+        /// The JSON body.
         body: Vec<u8>,
     },
     /// It does not, and its process has lived for so long.
@@ -166,6 +175,7 @@
     Terminal(JobOutcome),
     /// The job has not ended.
     Live {
+        /// Pending or running.
         phase: Phase,
         /// Tasks that are known to be completed.
         done: u32,
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -9,6 +9,7 @@
     /// Empty where the request named the key.
     #[serde(rename = "path", default)]
     pub key: String,
+    /// What was stored, any JSON.
     #[serde(rename = "data")]
     pub value: Value,
     /// The revision of the transaction that wrote it last.
@@ -19,6 +20,7 @@
 /// One page of the items below a prefix, in the order of their keys.
 #[derive(Debug, Deserialize)]
 pub struct Page {
+    /// In the order of their keys.
     pub items: Vec<Item>,
     /// Whether another page follows.
     #[serde(default)]
@@ -34,6 +36,7 @@
     /// The key that was written; `None`: a key was deleted.
     #[serde(rename = "set", default)]
     pub put: Option<String>,
+    /// What was written; null where a key was deleted.
     #[serde(rename = "data", default)]
     pub value: Value,
     /// The revision of the transaction that wrote it.
@@ -47,6 +50,7 @@
     /// From which the next watch goes on.
     #[serde(rename = "epoch")]
     pub revision: u64,
+    /// In the order in which they were carried out.
     pub events: Vec<Event>,
 }
 
@@ -82,7 +86,9 @@
 /// Changes that are carried out together, if every condition holds, or not at all.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
+    /// All of them must hold.
     pub conditions: Vec<Condition>,
+    /// What is carried out.
     pub changes: Vec<Change>,
 }
 
@@ -91,13 +97,18 @@
 pub enum Change {
     /// Writes a key.
     Put {
+        /// The key, created if it does not exist.
         key: String,
+        /// Its new value.
         value: Value,
         /// The key is deleted when this lease ends; `None`: it stays.
         lease: Option<u64>,
     },
     /// Deletes a key, if it exists.
-    Delete { key: String },
+    Delete {
+        /// The key.
+        key: String,
+    },
 }
 
 impl Change {
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -64,11 +64,13 @@
 /// The state of one task instance on a worker.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct TaskStatus {
+    /// The job of the task.
     pub job: JobId,
     /// The number of the task in its job.
     pub task: u32,
     /// Tells this instance of the task from any other.
     pub attempt: u64,
+    /// How far it has come.
     pub phase: TaskPhase,
 }
 
@@ -92,8 +94,11 @@
 pub enum Exit {
     /// It completed its work.
     Done,
-    /// It was stopped, with or without a checkpoint saved.
-    Stopped { saved: bool },
+    /// It was stopped.
+    Stopped {
+        /// Whether its last checkpoint holds what it had done.
+        saved: bool,
+    },
     /// Other tasks of its gang were lost while it ran.
     PeersGone,
     /// The other tasks of its gang did not become ready in time.
@@ -230,8 +235,11 @@
 pub enum Verb {
     /// Fetch its image and run it.
     Start,
-    /// Save a checkpoint within so many seconds, and end.
-    Stop { grace_s: f64 },
+    /// Save a checkpoint, if the job makes any and there is time, and end.
+    Stop {
+        /// How long that may take, in seconds; 0: it is killed at once.
+        grace_s: f64,
+    },
     /// Report it no longer: its end is known.
     Forget,
 }
@@ -239,7 +247,9 @@
 /// A command to a worker about one task instance.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Command {
+    /// What to do.
     pub verb: Verb,
+    /// The job of the task.
     pub job: JobId,
     /// The number of the task in its job.
     pub task: u32,
