--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -25,7 +25,7 @@
 const STORE_RETRY: Duration = Duration::from_millis(200);
 
 /// A cancellation for which the leader starts nothing of the job any more.
-struct BegunCancellation {
+struct CancellationInProgress {
     /// Tasks of the job that are known to be completed.
     done: u32,
     /// The fencing token of the leader.
@@ -62,19 +62,19 @@
     /// The leader first stops starting anything of the job, then stores the cancellation, and goes
     /// on trying when the user no longer waits.
     pub(super) async fn cancel_as_leader(&self, id: JobId) -> Lookup {
-        let begun = match self.begin_cancellation(id).await {
-            Ok(begun) => begun,
+        let started = match self.begin_cancellation(id).await {
+            Ok(started) => started,
             Err(known) => return known,
         };
         let this = self.clone();
-        // Deliberately not ended with this future: once begun, a cancellation must be settled.
-        let settled = tokio::spawn(async move { this.settle_cancellation(id, begun).await });
+        // Deliberately not ended with this future: once started, a cancellation must be settled.
+        let settled = tokio::spawn(async move { this.settle_cancellation(id, started).await });
         settled.await.unwrap_or(Lookup::NotLeader)
     }
 
     /// # Errors
     /// What is known of the job, if there is nothing to cancel here.
-    async fn begin_cancellation(&self, id: JobId) -> Result<BegunCancellation, Lookup> {
+    async fn begin_cancellation(&self, id: JobId) -> Result<CancellationInProgress, Lookup> {
         loop {
             let begin = self
                 .handle
@@ -87,15 +87,15 @@
                 }
                 Some((CancelBegin::Busy, _)) => sleep(BEGIN_RETRY).await,
                 Some((CancelBegin::Go { done }, token)) => {
-                    return Ok(BegunCancellation { done, token });
+                    return Ok(CancellationInProgress { done, token });
                 }
             }
         }
     }
 
     /// Stores a cancellation, however long it takes, while this controller leads.
-    async fn settle_cancellation(&self, id: JobId, begun: BegunCancellation) -> Lookup {
-        let BegunCancellation { done, token } = begun;
+    async fn settle_cancellation(&self, id: JobId, started: CancellationInProgress) -> Lookup {
+        let CancellationInProgress { done, token } = started;
         let guards = [Condition::at_version(LEADER, token)];
         while self.context.leads(token) {
             if let Ok(found) = self.store_cancelled(id, done, &guards).await {
