--- a/tests/pinned_exchange.rs
+++ b/tests/pinned_exchange.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use copperfield::api::Service;
+use copperfield::api::Api;
 use copperfield::settings::{Settings, Tuning};
 use copperfield::transport::client::{Answer, Exchange, Network};
 use copperfield::transport::server::Incoming;
@@ -258,7 +258,7 @@
 }
 
 /// A request to the controller; what it answers is noted.
-async fn ask(net: &Net, service: &Service, method: Method, path: &str, body: &str) -> Value {
+async fn ask(net: &Net, service: &Api, method: Method, path: &str, body: &str) -> Value {
     let (path_only, query) = match path.split_once('?') {
         Some((path, query)) => (path, Some(query.to_string())),
         None => (path, None),
@@ -278,7 +278,7 @@
     serde_json::from_str(&text).unwrap_or_default()
 }
 
-async fn workers(net: Arc<Net>, service: Service) {
+async fn workers(net: Arc<Net>, service: Api) {
     loop {
         sleep(Duration::from_millis(25)).await;
         let now = net.now();
@@ -325,7 +325,7 @@
         cloud: settings.external.cloud,
         names: value("names.json"),
     });
-    let (service, _owner) = Service::start(settings, tuning, net.clone(), 1);
+    let (service, _owner) = Api::start(settings, tuning, net.clone(), 1);
     tokio::spawn(workers(net.clone(), service.clone()));
     for step in value("script.json").as_array().expect("a list") {
         let at = step["at"].as_f64().expect("a time");
