--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -19,15 +19,17 @@
         path: String,
         body: Vec<u8>,
     },
-    /// The leader cannot renew: does the state service refuse you as well, and
-    /// will you not campaign for one TTL? Or does it serve you?
+    /// From the leader of this fencing token, which cannot renew its lease at the state service:
+    /// asks for a vote that extends it. A voter cannot reach the state service either, and
+    /// promises not to campaign for one TTL.
     VoteToExtendLease { token: u64 },
     /// Are you there?
     Ping,
     /// What an operator asks, of the leader.
     Admin(AdminRequest),
-    /// Do you not lead? Then no word that was given until now binds you.
-    Idle,
+    /// Asks the receiver to confirm that it leads no term. Then it acts on no vote that was
+    /// granted until now.
+    ConfirmNoLeader,
     /// From who speaks with some of the workers to the leader.
     Share(ShardStatus),
     /// From the leader: orders for workers that the node asked speaks with.
@@ -35,9 +37,10 @@
         token: u64,
         messages: Vec<RelayedCommand>,
     },
-    /// This node leads now: whoever speaks with workers tells it what they said.
+    /// The sender leads now: shard owners forward their workers' heartbeats to it.
     LeaderAnnouncement { member: String },
-    /// From the leader of this token, which has stepped down: remove its key, and campaign.
+    /// From the leader of this fencing token, which has stepped down: asks the receiver to remove
+    /// its leader key and to campaign.
     TransferLeadership { token: u64 },
 }
 
@@ -128,6 +131,7 @@
         body: Vec<u8>,
     },
     Pong,
+    /// The vote that a leader asked for to extend its lease.
     VoteGranted,
     /// The node asked cannot answer now.
     Unable,
@@ -136,14 +140,16 @@
         status: u16,
         body: Vec<u8>,
     },
-    /// It does not, and its process has lived for so long.
-    Idle {
+    /// The receiver leads no term.
+    NotLeading {
+        /// For how long its process has been running.
         up_ms: u64,
     },
     Granted(ShardUpdate),
     /// The messages are on their way; what became of them comes with what a shard owner tells.
     Relaying,
-    /// It does not vouch: the state service serves it, and has the key of the leader that asks.
+    /// No vote is granted, as the receiver can reach the state service and has read the leader
+    /// key of the leader that asks: leadership can be transferred to it.
     ReadyForTransfer,
 }
 
--- a/crates/protocol/tests/pinned_bytes.rs
+++ b/crates/protocol/tests/pinned_bytes.rs
@@ -327,7 +327,7 @@
     ];
     all.extend(orders().into_iter().map(PeerRequest::Admin));
     all.extend([
-        PeerRequest::Idle,
+        PeerRequest::ConfirmNoLeader,
         PeerRequest::Share(upward()),
         PeerRequest::RelayCommands {
             token: 81,
@@ -356,7 +356,7 @@
             status: 404,
             body: vec![5, 6],
         },
-        PeerReply::Idle { up_ms: 90 },
+        PeerReply::NotLeading { up_ms: 90 },
         PeerReply::Granted(downward()),
         PeerReply::Relaying,
         PeerReply::ReadyForTransfer,
--- a/src/api.rs
+++ b/src/api.rs
@@ -592,10 +592,10 @@
                 reply
             }
             PeerRequest::Ping => PeerReply::Pong,
-            PeerRequest::Idle if self.context.is_idle() => PeerReply::Idle {
+            PeerRequest::ConfirmNoLeader if self.context.is_idle() => PeerReply::NotLeading {
                 up_ms: (self.context.now_s() * 1000.0) as u64,
             },
-            PeerRequest::Idle => PeerReply::Unable,
+            PeerRequest::ConfirmNoLeader => PeerReply::Unable,
             PeerRequest::Share(word) => {
                 let asked = self
                     .handle
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -105,10 +105,10 @@
     }
     context.set_asking(true);
     let idle = |reply| match reply {
-        PeerReply::Idle { up_ms } => Some(up_ms),
+        PeerReply::NotLeading { up_ms } => Some(up_ms),
         _ => None,
     };
-    let lived = all_answer(context, &PeerRequest::Idle, ASK_IDLE, idle).await;
+    let lived = all_answer(context, &PeerRequest::ConfirmNoLeader, ASK_IDLE, idle).await;
     if lived.is_some() {
         context.released();
     }
