--- /dev/null
+++ b/crates/leadership/src/fencing_token.rs
@@ -0,0 +1,19 @@
+//! The fencing token of a term.
+
+/// Identifies a term: the version of the leader key that its leader wrote. A later term has a
+/// greater token.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct FencingToken(u64);
+
+impl FencingToken {
+    /// The token of the term whose leader key has this version.
+    pub fn new(version: u64) -> Self {
+        Self(version)
+    }
+}
+
+impl From<u64> for FencingToken {
+    fn from(version: u64) -> Self {
+        Self::new(version)
+    }
+}
--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -1,174 +1,182 @@
-//! Until when a node may lead, and what its word to others forbids it.
+//! Until when a controller may lead, and what its votes for other leaders forbid it.
 //!
-//! Times are milliseconds on the node's steady clock, counted from the start of its process.
-//! Nothing here outlives the process: what an earlier one of the same node may have promised
-//! is taken for promised until it surely means nothing any more.
+//! Times are milliseconds on the controller's steady clock, counted from the start of its
+//! process. Nothing here outlives the process: what an earlier process of the same controller
+//! may have voted is taken to be binding until that vote has surely expired.
 
-/// Kept back from the TTL for clock drift and for what is already on its way out, in ms.
+mod fencing_token;
+mod lease;
+mod vote;
+mod vote_blockers;
+
+pub use fencing_token::FencingToken;
+pub use vote::{StoreReachability, Vote};
+
+use lease::LeaderLease;
+use vote::VoteRecord;
+use vote_blockers::VoteBlockers;
+
+/// Kept back from the TTL for clock drift and for messages that are already on their way out.
 pub const MARGIN_MS: u64 = 150;
 
+/// What one process knows of its right to lead: its own lease, its last vote, and the activities
+/// during which it must not vote.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Leadership {
-    ttl: u64,
-    margin: u64,
-    /// Until when this node may act as leader.
-    valid_until: u64,
-    /// Until when it may on the word of all others.
-    lease_extended_until: u64,
-    /// The token under which this node leads, 0 if it does not.
-    leading: u64,
-    /// Until when this node has promised not to campaign.
-    promised_until: u64,
-    /// A campaign is out, or what became of it is not known yet.
-    campaigning: bool,
-    /// Whether it is being found out that older words of this node bind nobody.
-    asking: bool,
-    /// Cancellations that this node is storing for want of a leader.
-    leaderless: u32,
+    ttl_ms: u64,
+    lease: LeaderLease,
+    vote: VoteRecord,
+    blockers: VoteBlockers,
 }
 
+/// The controller's own term.
 impl Leadership {
-    /// Of a process that starts now. An earlier one may have given its word a moment ago.
+    /// For a process that starts now. An earlier process may have voted a moment ago.
     pub fn new(ttl_ms: u64, margin_ms: u64) -> Self {
         Self {
-            ttl: ttl_ms,
-            margin: margin_ms,
-            valid_until: 0,
-            lease_extended_until: 0,
-            leading: 0,
-            promised_until: ttl_ms,
-            campaigning: false,
-            asking: false,
-            leaderless: 0,
+            ttl_ms,
+            lease: LeaderLease::new(ttl_ms, margin_ms),
+            vote: VoteRecord::binding_until(ttl_ms),
+            blockers: VoteBlockers::default(),
         }
     }
 
-    // ---- leading ----
-
-    /// Won with a lease that was asked for at `sent`.
-    pub fn begin_leading(&mut self, token: u64, sent: u64) {
-        self.leading = token;
-        self.valid_until = self.until(sent);
+    /// This controller won the election with a lease that it requested at `requested_at_ms`.
+    pub fn begin_leading(&mut self, token: FencingToken, requested_at_ms: u64) {
+        self.lease.begin(token, requested_at_ms);
     }
 
-    /// The lease was renewed by a request sent at `sent`.
-    pub fn renewed(&mut self, sent: u64) {
-        self.valid_until = self.valid_until.max(self.until(sent));
+    /// The lease was renewed by a request sent at `requested_at_ms`.
+    pub fn record_renewal(&mut self, requested_at_ms: u64) {
+        self.lease.record_renewal(requested_at_ms);
     }
 
-    /// All others were asked at `asked` and have given their word. A gap ends the chain: once
-    /// lapsed, only a renewal of the same lease brings a leader back.
-    pub fn lease_extended_by_peers(&mut self, asked: u64, now: u64) -> bool {
-        let unbroken = self.is_valid(now);
-        if unbroken {
-            let until = self.until(asked);
-            self.lease_extended_until = self.lease_extended_until.max(until);
-            self.valid_until = self.valid_until.max(until);
-        }
-        unbroken
+    /// All peers were asked at `requested_at_ms` and granted their votes. False if the lease has
+    /// expired meanwhile: after a gap only a renewal of the same lease makes the leader valid.
+    pub fn extend_lease_by_peers(&mut self, requested_at_ms: u64, now_ms: u64) -> bool {
+        self.lease.extend_by_peers(requested_at_ms, now_ms)
     }
 
-    fn until(&self, sent: u64) -> u64 {
-        (sent + self.ttl).saturating_sub(self.margin)
-    }
-
-    /// Ends this node's leadership for good, unless it already leads anew.
-    pub fn step_down(&mut self, token: u64) {
+    /// Ends the term of this token for good; no effect if another one is led by now.
+    pub fn step_down(&mut self, token: FencingToken) {
         if self.leads(token) {
-            self.leading = 0;
-            self.valid_until = 0;
+            self.lease.end();
         }
     }
 
-    /// Whether the leadership of this token goes on, be it suspended. 0: of none.
-    pub fn leads(&self, token: u64) -> bool {
-        self.leading == token
-    }
-
-    /// How much longer answers, orders and phases may leave.
-    pub fn valid_for(&self, now: u64) -> u64 {
-        self.valid_until.saturating_sub(now)
+    /// Whether the term of this token goes on, even if its lease has expired.
+    pub fn leads(&self, token: FencingToken) -> bool {
+        self.lease.token() == Some(token)
     }
 
-    pub fn is_valid(&self, now: u64) -> bool {
-        self.valid_for(now) > 0
+    /// Whether this process leads any term, even if its lease has expired. A process that does
+    /// not acts on no vote that was granted until now, and never will.
+    pub fn is_leading(&self) -> bool {
+        self.lease.token().is_some()
     }
 
-    // ---- words ----
-
-    /// Whether a leader may be acting on this node's word.
-    pub fn has_promised(&self, now: u64) -> bool {
-        self.promised_until > now
+    /// How much longer answers, commands and job phases may leave this controller as leader.
+    pub fn valid_for_ms(&self, now_ms: u64) -> u64 {
+        self.lease.valid_for_ms(now_ms)
     }
 
-    /// Until when answers may have gone out on the word of all nodes: this one's, one that an
-    /// earlier process of it gave, or this node's own leading on the word of the others.
-    pub fn vote_binding_until(&self) -> u64 {
-        self.promised_until.max(self.lease_extended_until)
+    /// Whether this controller may act as leader now.
+    pub fn is_valid(&self, now_ms: u64) -> bool {
+        self.valid_for_ms(now_ms) > 0
     }
 
-    /// Until when this leader acts on the word of all others.
-    pub fn lease_extended_until(&self) -> u64 {
-        self.lease_extended_until
+    /// Until when this leader's lease was last extended by the votes of all peers.
+    pub fn lease_extended_until_ms(&self) -> u64 {
+        self.lease.extended_until_ms()
     }
+}
 
-    /// Vouches for the leader of this token that cannot renew: the state service refuses this
-    /// node too (`refused`), and it will not campaign for one TTL. A token newer than its own
-    /// shows that its own key is gone: the leader that was refused alone once stayed suspended
-    /// for as long, and so none was vouched for in an outage that began meanwhile.
-    pub fn vote_to_extend_lease(&mut self, now: u64, refused: bool, token: u64) -> bool {
-        if token > self.leading {
-            self.step_down(self.leading);
+/// Votes that extend the lease of another leader.
+impl Leadership {
+    /// Whether a leader may be acting on this controller's vote.
+    pub fn has_binding_vote(&self, now_ms: u64) -> bool {
+        self.vote.is_binding(now_ms)
+    }
+
+    /// Until when answers may have gone out on the votes of all controllers: with the vote of
+    /// this process, of an earlier process of this controller, or by this controller as the
+    /// leader that was voted for.
+    pub fn vote_binding_until_ms(&self) -> u64 {
+        let vote_ms = self.vote.binding_until_ms();
+        vote_ms.max(self.lease.extended_until_ms())
+    }
+
+    /// Votes on the lease of the leader with this token, which cannot renew. A granted vote
+    /// forbids this controller to campaign for one TTL.
+    ///
+    /// A token newer than its own shows that its own leader key is gone, so an expired term ends
+    /// here. Otherwise a leader that alone had lost the state service would deny its vote to its
+    /// successor for as long as its own lease might still come back.
+    pub fn vote_to_extend_lease(
+        &mut self,
+        now_ms: u64,
+        store: StoreReachability,
+        token: FencingToken,
+    ) -> Vote {
+        if self.lease.is_older_than(token) {
+            self.lease.end();
         }
-        let free =
-            self.is_idle() && !self.campaigning && !self.asking && self.leaderless == 0 && refused;
-        if free {
-            self.promised_until = self.promised_until.max(now + self.ttl);
+        let unreachable = store == StoreReachability::Unreachable;
+        if self.is_leading() || self.blockers.any() || !unreachable {
+            return Vote::Denied;
         }
-        free
+        self.vote.bind_until(now_ms + self.ttl_ms);
+        Vote::Granted
     }
 
-    // ---- the leader key ----
-
-    /// Kept up from before the promise is looked at until the outcome is known.
-    pub fn set_campaigning(&mut self, campaigning: bool) {
-        self.campaigning = campaigning;
+    /// Votes granted until now, by this process or an earlier one of this controller, bind
+    /// nobody any more. One of two things has shown that:
+    ///
+    /// - This process removed the leader key of a process that was known to lead. While the key
+    ///   stood nobody else was valid, and the leader before it has expired.
+    /// - Every other controller has confirmed since [`Self::begin_no_leader_confirmation`] that
+    ///   it does not lead. A vote is only of use to a leader whose process lives.
+    pub fn release_vote(&mut self, now_ms: u64) {
+        self.vote.release(now_ms);
     }
+}
 
-    // ---- words that bind nobody ----
-
-    /// Whether this process does not lead, not even suspended: then it acts on nobody's word,
-    /// and will on none that was given until now.
-    pub fn is_idle(&self) -> bool {
-        self.leads(0)
+/// Activities during which no vote is granted.
+impl Leadership {
+    /// To be called before [`Self::has_binding_vote`] is read for a campaign.
+    pub fn begin_campaign(&mut self) {
+        self.blockers.set_campaigning(true);
     }
 
-    /// Kept up while it is found out whether older words bind anybody: none is given meanwhile.
-    pub fn set_asking(&mut self, asking: bool) {
-        self.asking = asking;
+    /// The outcome of the campaign is known.
+    pub fn end_campaign(&mut self) {
+        self.blockers.set_campaigning(false);
     }
 
-    /// Whatever this node promised until now, and its earlier processes did, binds nobody. Either
-    /// the key of an earlier process of it is gone, removed by this one, and that process was
-    /// known to lead: while the key stood nobody else was valid, and whoever was before it has
-    /// lapsed. Or every other node has said since [`Self::set_asking`] that it is idle: a word
-    /// binds a leader that lives.
-    pub fn released(&mut self, now: u64) {
-        self.promised_until = self.promised_until.min(now);
+    /// It is being confirmed that earlier votes bind nobody.
+    pub fn begin_no_leader_confirmation(&mut self) {
+        self.blockers.set_confirming_no_leader(true);
     }
 
-    // ---- cancellations without a leader ----
+    /// The outcome of the confirmation is known.
+    pub fn end_no_leader_confirmation(&mut self) {
+        self.blockers.set_confirming_no_leader(false);
+    }
 
-    /// Before a cancellation is stored for want of a leader. False if a leader may be answering
-    /// users on this node's word; else no word is given until [`Self::end_leaderless`], so that
-    /// none can be calling the job running meanwhile.
-    pub fn begin_leaderless(&mut self, now: u64) -> bool {
-        let free = !self.has_promised(now);
-        self.leaderless += u32::from(free);
-        free
+    /// To be called before a cancellation is stored without a leader. False if a leader may be
+    /// answering users on this controller's vote. Otherwise no vote is granted until
+    /// [`Self::end_leaderless_cancellation`], so that no leader reports the job as running
+    /// meanwhile.
+    pub fn begin_leaderless_cancellation(&mut self, now_ms: u64) -> bool {
+        let allowed = !self.has_binding_vote(now_ms);
+        if allowed {
+            self.blockers.begin_leaderless_cancellation();
+        }
+        allowed
     }
 
-    pub fn end_leaderless(&mut self) {
-        self.leaderless -= 1;
+    /// The outcome of a cancellation without a leader is known.
+    pub fn end_leaderless_cancellation(&mut self) {
+        self.blockers.end_leaderless_cancellation();
     }
 }
--- /dev/null
+++ b/crates/leadership/tests/cancellation/steps.rs
@@ -0,0 +1,263 @@
+//! What may happen next in the model.
+
+use copperfield_leadership::{FencingToken, StoreReachability, Vote};
+use copperfield_model_checker::Successors;
+
+use crate::common::{TTL, of};
+use crate::world::{
+    CancellationWorld, Guard, HORIZON, JobView, LeaderKey, Mistake, ShardLease, Transaction,
+};
+
+type Steps<'a> = Successors<'a, CancellationWorld>;
+
+impl CancellationWorld {
+    pub fn add_service_steps(&self, steps: &mut Steps) {
+        steps.add("time passes", |w| {
+            w.now += 1;
+            w.expire_worker_lease();
+            w.now <= HORIZON
+        });
+        steps.add("the lease of the key ends", |w| {
+            let over = w.leader_key.is_some_and(|key| w.now >= key.lease_ends);
+            let ends = over && !w.faults.is_outage();
+            w.leader_key = w.leader_key.filter(|_| !ends);
+            ends
+        });
+        steps.add("an outage begins", |w| w.faults.begin_outage());
+        steps.add("the outage ends", |w| {
+            if let Some(key) = &mut w.leader_key {
+                key.lease_ends = w.now + TTL;
+            }
+            w.faults.end_outage()
+        });
+    }
+
+    pub fn add_transaction_steps(&self, steps: &mut Steps) {
+        steps.add("the transaction is committed and acknowledged", |w| {
+            let outcome = w.commit();
+            if let Some((transaction, committed)) = outcome {
+                w.acknowledge(transaction, Some(committed));
+            }
+            outcome.is_some()
+        });
+        steps.add("the transaction is committed, the answer lost", |w| {
+            let outcome = w.commit();
+            if let Some((transaction, _)) = outcome {
+                w.acknowledge(transaction, None);
+            }
+            outcome.is_some()
+        });
+        steps.add("the transaction times out, and may still land", |w| {
+            let before = w.controllers.clone();
+            if let Some(transaction) = w.in_flight {
+                w.acknowledge(transaction, None);
+            }
+            before != w.controllers
+        });
+    }
+
+    pub fn add_fault_steps(&self, c: usize, steps: &mut Steps) {
+        steps.add(of!(c, "alone is refused"), |w| w.faults.refuse(c));
+        steps.add(of!(c, "is served again"), |w| w.faults.serve_again(c));
+        steps.add(of!(c, "ends and restarts"), |w| {
+            w.controllers[c] = w.controllers[c].restarted(w.now);
+            w.faults.crash()
+        });
+    }
+
+    pub fn add_election_steps(&self, c: usize, steps: &mut Steps) {
+        steps.add(of!(c, "wins"), |w| w.win(c));
+        steps.add(of!(c, "recovers what is stored"), |w| w.recover(c));
+        steps.add(of!(c, "renews"), |w| w.renew(c));
+        steps.add(of!(c, "extends its lease by votes"), |w| {
+            w.extend_by_votes(c)
+        });
+        steps.add(of!(c, "transfers leadership"), |w| w.transfer(c));
+    }
+
+    fn win(&mut self, c: usize) -> bool {
+        let clock = self.clock(c);
+        let controller = &mut self.controllers[c];
+        let leadership = &mut controller.process.leadership;
+        let free = !leadership.is_leading() && !leadership.has_binding_vote(clock);
+        if !self.faults.serves(c) || self.leader_key.is_some() || !free {
+            return false;
+        }
+        self.term_marker += 1;
+        self.leader_key = Some(LeaderKey {
+            controller: c,
+            version: self.term_marker,
+            lease_ends: self.now + TTL,
+        });
+        leadership.begin_leading(FencingToken::from(u64::from(self.term_marker)), clock);
+        if self.mistake != Mistake::RecoversBeforeElection {
+            controller.view = JobView::Unread;
+        }
+        true
+    }
+
+    fn recover(&mut self, c: usize) -> bool {
+        let controller = &mut self.controllers[c];
+        let leads = controller.process.leadership.is_leading();
+        let may_read = leads || self.mistake == Mistake::RecoversBeforeElection;
+        let unread = controller.view == JobView::Unread;
+        controller.view = if self.cancellation_stored {
+            JobView::Ended
+        } else {
+            JobView::Running
+        };
+        may_read && unread && self.faults.serves(c)
+    }
+
+    fn renew(&mut self, c: usize) -> bool {
+        let (clock, served) = (self.clock(c), self.faults.serves(c));
+        let Some(key) = self.leader_key.as_mut().filter(|_| served) else {
+            return false;
+        };
+        let leadership = &mut self.controllers[c].process.leadership;
+        let leads = leadership.leads(FencingToken::from(u64::from(key.version)));
+        let prolongs = key.controller == c && leads && key.lease_ends < self.now + TTL;
+        if prolongs {
+            key.lease_ends = self.now + TTL;
+            leadership.record_renewal(clock);
+        }
+        prolongs
+    }
+
+    fn extend_by_votes(&mut self, c: usize) -> bool {
+        let peer = 1 - c;
+        let (clock, peer_clock) = (self.clock(c), self.clock(peer));
+        let Some(token) = self.token(c) else {
+            return false;
+        };
+        let served = self.faults.serves(peer) && self.mistake != Mistake::VotesThoughStoreReachable;
+        let store = if served {
+            StoreReachability::Reachable
+        } else {
+            StoreReachability::Unreachable
+        };
+        let before = self.controllers.clone();
+        let token = FencingToken::from(u64::from(token));
+        let voter = &mut self.controllers[peer].process.leadership;
+        if voter.vote_to_extend_lease(peer_clock, store, token) == Vote::Denied {
+            return false;
+        }
+        let leader = &mut self.controllers[c].process.leadership;
+        if self.mistake == Mistake::VotesReviveExpiredLease {
+            leader.record_renewal(clock);
+        }
+        leader.extend_lease_by_peers(clock, clock) && before != self.controllers
+    }
+
+    fn transfer(&mut self, c: usize) -> bool {
+        let peer = 1 - c;
+        let own_key = self.leader_key.filter(|key| key.controller == c);
+        let peer_leads = self.controllers[peer].process.leadership.is_leading();
+        let ready = self.faults.serves(peer) && !peer_leads;
+        let Some(key) = own_key.filter(|_| ready && !self.faults.serves(c)) else {
+            return false;
+        };
+        let leader = &mut self.controllers[c].process.leadership;
+        leader.step_down(FencingToken::from(u64::from(key.version)));
+        self.leader_key = None;
+        let clock = self.clock(peer);
+        let successor = &mut self.controllers[peer].process.leadership;
+        successor.release_vote(clock);
+        true
+    }
+
+    pub fn add_cancellation_steps(&self, c: usize, steps: &mut Steps) {
+        steps.add(of!(c, "cancels as the leader"), |w| w.cancel_as_leader(c));
+        steps.add(of!(c, "cancels without a leader"), |w| {
+            w.cancel_without_leader(c)
+        });
+        steps.add(of!(c, "reads the outcome and tells the user"), |w| {
+            let news = w.cancellation_stored && w.reported_at.is_none() && w.faults.serves(c);
+            w.reported_at.get_or_insert(w.now);
+            news
+        });
+    }
+
+    fn cancel_as_leader(&mut self, c: usize) -> bool {
+        let knows_job = self.is_valid_leader(c) && self.controllers[c].view == JobView::Running;
+        let token = self.token(c);
+        let Some(token) = token.filter(|_| knows_job && self.in_flight.is_none()) else {
+            return false;
+        };
+        self.controllers[c].view = JobView::Cancelling;
+        self.send(c, Guard::LeaderKey(token));
+        true
+    }
+
+    fn cancel_without_leader(&mut self, c: usize) -> bool {
+        let clock = self.clock(c);
+        let no_key = self.faults.serves(c) && self.leader_key.is_none();
+        let pending = self.in_flight.is_none() && !self.cancellation_stored;
+        let controller = &mut self.controllers[c];
+        let leadership = &mut controller.process.leadership;
+        let free = !leadership.is_leading() && !controller.cancels_without_leader;
+        if !no_key || !pending || !free || !leadership.begin_leaderless_cancellation(clock) {
+            return false;
+        }
+        controller.cancels_without_leader = true;
+        self.send(c, Guard::NoLeaderSince(self.term_marker));
+        true
+    }
+
+    fn send(&mut self, c: usize, guard: Guard) {
+        self.in_flight = Some(Transaction {
+            controller: c,
+            process: self.controllers[c].process.number,
+            guard,
+        });
+    }
+
+    pub fn add_worker_steps(&self, c: usize, steps: &mut Steps) {
+        steps.add(of!(c, "answers the worker as the leader"), |w| {
+            w.answer_as_leader(c)
+        });
+        steps.add(of!(c, "grants its peer a shard lease"), |w| {
+            w.grant_shard_lease(c)
+        });
+    }
+
+    fn answer_as_leader(&mut self, c: usize) -> bool {
+        let Some(token) = self.token(c).filter(|_| self.is_valid_leader(c)) else {
+            return false;
+        };
+        let stops_task = match self.controllers[c].view {
+            JobView::Unread if self.mistake != Mistake::AnswersBeforeRecovery => return false,
+            JobView::Unread | JobView::Running => false,
+            JobView::Cancelling => self.mistake != Mistake::RenewsTaskUntilOutcomeIsKnown,
+            JobView::Ended => true,
+        };
+        self.answer_worker(token, stops_task)
+    }
+
+    fn grant_shard_lease(&mut self, c: usize) -> bool {
+        let controller = &self.controllers[c];
+        let valid_for = controller.process.leadership.valid_for_ms(self.clock(c));
+        let Some(token) = self.token(c).filter(|_| valid_for > 0) else {
+            return false;
+        };
+        let job_ends = matches!(controller.view, JobView::Cancelling | JobView::Ended);
+        let goes_on = self.mistake == Mistake::RenewsShardLeaseAfterCancellation;
+        if controller.view == JobView::Unread || (job_ends && !goes_on) {
+            return false;
+        }
+        let excess = match self.mistake {
+            Mistake::ShardLeaseOutlivesLeader => 3 * TTL,
+            _ => 0,
+        };
+        let until = self.now + valid_for + excess;
+        let granted = ShardLease { token, until };
+        std::mem::replace(&mut self.shard_lease, granted) != granted
+    }
+
+    pub fn add_shard_owner_step(&self, steps: &mut Steps) {
+        steps.add("the shard owner answers the worker", |w| {
+            let ShardLease { token, until } = w.shard_lease;
+            w.now < until && w.answer_worker(token, false)
+        });
+    }
+}
--- a/src/api.rs
+++ b/src/api.rs
@@ -142,7 +142,7 @@
     fn health(&self) -> Outgoing {
         let cut_off = self.context.store.unserved_s() > CUT_OFF_S
             && !self.context.settings.others.is_empty()
-            && self.context.peers_silent_s() > CUT_OFF_S;
+            && self.context.seconds_since_peer_contact() > CUT_OFF_S;
         if cut_off {
             Outgoing::error(503, "cut off from the state service and from all peers")
         } else {
@@ -181,7 +181,7 @@
     async fn ask_owner_all(&self, jobs: Vec<JobId>) -> (Vec<Lookup>, Option<String>) {
         let asked = self.handle.ask(|reply| Command::Ask { jobs, reply }).await;
         let (mut found, leader) = asked.unwrap_or_default();
-        if !self.context.is_valid() {
+        if !self.context.leadership.is_valid() {
             for f in &mut found {
                 if let Lookup::Live { .. } = f {
                     *f = Lookup::NotLeading;
@@ -386,7 +386,7 @@
         let address = self.context.peer_address(&leader?)?;
         let reply = call_peer(self.context.http.as_ref(), address, &request, deadline).await;
         if reply.is_some() {
-            self.context.heard_peer();
+            self.context.record_peer_contact();
         }
         reply
     }
@@ -437,7 +437,7 @@
         };
         let this = self.clone();
         let settled = tokio::spawn(async move {
-            while this.context.leads(token) {
+            while this.context.leadership.leads(token) {
                 if let Ok(found) = this.store_cancelled(id, done, &[(LEADER, token)]).await {
                     let end = match found {
                         Lookup::Terminal(end) => Some(end),
@@ -459,14 +459,14 @@
     /// next one reads what is stored here. With one, it must be the leader:
     /// else it might still tell users that the job is running.
     async fn cancel_without_leader(&self, id: JobId) -> Lookup {
-        if !self.context.begin_leaderless() {
+        if !self.context.leadership.begin_leaderless_cancellation() {
             return Lookup::NotLeading;
         }
         // Goes on when the user has given up, so that its end is always noted.
         let this = self.clone();
         let stored = tokio::spawn(async move {
             let found = this.store_leaderless(id).await;
-            this.context.end_leaderless();
+            this.context.leadership.end_leaderless_cancellation();
             this.remember(id, found).await;
             found
         });
@@ -564,7 +564,7 @@
     // ---- peers ----
 
     pub async fn peer(self, request: Incoming) -> Outgoing {
-        self.context.heard_peer();
+        self.context.record_peer_contact();
         let message = match borsh::from_slice::<PeerRequest>(&request.body) {
             Ok(message) => message,
             Err(error) => {
@@ -587,14 +587,16 @@
                 self.context.store.pass_on(&method, &path, body).await
             }
             PeerRequest::VoteToExtendLease { token } => {
-                let reply = election::answer_to_leader(&self.context, token).await;
+                let reply = election::answer_vote_request(&self.context, token).await;
                 tracing::debug!(token, ?reply, "asked to vouch");
                 reply
             }
             PeerRequest::Ping => PeerReply::Pong,
-            PeerRequest::ConfirmNoLeader if self.context.is_idle() => PeerReply::NotLeading {
-                up_ms: (self.context.now_s() * 1000.0) as u64,
-            },
+            PeerRequest::ConfirmNoLeader if !self.context.leadership.is_leading() => {
+                PeerReply::NotLeading {
+                    up_ms: (self.context.now_s() * 1000.0) as u64,
+                }
+            }
             PeerRequest::ConfirmNoLeader => PeerReply::Unable,
             PeerRequest::Share(word) => {
                 let asked = self
@@ -651,7 +653,7 @@
                     .await
                     .is_some()
                 {
-                    self.context.heard_peer();
+                    self.context.record_peer_contact();
                     break;
                 }
             }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -62,7 +62,7 @@
         }
         Effect::Write(batch) => {
             let alive = context.clone();
-            let wanted = move || alive.leads(token);
+            let wanted = move || alive.leadership.leads(token);
             match writer::write(
                 context.store.clone(),
                 token,
@@ -90,7 +90,7 @@
                 }
                 Err(WriteError::Deposed) => {
                     tracing::warn!(token, "the leader key has moved on");
-                    context.step_down(token);
+                    context.leadership.step_down(token);
                     None
                 }
             }
@@ -110,7 +110,7 @@
             let body = cloud::return_body(&workers).to_string().into_bytes();
             context.cloud_budget.spend(1.0, Urgency::High).await;
             // A leader that stood still meanwhile would return what the next one uses.
-            let ok = context.is_valid()
+            let ok = context.leadership.is_valid()
                 && matches!(
                     cloud_call(context, Method::POST, "/rentals/return", body).await,
                     Ok(answer) if answer.status == 200
@@ -158,7 +158,7 @@
 ) -> Option<Input> {
     let message_ids = messages.iter().map(|m| m.message_id).collect();
     let body = borsh::to_vec(&PeerRequest::RelayCommands { token, messages }).expect("plain data");
-    let surely = if context.may_order(token) {
+    let surely = if context.may_command(token) {
         let sent = context
             .http
             .call(Method::POST, to, "/peer", body, CARRY_DEADLINE);
@@ -188,7 +188,7 @@
     token: u64,
     messages: Vec<RelayedCommand>,
 ) -> bool {
-    if !context.may_order(token) {
+    if !context.may_command(token) {
         return false;
     }
     for RelayedCommand {
@@ -220,7 +220,7 @@
     commands: &[WorkerCommand],
 ) -> Outcome {
     let to = match address.parse() {
-        Ok(to) if context.may_order(token) => to,
+        Ok(to) if context.may_command(token) => to,
         _ => return Outcome::Unsent,
     };
     let body = orders_body(token, Some(incarnation), commands);
@@ -270,7 +270,7 @@
 async fn rent(context: &ControllerContext, body: Vec<u8>) -> ScaleOutOutcome {
     for _ in 0..3 {
         context.cloud_budget.spend(1.0, Urgency::Normal).await;
-        if !context.is_valid() {
+        if !context.leadership.is_valid() {
             return ScaleOutOutcome::Unknown;
         }
         match cloud_call(context, Method::POST, "/rentals", body.clone()).await {
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -143,7 +143,7 @@
     fn paused(&mut self, pause: Duration) {
         tracing::warn!(?pause, "this process stood still");
         if pause > LONG_PAUSE {
-            self.context.note_pause();
+            self.context.record_process_pause();
         }
         if let Role::Leading(l) = &mut self.role {
             l.core.paused(pause.as_secs_f64());
@@ -160,7 +160,7 @@
                 let _ = reply.send((found, self.leader.clone()));
             }
             Command::BeginCancel { job, reply } => match &mut self.role {
-                Role::Leading(l) if self.context.is_valid() => {
+                Role::Leading(l) if self.context.leadership.is_valid() => {
                     let ticket = l.next_ticket;
                     l.next_ticket += 1;
                     l.cancels.insert(ticket, reply);
@@ -180,7 +180,7 @@
             }
             Command::Ended { job, end } => self.remember(job, end),
             Command::Admin { order, reply } => match &mut self.role {
-                Role::Leading(l) if self.context.is_valid() => {
+                Role::Leading(l) if self.context.leadership.is_valid() => {
                     let ticket = l.next_ticket;
                     l.next_ticket += 1;
                     l.operators.insert(ticket, reply);
@@ -229,7 +229,7 @@
                 self.follower = Follower::begin(&self.context, &self.handle);
             }
             Command::ShardStatus { word, reply } => match &mut self.role {
-                Role::Leading(l) if self.context.is_valid() => {
+                Role::Leading(l) if self.context.leadership.is_valid() => {
                     let ticket = l.next_ticket;
                     l.next_ticket += 1;
                     l.shard_owners.insert(ticket, reply);
@@ -309,7 +309,7 @@
         inputs: &mut Vec<Input>,
     ) {
         match &mut self.role {
-            Role::Leading(l) if self.context.is_valid() => {
+            Role::Leading(l) if self.context.leadership.is_valid() => {
                 let ticket = l.next_ticket;
                 l.next_ticket += 1;
                 l.tickets.insert(ticket, reply);
@@ -324,7 +324,7 @@
                 }
             }
             _ => {
-                let _ = reply.send(self.context.send_to(self.leader.as_deref()));
+                let _ = reply.send(self.context.redirect_worker(self.leader.as_deref()));
             }
         }
     }
@@ -334,7 +334,7 @@
             return Lookup::Terminal(end);
         }
         match &self.role {
-            Role::Leading(l) if self.context.is_valid() => l.core.lookup(job),
+            Role::Leading(l) if self.context.leadership.is_valid() => l.core.lookup(job),
             _ => Lookup::NotLeading,
         }
     }
@@ -354,7 +354,7 @@
         let Role::Leading(l) = &mut self.role else {
             return;
         };
-        if !self.context.is_valid() {
+        if !self.context.leadership.is_valid() {
             // Neither an answer nor an order may leave now; facts are kept for later,
             // reports are not: their workers have gone on to the next node.
             for input in inputs {
@@ -387,9 +387,9 @@
         let mut all = std::mem::take(&mut l.held);
         all.extend(inputs);
         let began = std::time::Instant::now();
-        l.core.lease_extended_until = self.context.lease_extended_until_s();
+        l.core.lease_extended_until = self.context.leadership.lease_extended_until_s();
         let now = self.context.now_s();
-        l.core.valid_until = now + self.context.valid_for().as_secs_f64();
+        l.core.valid_until = now + self.context.leadership.valid_for().as_secs_f64();
         let effects = l.core.step(now, all);
         let _ = self.steps.record(began.elapsed().as_micros() as u64);
         let mut relayed: BTreeMap<u32, Vec<RelayedCommand>> = BTreeMap::new();
@@ -466,7 +466,7 @@
             Effect::SendTo { ticket, controller } => {
                 let controller = self.context.settings.controller(controller);
                 if let Some(reply) = l.tickets.remove(&ticket) {
-                    let _ = reply.send(self.context.send_to(Some(controller)));
+                    let _ = reply.send(self.context.redirect_worker(Some(controller)));
                 }
             }
             Effect::Granted { ticket, down } => {
@@ -490,7 +490,7 @@
             }
             Effect::Deposed => {
                 tracing::warn!(token, "a worker has seen a newer token");
-                self.context.step_down(token);
+                self.context.leadership.step_down(token);
             }
             effect => {
                 let context = self.context.clone();
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -46,7 +46,7 @@
         // Tells the share of this process from what an earlier one had.
         let process = 1 + context.random(1 << 52);
         let report_s = settings.cluster.workers.report_s;
-        context.set_granted(0, 0);
+        context.set_shard_permission(0, 0);
         Some(Self {
             context: context.clone(),
             handle: handle.clone(),
@@ -92,7 +92,7 @@
                 Action::Away { ticket, to } => {
                     let named = to.map(|n| self.context.settings.controller(n).to_string());
                     let to = named.or_else(|| self.leader.clone());
-                    (ticket, self.context.send_to(to.as_deref()))
+                    (ticket, self.context.redirect_worker(to.as_deref()))
                 }
             };
             if let Some(reply) = self.tickets.remove(&ticket) {
@@ -106,7 +106,7 @@
             Some(down) => {
                 let acts = self.relay.granted(self.context.now_ms(), &down);
                 let (token, until) = self.relay.shard_lease();
-                self.context.set_granted(token, until);
+                self.context.set_shard_permission(token, until);
                 self.act(acts);
             }
             None => self.relay.lost(number),
@@ -141,7 +141,7 @@
                 _ => None,
             };
             if down.is_some() {
-                context.heard_peer();
+                context.record_peer_contact();
             }
             handle.send(Command::ShardUpdate { number, down }).await;
         });
@@ -149,7 +149,7 @@
 
     /// This node leads now: what it has heard, and whose reports still wait for an answer.
     pub fn end(mut self) -> BufferedHeartbeats {
-        self.context.set_granted(0, 0);
+        self.context.set_shard_permission(0, 0);
         let mut heard = BufferedHeartbeats::default();
         for (forwarded, ticket) in self.relay.end(self.context.now_ms()) {
             match ticket.and_then(|t| self.tickets.remove(&t)) {
--- /dev/null
+++ b/src/coordination/election/records.rs
@@ -0,0 +1,93 @@
+//! The two records of an election at the state service: the leader key and the term marker.
+
+use serde_json::{Value, json};
+
+use crate::controller::context::ControllerContext;
+use crate::protocol::state::{Change, Item, Transaction};
+use crate::storage::store::{StoreError, put};
+use crate::storage::{FOUNDED, LEADER};
+use crate::transport::rate_limiter::Urgency;
+
+const MEMBER: &str = "member";
+const NONCE: &str = "nonce";
+const CONFIRMED_TOKEN: &str = "led";
+/// The version of a key that does not exist.
+const MISSING: u64 = 0;
+
+/// Who leads, on a lease of the state service.
+#[derive(Debug)]
+pub(super) struct LeaderKey {
+    /// The leader's name.
+    pub(super) member: Option<String>,
+    /// Drawn for one campaign: tells its key from one that an earlier process of the same
+    /// controller wrote.
+    pub(super) nonce: Option<u64>,
+    /// The key's version, which is the leader's fencing token.
+    pub(super) token: u64,
+}
+
+impl LeaderKey {
+    pub(super) async fn read(context: &ControllerContext) -> Result<Option<Self>, StoreError> {
+        let item = context.store.get(LEADER, Urgency::Renewal, false).await?;
+        Ok(item.map(Self::from_item))
+    }
+
+    fn from_item(item: Item) -> Self {
+        let member = item.value.get(MEMBER).and_then(Value::as_str);
+        Self {
+            member: member.map(str::to_string),
+            nonce: item.value.get(NONCE).and_then(Value::as_u64),
+            token: item.version,
+        }
+    }
+}
+
+/// What is known of the last election won; written with every leader key and never removed.
+#[derive(Debug)]
+pub(super) struct TermMarker {
+    /// The last fencing token whose leader knew that it had won.
+    pub(super) confirmed_token: Option<u64>,
+}
+
+impl TermMarker {
+    /// `None`: there has never been a leader.
+    pub(super) async fn read(context: &ControllerContext) -> Result<Option<Self>, StoreError> {
+        let item = context.store.get(FOUNDED, Urgency::Renewal, false).await?;
+        Ok(item.map(|item| Self {
+            confirmed_token: item.value.get(CONFIRMED_TOKEN).and_then(Value::as_u64),
+        }))
+    }
+}
+
+/// Writes the leader key, if there is none, and a term marker that nobody has confirmed.
+pub(super) fn election(member: &str, nonce: u64, lease: u64) -> Transaction {
+    Transaction {
+        conditions: vec![(LEADER.to_string(), MISSING)],
+        changes: vec![
+            Change::Put {
+                key: LEADER.to_string(),
+                value: json!({ MEMBER: member, NONCE: nonce }),
+                lease: Some(lease),
+            },
+            put(FOUNDED.to_string(), json!({})),
+        ],
+    }
+}
+
+/// Confirms the term of this token, while its leader key stands.
+pub(super) fn confirmation(token: u64) -> Transaction {
+    Transaction {
+        conditions: vec![(LEADER.to_string(), token)],
+        changes: vec![put(FOUNDED.to_string(), json!({ CONFIRMED_TOKEN: token }))],
+    }
+}
+
+/// Removes the leader key of this token.
+pub(super) fn removal(token: u64) -> Transaction {
+    Transaction {
+        conditions: vec![(LEADER.to_string(), token)],
+        changes: vec![Change::Delete {
+            key: LEADER.to_string(),
+        }],
+    }
+}
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -85,7 +85,7 @@
     pub(super) deferred_heartbeats: BTreeMap<String, (u64, Heartbeat)>,
     /// Where other nodes speak with some of the workers.
     pub(super) sharding: Option<Sharding>,
-    /// Until when this leader acts on the word of all other nodes.
+    /// Until when the votes of all peers extend this leader's lease.
     pub lease_extended_until: Time,
     /// Until when this leader is valid, for what it grants others.
     pub valid_until: Time,
--- a/src/storage/recovery.rs
+++ b/src/storage/recovery.rs
@@ -20,7 +20,7 @@
 /// Reads what earlier leaders have stored, then follows new jobs.
 pub async fn recover(context: Arc<ControllerContext>, handle: Handle, token: u64) {
     let (snapshot, revision) = loop {
-        if !context.leads(token) {
+        if !context.leadership.leads(token) {
             return;
         }
         match read_snapshot(&context).await {
@@ -40,7 +40,7 @@
     let unix_ms = || context.unix_ms();
     let mut snapshot = Snapshot {
         fencing: read_fencing(context).await?,
-        vote_binding_until: context.vote_binding_until_s(),
+        vote_binding_until: context.leadership.vote_binding_until_s(),
         ..Snapshot::default()
     };
     let (pages, _) = store.list(REGISTRY).await?;
@@ -158,7 +158,7 @@
 
 async fn follow_jobs(context: Arc<ControllerContext>, handle: Handle, token: u64, mut since: u64) {
     let block = Duration::from_secs(2);
-    while context.leads(token) {
+    while context.leadership.leads(token) {
         match context.store.watch(JOBS, since, block).await {
             Ok(changes) => {
                 since = since.max(changes.revision);
