--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,7 +1,7 @@
 //! Model checking for tests: all short histories of a small world, and long ones at random.
 //!
-//! A [`World`] holds the code under test and a model of its surroundings. [`explore`] and
-//! [`walk`] search its histories for one that breaks the world's property.
+//! A [`World`] holds the code under test and a model of its surroundings. [`explore()`] and
+//! [`walk()`] search its histories for one that breaks the world's property.
 
 mod explore;
 mod successors;
--- a/src/controller/context/leadership_state.rs
+++ b/src/controller/context/leadership_state.rs
@@ -31,6 +31,11 @@
         step(&mut leadership, now_ms)
     }
 
+    /// Reads what holds at the time now.
+    fn read<T>(&self, question: impl FnOnce(&Leadership, u64) -> T) -> T {
+        self.apply(|leadership, now_ms| question(leadership, now_ms))
+    }
+
     /// See [`Leadership::begin_leading`].
     pub fn begin_leading(&self, token: u64, requested_at: Instant) {
         let requested_at_ms = self.clock.ms_at(requested_at);
@@ -56,37 +61,37 @@
 
     /// See [`Leadership::leads`].
     pub fn leads(&self, token: u64) -> bool {
-        self.apply(|l, _| l.leads(FencingToken::new(token)))
+        self.read(|l, _| l.leads(FencingToken::new(token)))
     }
 
     /// See [`Leadership::is_leading`].
     pub fn is_leading(&self) -> bool {
-        self.apply(|l, _| l.is_leading())
+        self.read(|l, _| l.is_leading())
     }
 
     /// See [`Leadership::valid_for_ms`].
     pub fn valid_for(&self) -> Duration {
-        Duration::from_millis(self.apply(|l, now_ms| l.valid_for_ms(now_ms)))
+        Duration::from_millis(self.read(Leadership::valid_for_ms))
     }
 
     /// See [`Leadership::is_valid`].
     pub fn is_valid(&self) -> bool {
-        self.apply(|l, now_ms| l.is_valid(now_ms))
+        self.read(Leadership::is_valid)
     }
 
     /// See [`Leadership::lease_extended_until_ms`]; in seconds of the controller's clock.
     pub fn lease_extended_until_s(&self) -> f64 {
-        self.apply(|l, _| l.lease_extended_until_ms()) as f64 / 1000.0
+        self.read(|l, _| l.lease_extended_until_ms()) as f64 / 1000.0
     }
 
     /// See [`Leadership::vote_binding_until_ms`]; in seconds of the controller's clock.
     pub fn vote_binding_until_s(&self) -> f64 {
-        self.apply(|l, _| l.vote_binding_until_ms()) as f64 / 1000.0
+        self.read(|l, _| l.vote_binding_until_ms()) as f64 / 1000.0
     }
 
     /// See [`Leadership::has_binding_vote`].
     pub fn has_binding_vote(&self) -> bool {
-        self.apply(|l, now_ms| l.has_binding_vote(now_ms))
+        self.read(Leadership::has_binding_vote)
     }
 
     /// See [`Leadership::vote_to_extend_lease`].
@@ -97,7 +102,7 @@
 
     /// See [`Leadership::release_vote`].
     pub fn release_vote(&self) {
-        self.apply(|l, now_ms| l.release_vote(now_ms));
+        self.apply(Leadership::release_vote);
     }
 
     /// See [`Leadership::begin_campaign`].
@@ -122,7 +127,7 @@
 
     /// See [`Leadership::begin_leaderless_cancellation`].
     pub fn begin_leaderless_cancellation(&self) -> bool {
-        self.apply(|l, now_ms| l.begin_leaderless_cancellation(now_ms))
+        self.apply(Leadership::begin_leaderless_cancellation)
     }
 
     /// See [`Leadership::end_leaderless_cancellation`].
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -7,11 +7,11 @@
 //! In an outage of the state service nobody can renew, and without a valid leader the leases of
 //! all workers would expire. Two ways lead out of it:
 //!
-//! - [`lease_extension`]: a leader that cannot renew asks all peers for their votes. Each
+//! - `lease_extension`: a leader that cannot renew asks all peers for their votes. Each
 //!   confirms that the state service does not answer it either, and promises not to campaign for
 //!   one TTL. With all votes, and only while it is still valid, the leader is valid for one
 //!   TTL - margin from when it asked.
-//! - [`transfer`]: a leader that alone cannot reach the state service gets no such votes. While
+//! - `transfer`: a leader that alone cannot reach the state service gets no such votes. While
 //!   it is still valid it transfers leadership to a peer that can reach it.
 
 mod campaign;
