--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -97,7 +97,7 @@
     async fn settle_cancellation(&self, id: JobId, started: CancellationInProgress) -> Lookup {
         let CancellationInProgress { done, token } = started;
         let guards = [Condition::at_version(LEADER, token)];
-        while self.context.leads(token) {
+        while self.context.leadership.leads(token) {
             if let Ok(found) = self.store_cancelled(id, done, &guards).await {
                 let end = match found {
                     Lookup::Terminal(outcome) => Some(outcome),
@@ -117,14 +117,14 @@
     /// is stored here. With one, it must be the leader: else it might still tell users that the job
     /// is running.
     async fn cancel_without_leader(&self, id: JobId) -> Lookup {
-        if !self.context.begin_leaderless() {
+        if !self.context.leadership.begin_leaderless_cancellation() {
             return Lookup::NotLeader;
         }
         let this = self.clone();
         // Deliberately not ended with this future: its end must always be recorded.
         let stored = tokio::spawn(async move {
             let found = this.store_leaderless(id).await;
-            this.context.end_leaderless();
+            this.context.leadership.end_leaderless_cancellation();
             remember(&this.handle, id, found).await;
             found
         });
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -15,7 +15,7 @@
         let context = &self.context;
         let cut_off = context.store.unserved_s() > CUT_OFF_S
             && !context.settings.others.is_empty()
-            && context.peers_silent_s() > CUT_OFF_S;
+            && context.seconds_since_peer_contact() > CUT_OFF_S;
         if cut_off {
             return Err(ApiError::CutOff);
         }
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -91,7 +91,7 @@
         let asked = self.handle.ask(|reply| Command::Ask { jobs, reply }).await;
         let (mut results, leader) = asked.unwrap_or_default();
         // Its lease may have expired since the event loop answered.
-        if !self.context.is_valid() {
+        if !self.context.leadership.is_valid() {
             for result in &mut results {
                 if let Lookup::Live { .. } = result {
                     *result = Lookup::NotLeader;
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -28,7 +28,7 @@
 impl Api {
     /// Answers a request of another controller.
     pub async fn peer(self, request: Incoming) -> Outgoing {
-        self.context.heard_peer();
+        self.context.record_peer_contact();
         let request = match decode(&request.body) {
             Ok(request) => request,
             Err(error) => return error.into(),
@@ -51,15 +51,17 @@
                 self.context.store.pass_on(&method, &path, body).await
             }
             PeerRequest::VoteToExtendLease { token } => {
-                let reply = election::answer_to_leader(&self.context, token).await;
+                let reply = election::answer_vote_request(&self.context, token).await;
                 tracing::debug!(token, ?reply, "lease extension vote requested");
                 reply
             }
             PeerRequest::Ping => PeerReply::Pong,
-            PeerRequest::Idle if self.context.is_idle() => PeerReply::Idle {
-                up_ms: (self.context.now_s() * 1000.0) as u64,
-            },
-            PeerRequest::Idle => PeerReply::Unable,
+            PeerRequest::ConfirmNoLeader if !self.context.leadership.is_leading() => {
+                PeerReply::NotLeading {
+                    up_ms: (self.context.now_s() * 1000.0) as u64,
+                }
+            }
+            PeerRequest::ConfirmNoLeader => PeerReply::Unable,
             PeerRequest::Share(status) => self.shard_status(status).await,
             PeerRequest::RelayCommands { token, messages } => self.relay(token, messages),
             PeerRequest::TransferLeadership { token } => {
@@ -131,7 +133,7 @@
     let address = context.peer_address(leader?)?;
     let reply = call_peer(context.http.as_ref(), address, &request, deadline).await;
     if reply.is_some() {
-        context.heard_peer();
+        context.record_peer_contact();
     }
     reply
 }
@@ -148,7 +150,7 @@
             let ping = &PeerRequest::Ping;
             let pong = call_peer(context.http.as_ref(), peer.peer_addr, ping, PEER_DEADLINE);
             if pong.await.is_some() {
-                context.heard_peer();
+                context.record_peer_contact();
                 break;
             }
         }
