--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -1,5 +1,5 @@
 //! A node that does not lead, as a shard owner: it answers its share of the workers under the
-//! leader's grant, and tells the leader what they say. The decisions are `copperfield-relay`.
+//! leader's grant, and tells the leader what they say. The decisions are `copperfield-heartbeat-forwarder`.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -63,7 +63,7 @@
         self.leader = leader.map(str::to_string);
         if leader.is_some() && leader != self.forwarded.as_deref() {
             self.forwarded = leader.map(str::to_string);
-            self.relay.new_leader();
+            self.relay.handle_new_leader();
         }
     }
 
@@ -73,7 +73,7 @@
         self.tickets.insert(ticket, reply);
         let acts = self
             .relay
-            .heartbeat(self.context.now_ms(), ticket, heartbeat);
+            .handle_heartbeat(self.context.now_ms(), ticket, heartbeat);
         self.act(acts);
     }
 
@@ -89,7 +89,7 @@
                     };
                     (ticket, answer)
                 }
-                Action::Away { ticket, to } => {
+                Action::Redirect { ticket, to } => {
                     let named = to.map(|n| self.context.settings.controller(n).to_string());
                     let to = named.or_else(|| self.leader.clone());
                     (ticket, self.context.send_to(to.as_deref()))
@@ -104,18 +104,18 @@
     pub fn granted(&mut self, number: u64, down: Option<ShardUpdate>) {
         match down {
             Some(down) => {
-                let acts = self.relay.granted(self.context.now_ms(), &down);
-                let (token, until) = self.relay.shard_lease();
-                self.context.set_granted(token, until);
+                let acts = self.relay.handle_update(self.context.now_ms(), &down);
+                let lease = self.relay.lease();
+                self.context.set_granted(lease.token, lease.valid_until);
                 self.act(acts);
             }
-            None => self.relay.lost(number),
+            None => self.relay.handle_lost_status(number),
         }
     }
 
     pub fn relayed(&mut self, token: u64, message_id: u64, outcome: Outcome) {
-        if self.relay.shard_lease().0 == token {
-            self.relay.relayed(message_id, outcome);
+        if self.relay.lease().token == token {
+            self.relay.record_outcome(message_id, outcome);
         }
     }
 
@@ -128,7 +128,7 @@
         let Some(to) = to.and_then(|l| self.context.peer_address(l)) else {
             return;
         };
-        let Some(word) = self.relay.upward(now) else {
+        let Some(word) = self.relay.next_status(now) else {
             return;
         };
         let (context, handle) = (self.context.clone(), self.handle.clone());
@@ -151,10 +151,10 @@
     pub fn end(mut self) -> BufferedHeartbeats {
         self.context.set_granted(0, 0);
         let mut heard = BufferedHeartbeats::default();
-        for (forwarded, ticket) in self.relay.end(self.context.now_ms()) {
-            match ticket.and_then(|t| self.tickets.remove(&t)) {
-                Some(reply) => heard.waiting.push((forwarded.heartbeat, reply)),
-                None => heard.forwarded.push(forwarded),
+        for drained in self.relay.into_buffered(self.context.now_ms()) {
+            match drained.ticket.and_then(|t| self.tickets.remove(&t)) {
+                Some(reply) => heard.waiting.push((drained.forwarded.heartbeat, reply)),
+                None => heard.forwarded.push(drained.forwarded),
             }
         }
         heard
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -203,7 +203,7 @@
             notice_s: Some(1.0),
             tasks: tasks.clone(),
         };
-        relay.heartbeat(1000, worker as u64, heartbeat);
+        relay.handle_heartbeat(1000, worker as u64, heartbeat);
     }
     let shard_lease = |number, changes| ShardLease {
         process: 7,
@@ -226,7 +226,7 @@
     let (mut forwarded, mut messages, mut now) = (0, 0, 1000);
     while forwarded < WORKERS {
         now += 30;
-        let word = relay.upward(now).expect("more to tell");
+        let word = relay.next_status(now).expect("more to tell");
         fits(&word);
         // All wait: each message tells those that come first, until they are answered.
         let waits: Vec<&String> = word.forwarded.iter().map(|t| &t.heartbeat.worker).collect();
@@ -235,7 +235,7 @@
         let changes: Vec<_> = numbers.clone().map(take).collect();
         forwarded += changes.len();
         let names = numbers.map(|m| (m, name(m as usize))).collect();
-        relay.granted(
+        relay.handle_update(
             now,
             &down(shard_lease(word.owner_status.number, changes), names),
         );
@@ -243,8 +243,8 @@
     }
     let leaves = (0..WORKERS as u32).map(|m| (10_000 + u64::from(m), Change::Release(m, Some(0))));
     now += 300;
-    let word = relay.upward(now).expect("time to ask");
-    relay.granted(
+    let word = relay.next_status(now).expect("time to ask");
+    relay.handle_update(
         now,
         &down(
             shard_lease(word.owner_status.number, leaves.collect()),
@@ -252,7 +252,7 @@
         ),
     );
     now += 300;
-    let word = relay.upward(now).expect("time to tell");
+    let word = relay.next_status(now).expect("time to tell");
     assert_eq!(word.owner_status.left.len(), WORKERS);
     println!(
         "{messages} messages, {} bytes with all given up",
--- a/tests/shard_owners.rs
+++ b/tests/shard_owners.rs
@@ -106,8 +106,8 @@
         for act in acts {
             match act {
                 Action::Answer { .. } => self.answered.push(self.now),
-                Action::Away { to: Some(0), .. } => self.sent_to_leader.push(self.now),
-                Action::Away { .. } => {}
+                Action::Redirect { to: Some(0), .. } => self.sent_to_leader.push(self.now),
+                Action::Redirect { .. } => {}
             }
         }
     }
@@ -120,12 +120,12 @@
                 self.next_report = self.now + 5.0;
                 self.ticket += 1;
                 let heartbeat = self.heartbeat();
-                let acts = self.relay.heartbeat(ms, self.ticket, heartbeat);
+                let acts = self.relay.handle_heartbeat(ms, self.ticket, heartbeat);
                 self.act(acts);
             }
             let acts = self.relay.tick(ms);
             self.act(acts);
-            if let Some(word) = self.relay.upward(ms) {
+            if let Some(word) = self.relay.next_status(ms) {
                 inputs.push(Input::ShardStatus { ticket: 0, word });
             }
             let now = self.now;
@@ -136,7 +136,7 @@
                     Effect::Granted {
                         down: Some(down), ..
                     } => {
-                        let acts = self.relay.granted(ms, &down);
+                        let acts = self.relay.handle_update(ms, &down);
                         self.act(acts);
                     }
                     Effect::Direct {
