--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -171,9 +171,7 @@
     /// have returned good workers. Leases are another matter: they run on.
     pub fn paused(&mut self, pause_s: f64) {
         self.listening_since += pause_s;
-        if let Some(sharding) = &mut self.sharding {
-            sharding.coordinator.handle_pause((pause_s * 1000.0) as u64);
-        }
+        self.shift_shard_statuses(pause_s);
         for (_, worker) in self.workers.iter_mut() {
             let of_worker = [
                 &mut worker.last_heartbeat_at,
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -85,7 +85,7 @@
     ) -> Option<u32> {
         let via = self.relay_for(m);
         if via.is_some() {
-            self.note_carried(m, message_id);
+            self.record_relayed_message(m, message_id);
         }
         self.workers[m].in_message_id = Some(InFlightMessage {
             id: message_id,
@@ -184,7 +184,7 @@
         if never || (silent && unreconciled) {
             // Recorded by an earlier leader, and not heard yet, or heard by a shard owner before this
             // leader was there: ask it.
-            let asked = unreconciled && may_probe && !self.is_being_told();
+            let asked = unreconciled && may_probe && !self.awaits_forwarded_heartbeats();
             return asked.then_some(if worker.fenced || !never {
                 Reason::QuestionToSilent
             } else {
--- a/src/coordination/drains.rs
+++ b/src/coordination/drains.rs
@@ -304,7 +304,7 @@
             memory_gb: share(2),
             deadline_s: until.map(|t| (t - self.now).max(0.0)),
             heard_s: worker.last_heartbeat_at.map(|t| self.now - t),
-            controller: self.answered_at_node(m).map(str::to_string),
+            controller: self.answering_controller(m).map(str::to_string),
         }
     }
 
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -15,17 +15,13 @@
 use super::messages::Effect;
 use super::model::*;
 use super::state::Core;
+use super::time::ceil_ms as ms;
 
 /// Many fall silent together: they share a change of the state service.
 const TOGETHER_S: Time = 0.6;
 /// A worker that holds nothing does the next leader no harm on the record.
 const LATER_S: Time = 5.0;
 
-/// Later rather than earlier.
-fn ms(at: Time) -> u64 {
-    (at.max(0.0) * 1000.0).ceil() as u64
-}
-
 impl Core {
     /// Without a bound on clocks what is stored proves nothing.
     fn clocks_are_bounded(&self) -> bool {
@@ -103,7 +99,7 @@
             }
             // While a shard owner may still answer it there is nothing to promise.
             if self.now - heard > patience
-                && let Some(answered) = self.answered_by_all(worker)
+                && let Some(answered) = self.last_answer_by_any(worker)
             {
                 let due = ms(self.now + TOGETHER_S);
                 self.fencing.silent(&worker.name, ms(answered), due);
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -194,13 +194,13 @@
             return;
         };
         let answered = !matches!(outcome, Outcome::Unsent | Outcome::Unknown);
-        self.note_answer(m, answered);
+        self.record_command_result(m, answered);
         let worker = &mut self.workers[m];
         worker.commands_unanswered = !answered && (orders || worker.commands_unanswered);
         let (heartbeat, executed) = match outcome {
             Outcome::Unsent => {
                 worker.note_unanswered(self.now, relayed);
-                self.workers[m].next_probe = self.ask_again_at(m);
+                self.workers[m].next_probe = self.next_probe_at(m);
                 (None, false)
             }
             Outcome::Executed(heartbeat) => {
@@ -229,7 +229,7 @@
                     }
                 }
                 worker.note_unanswered(self.now, relayed);
-                self.workers[m].next_probe = self.ask_again_at(m);
+                self.workers[m].next_probe = self.next_probe_at(m);
                 return;
             }
         };
@@ -661,7 +661,7 @@
     }
 
     pub(super) fn lease_expires_at(&self, worker: &Worker) -> Time {
-        let answered = self.answered_by_all(worker);
+        let answered = self.last_answer_by_any(worker);
         answered.map_or(f64::INFINITY, |at| at + self.lease_upper_bound_s())
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -28,3 +28,4 @@
 mod registry;
 mod sharding;
 mod state;
+mod time;
--- /dev/null
+++ b/src/coordination/sharding/balance.rs
@@ -0,0 +1,122 @@
+//! What is done for the shards once a batch: late workers are revoked, unreachable shard owners
+//! lose their workers, and workers move for balance.
+
+use std::collections::BTreeMap;
+
+use crate::coordination::model::*;
+use crate::coordination::state::Core;
+use crate::coordination::time::ceil_ms;
+
+use super::Sharding;
+
+/// A worker is revoked so long before it counts as unresponsive: only for workers without a shard
+/// owner does a missing heartbeat prove anything.
+const REVOKE_LEAD_S: Time = 0.6;
+/// With more than one of so many workers late, a mass loss is being handled.
+const MASS_LOSS_DIVISOR: usize = 50;
+const LOG_INTERVAL_S: Time = 30.0;
+
+/// Counts the messages of shard owners between two log lines.
+pub(super) struct TrafficLog {
+    next_at: Time,
+    statuses: u32,
+    heartbeats: usize,
+}
+
+impl TrafficLog {
+    pub(super) fn new(now: Time) -> Self {
+        Self {
+            next_at: now + LOG_INTERVAL_S,
+            statuses: 0,
+            heartbeats: 0,
+        }
+    }
+
+    pub(super) fn record_status(&mut self, heartbeats: usize) {
+        self.statuses += 1;
+        self.heartbeats += heartbeats;
+    }
+
+    fn is_due(&self, now: Time) -> bool {
+        now >= self.next_at
+    }
+}
+
+impl Sharding {
+    fn log_shard_sizes(&mut self, now: Time) {
+        if !self.traffic.is_due(now) {
+            return;
+        }
+        let workers: BTreeMap<&String, usize> = self
+            .controllers
+            .iter()
+            .zip(self.coordinator.loads())
+            .collect();
+        let TrafficLog {
+            statuses,
+            heartbeats,
+            ..
+        } = std::mem::replace(&mut self.traffic, TrafficLog::new(now));
+        tracing::info!(?workers, statuses, heartbeats, "shard sizes");
+    }
+}
+
+/// The workers that are late.
+struct LateWorkers {
+    /// Their numbers, and those of workers that ignore a stop.
+    to_revoke: Vec<u32>,
+    /// So many are late that a mass loss is being handled.
+    is_mass_loss: bool,
+}
+
+impl Core {
+    /// Once a batch: revokes workers that are late, reassigns those of unreachable shard owners,
+    /// moves workers for balance, and ends messages that were lost with their relays.
+    pub(in crate::coordination) fn balance_shards(&mut self) {
+        if self.sharding.is_none() {
+            return;
+        }
+        let late = self.late_workers();
+        let allow_moves = self.reconciliation_complete && !late.is_mass_loss;
+        let now = ceil_ms(self.now);
+        let Some(sharding) = &mut self.sharding else {
+            return;
+        };
+        for number in late.to_revoke {
+            if sharding.coordinator.unanswered_since(number).is_none() {
+                sharding.coordinator.revoke(number);
+            }
+        }
+        for controller in sharding.coordinator.tick(now, allow_moves) {
+            let controller = &sharding.controllers[controller as usize];
+            tracing::info!(
+                controller,
+                "shard owner unreachable, reassigning its workers"
+            );
+        }
+        sharding.log_shard_sizes(self.now);
+        self.expire_relayed_messages();
+        self.answer_deferred_heartbeats();
+    }
+
+    fn late_workers(&self) -> LateWorkers {
+        let late_after_s = self.unresponsive_after_s() - REVOKE_LEAD_S;
+        let (mut late, mut all) = (0, 0);
+        let mut to_revoke = Vec::new();
+        for (m, worker) in self.workers.iter() {
+            let last_heartbeat_at = worker.last_heartbeat_at.unwrap_or(self.listening_since);
+            let is_late = self.now - last_heartbeat_at > late_after_s;
+            let lease_expired = worker.incarnation <= worker.expired_incarnation;
+            all += 1;
+            // A worker whose lease has expired is dealt with.
+            late += usize::from(is_late && !lease_expired);
+            if is_late || self.ignores_stop(m) {
+                to_revoke.push(worker.number);
+            }
+        }
+        LateWorkers {
+            to_revoke,
+            is_mass_loss: late * MASS_LOSS_DIVISOR > all,
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/sharding/mod.rs
@@ -0,0 +1,111 @@
+//! Sharding of the workers among the controllers, on the leader's side: which controller answers
+//! which worker, and which one relays commands to it. The decisions are made by
+//! [`copperfield_sharding`]; this module connects them with the rest of the core.
+//!
+//! `routing` decides where a heartbeat is answered, `status` handles the messages of shard owners,
+//! `relays` the commands that they relay, and `balance` what is done once a batch.
+
+mod balance;
+mod relays;
+mod routing;
+mod status;
+
+use std::collections::BTreeMap;
+
+use copperfield_sharding::{ControllerIndex, Millis, ShardCoordinator, WorkerNumber};
+
+use super::state::Core;
+use super::time::ceil_ms;
+
+use balance::TrafficLog;
+use relays::RelayedMessages;
+
+/// The leader's view of the shards. See [`Core::enable_sharding`].
+pub(super) struct Sharding {
+    coordinator: ShardCoordinator,
+    own_index: ControllerIndex,
+    /// The names of all controllers, by index.
+    controllers: Vec<String>,
+    worker_names: BTreeMap<WorkerNumber, String>,
+    /// Numbers are never used twice.
+    next_number: WorkerNumber,
+    relayed: RelayedMessages,
+    traffic: TrafficLog,
+}
+
+impl Sharding {
+    fn add_worker(&mut self, name: &str, zone: u32, last_answer: Millis) -> WorkerNumber {
+        let number = self.next_number;
+        self.next_number += 1;
+        self.worker_names.insert(number, name.to_string());
+        self.coordinator.add(number, zone, last_answer);
+        number
+    }
+
+    fn remove_worker(&mut self, number: WorkerNumber) {
+        self.worker_names.remove(&number);
+        self.coordinator.remove(number);
+    }
+}
+
+impl Core {
+    /// Shards the workers among the controllers, all of them by name and zone, of which this one
+    /// has the index `own_index`. To be called before the first step.
+    pub fn enable_sharding(&mut self, own_index: u32, controllers: &[(&str, &str)]) {
+        let zones: Vec<u32> = controllers
+            .iter()
+            .map(|(_, zone)| self.zones.intern(zone))
+            .collect();
+        let interval_ms = ceil_ms(self.config.cluster.workers.report_s);
+        self.sharding = Some(Sharding {
+            coordinator: ShardCoordinator::new(self.token, own_index, &zones, interval_ms),
+            own_index,
+            controllers: controllers
+                .iter()
+                .map(|(name, _)| name.to_string())
+                .collect(),
+            worker_names: BTreeMap::new(),
+            next_number: 0,
+            relayed: RelayedMessages::default(),
+            traffic: TrafficLog::new(self.now),
+        });
+        for m in self.workers.indices() {
+            self.add_worker_to_shards(m);
+        }
+    }
+
+    /// Adds a worker that was not known. Shard owners of an earlier leader may answer it for a TTL
+    /// from the election on, unless it is fenced, so that nobody may.
+    pub(super) fn add_worker_to_shards(&mut self, m: u32) {
+        let ttl_s = self.config.tuning.leader_ttl_ms as f64 / 1000.0;
+        let Some(sharding) = &mut self.sharding else {
+            return;
+        };
+        let worker = &mut self.workers[m];
+        let last_answer = if worker.fenced && worker.answered_at.is_some() {
+            0
+        } else {
+            ceil_ms(self.elected_at + ttl_s)
+        };
+        worker.number = sharding.add_worker(&worker.name, worker.zone, last_answer);
+    }
+
+    /// Removes a worker that is gone.
+    pub(super) fn remove_worker_from_shards(&mut self, m: u32) {
+        if let Some(sharding) = &mut self.sharding {
+            sharding.remove_worker(self.workers[m].number);
+        }
+    }
+
+    /// The index of this controller among all.
+    pub(super) fn own_controller_index(&self) -> u32 {
+        self.sharding.as_ref().map_or(0, |s| s.own_index)
+    }
+
+    /// This process was paused: shard owners are not late because of that.
+    pub(super) fn shift_shard_statuses(&mut self, pause_s: f64) {
+        if let Some(sharding) = &mut self.sharding {
+            sharding.coordinator.handle_pause((pause_s * 1000.0) as u64);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/sharding/relays.rs
@@ -0,0 +1,162 @@
+//! Commands that other controllers relay to workers.
+
+use std::collections::BTreeMap;
+
+use crate::coordination::model::*;
+use crate::coordination::state::Core;
+use crate::coordination::time::ceil_ms;
+use crate::protocol::peer::Outcome;
+
+use super::Sharding;
+
+/// A message that a relay accepted and reports no outcome of for so long is lost with the relay.
+const RELAY_TIMEOUT_S: Time = 3.0;
+/// A worker that did not answer is probed again after so long, if no other controller can do so.
+const PROBE_RETRY_S: Time = 1.0;
+
+struct RelayedMessage {
+    worker: String,
+    sent_at: Time,
+}
+
+/// The messages that relays have and whose outcome is not known.
+#[derive(Default)]
+pub(super) struct RelayedMessages {
+    by_id: BTreeMap<u64, RelayedMessage>,
+}
+
+impl RelayedMessages {
+    fn insert(&mut self, message_id: u64, worker: String, sent_at: Time) {
+        let message = RelayedMessage { worker, sent_at };
+        self.by_id.insert(message_id, message);
+    }
+
+    /// Removes a message and returns the worker that it is for.
+    pub(super) fn remove(&mut self, message_id: u64) -> Option<String> {
+        Some(self.by_id.remove(&message_id)?.worker)
+    }
+
+    fn overdue(&self, now: Time) -> Vec<u64> {
+        let messages = self.by_id.iter();
+        let overdue = messages.filter(|(_, message)| now - message.sent_at > RELAY_TIMEOUT_S);
+        overdue.map(|(message_id, _)| *message_id).collect()
+    }
+}
+
+impl Core {
+    /// The controller that relays messages to a worker, `None` if this one sends them itself.
+    pub(in crate::coordination) fn relay_for(&self, m: u32) -> Option<u32> {
+        let sharding = self.sharding.as_ref()?;
+        let worker = &self.workers[m];
+        let now = ceil_ms(self.now);
+        let owner = sharding.coordinator.owner_relay(worker.number, now);
+        match worker.missed() {
+            // A new leader probes the workers without a shard owner with the help of all others.
+            Unanswered {
+                own: false,
+                relayed: false,
+            } if owner.is_none() && !worker.reconciled => {
+                sharding.coordinator.relay_or_leader(worker.number, now)
+            }
+            // The other way next, as either controller may reach what the other does not, and by
+            // turns from then on.
+            Unanswered { own, relayed } if own || relayed => {
+                let by_other = !relayed || (own && self.next_message_id.is_multiple_of(2));
+                by_other.then(|| sharding.coordinator.any_relay(worker.number, now))?
+            }
+            _ => owner,
+        }
+    }
+
+    /// Whether a worker has answered neither this controller nor, if one can relay, another. A
+    /// leader that alone has lost its connections must not take good workers for lost.
+    pub(in crate::coordination) fn answers_no_controller(&self, m: u32) -> bool {
+        let Unanswered { own, relayed } = self.workers[m].missed();
+        own && (relayed || !self.has_relay(m))
+    }
+
+    fn has_relay(&self, m: u32) -> bool {
+        let now = ceil_ms(self.now);
+        let relay = |s: &Sharding| s.coordinator.any_relay(self.workers[m].number, now);
+        self.sharding.as_ref().and_then(relay).is_some()
+    }
+
+    /// When a worker that has not answered is probed next: at once, if by another controller.
+    pub(in crate::coordination) fn next_probe_at(&self, m: u32) -> Time {
+        let Unanswered { own, relayed } = self.workers[m].missed();
+        if own != relayed && self.has_relay(m) {
+            self.now
+        } else {
+            self.now + PROBE_RETRY_S
+        }
+    }
+
+    /// Records that a message is sent through another controller.
+    pub(in crate::coordination) fn record_relayed_message(&mut self, m: u32, message_id: u64) {
+        if let Some(sharding) = &mut self.sharding {
+            let worker = self.workers[m].name.clone();
+            sharding.relayed.insert(message_id, worker, self.now);
+        }
+    }
+
+    /// Records whether a worker has answered a message.
+    pub(in crate::coordination) fn record_command_result(&mut self, m: u32, answered: bool) {
+        if let Some(sharding) = &mut self.sharding {
+            let (now, number) = (ceil_ms(self.now), self.workers[m].number);
+            sharding
+                .coordinator
+                .record_command_result(now, number, answered);
+        }
+    }
+
+    /// Handles messages that a relay did not accept. `surely`: it sends none of them.
+    pub(in crate::coordination) fn handle_relay_failure(
+        &mut self,
+        controller: u32,
+        message_ids: Vec<u64>,
+        surely: bool,
+    ) {
+        if let Some(sharding) = &mut self.sharding {
+            let now = ceil_ms(self.now);
+            sharding.coordinator.mark_relay_failed(controller, now);
+        }
+        let outcome = if surely {
+            Outcome::Unsent
+        } else {
+            Outcome::Unknown
+        };
+        for message_id in message_ids {
+            self.end_relayed_message(message_id, outcome.clone());
+        }
+    }
+
+    /// Ends the messages whose relays have reported nothing for too long.
+    pub(super) fn expire_relayed_messages(&mut self) {
+        let Some(sharding) = &self.sharding else {
+            return;
+        };
+        for message_id in sharding.relayed.overdue(self.now) {
+            self.end_relayed_message(message_id, Outcome::Unknown);
+        }
+    }
+
+    /// Ends a message that a relay has lost, which does not count against the worker.
+    fn end_relayed_message(&mut self, message_id: u64, outcome: Outcome) {
+        let sharding = self.sharding.as_mut();
+        let Some(name) = sharding.and_then(|s| s.relayed.remove(message_id)) else {
+            return;
+        };
+        let Some(&m) = self.worker_ids.get(&name) else {
+            return;
+        };
+        let worker = &self.workers[m];
+        let (unanswered_at, missed) = (worker.unanswered_at, worker.missed);
+        let commands_unanswered = worker.commands_unanswered;
+        self.handle_command_outcome(&name, message_id, outcome);
+        let worker = &mut self.workers[m];
+        worker.unanswered_at = unanswered_at;
+        worker.missed = missed;
+        worker.commands_unanswered = commands_unanswered;
+        worker.next_probe = self.now;
+    }
+}
--- /dev/null
+++ b/src/coordination/sharding/routing.rs
@@ -0,0 +1,102 @@
+//! Which controller answers a worker's heartbeats, and since when none may.
+
+use copperfield_sharding::{AnswerPermission, Route};
+
+use crate::coordination::messages::Effect;
+use crate::coordination::model::*;
+use crate::coordination::state::Core;
+use crate::coordination::time::ceil_ms;
+
+/// A worker on which a stop at once has had no effect for so long is answered by the leader alone:
+/// its answers carry commands, and without answers the worker's lease expires.
+const STOP_TIMEOUT_S: Time = 6.0;
+
+impl Core {
+    /// When a worker may last have been answered, by any controller. `None`: a shard owner may
+    /// answer it now.
+    pub(in crate::coordination) fn last_answer_by_any(&self, worker: &Worker) -> Option<Time> {
+        let own = worker.answered_at.unwrap_or(self.elected_at);
+        let Some(sharding) = &self.sharding else {
+            return Some(own);
+        };
+        let others = sharding.coordinator.unanswered_since(worker.number)?;
+        Some(own.max(others as f64 / 1000.0))
+    }
+
+    /// The shard owner of a worker, `None` if only this controller may answer it.
+    pub(in crate::coordination) fn shard_owner_of(&self, m: u32) -> Option<u32> {
+        let sharding = self.sharding.as_ref()?;
+        sharding.coordinator.shard_owner(self.workers[m].number)
+    }
+
+    /// The name of the controller that answers a worker, where workers are sharded.
+    pub(in crate::coordination) fn answering_controller(&self, m: u32) -> Option<&str> {
+        let sharding = self.sharding.as_ref()?;
+        let index = match self.shard_owner_of(m) {
+            Some(owner) => owner,
+            None if self.is_unresponsive(m) => return None,
+            None => sharding.own_index,
+        };
+        sharding.controllers.get(index as usize).map(String::as_str)
+    }
+
+    /// Which controllers may be assigned a worker now.
+    pub(super) fn answer_permission(&self, m: u32) -> AnswerPermission {
+        if self.fencing.holds(&self.workers[m].name) {
+            // While all peers extend its lease, the leader itself may answer fenced workers.
+            return if self.now < self.lease_extended_until {
+                AnswerPermission::LeaderOnly
+            } else {
+                AnswerPermission::Nobody
+            };
+        }
+        if self.ignores_stop(m) {
+            AnswerPermission::LeaderOnly
+        } else {
+            AnswerPermission::AnyController
+        }
+    }
+
+    /// Whether a task instance is still on a worker long after it was to stop at once.
+    pub(super) fn ignores_stop(&self, m: u32) -> bool {
+        self.workers[m].instances.iter().any(|(key, instance)| {
+            let ordered_at = instance.stop.map(|stop| stop.ordered_at);
+            instance.exit().is_none()
+                && ordered_at.is_some_and(|at| self.now - at > STOP_TIMEOUT_S)
+                && !matches!(self.jobs[key.job].state, JobState::Live)
+        })
+    }
+
+    /// Where a heartbeat that this controller received is to be answered.
+    pub(in crate::coordination) fn route_heartbeat(&mut self, m: u32) -> Route {
+        let permission = self.answer_permission(m);
+        let Some(sharding) = &mut self.sharding else {
+            return Route::Here;
+        };
+        let number = self.workers[m].number;
+        let (now, own_index) = (ceil_ms(self.now), sharding.own_index);
+        sharding
+            .coordinator
+            .handle_heartbeat(now, number, own_index, permission, true)
+    }
+
+    /// Answers the heartbeats that were deferred while another controller might still answer their
+    /// workers, or while these were fenced.
+    pub(in crate::coordination) fn answer_deferred_heartbeats(&mut self) {
+        for (name, (ticket, heartbeat)) in std::mem::take(&mut self.deferred_heartbeats) {
+            let fenced = self.fencing.holds(&name) && self.now >= self.lease_extended_until;
+            let m = self.worker_ids.get(&name).copied();
+            if let Some(controller) = m.and_then(|m| self.shard_owner_of(m)) {
+                // The worker has reported to another controller meanwhile.
+                self.effects.push(Effect::SendTo { ticket, controller });
+                continue;
+            }
+            let owned = m.is_some_and(|m| self.last_answer_by_any(&self.workers[m]).is_none());
+            if fenced || owned {
+                self.deferred_heartbeats.insert(name, (ticket, heartbeat));
+            } else {
+                self.answer_heartbeat(ticket, heartbeat);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/sharding/status.rs
@@ -0,0 +1,163 @@
+//! The messages of shard owners: their statuses, and the heartbeats that they forward.
+
+use copperfield_sharding::Route;
+
+use crate::coordination::messages::{Effect, Source};
+use crate::coordination::model::*;
+use crate::coordination::state::Core;
+use crate::coordination::time::{Latest, ceil_ms};
+use crate::protocol::peer::{ForwardedHeartbeat, ShardStatus, ShardUpdate};
+use crate::protocol::worker::Heartbeat;
+
+/// A new leader waits so long for the heartbeats that shard owners have buffered before it probes
+/// workers itself.
+const FORWARDING_WAIT_S: Time = 0.12;
+
+impl Core {
+    /// Handles the status of a shard owner, and answers it.
+    pub(in crate::coordination) fn handle_shard_status(
+        &mut self,
+        ticket: u64,
+        status: ShardStatus,
+    ) {
+        let down = self.apply_shard_status(status);
+        self.effects.push(Effect::Granted { ticket, down });
+    }
+
+    /// `None` for a status of no peer, or one that is not newer than the last.
+    fn apply_shard_status(&mut self, status: ShardStatus) -> Option<ShardUpdate> {
+        let now = ceil_ms(self.now);
+        let valid_for = ceil_ms(self.valid_until - self.now).saturating_sub(1);
+        let from = status.from;
+        let sharding = self.sharding.as_mut()?;
+        if !sharding.coordinator.is_peer(from) {
+            return None;
+        }
+        sharding.traffic.record_status(status.forwarded.len());
+        // First of all: what is reported of workers that it has released is routed by that.
+        let (owner_status, forwarded_all) = (&status.owner_status, status.all);
+        let lease =
+            sharding
+                .coordinator
+                .handle_status(now, from, owner_status, forwarded_all, valid_for);
+        for (message_id, outcome) in status.outcomes {
+            let sharding = self.sharding.as_mut()?;
+            if let Some(worker) = sharding.relayed.remove(message_id) {
+                self.handle_command_outcome(&worker, message_id, outcome);
+            }
+        }
+        let mut redirects = Vec::new();
+        for forwarded in status.forwarded {
+            let worker = forwarded.heartbeat.worker.clone();
+            if let Some(to) = self.handle_forwarded_heartbeat(from, forwarded, lease.is_none()) {
+                redirects.push((worker, to));
+            }
+        }
+        let mut shard_lease = lease?;
+        let sharding = self.sharding.as_ref()?;
+        // The heartbeats may have led to more changes.
+        shard_lease.changes = sharding.coordinator.pending_changes(from);
+        let names = shard_lease
+            .assigned_workers()
+            .filter_map(|number| Some((number, sharding.worker_names.get(&number)?.clone())))
+            .collect();
+        Some(ShardUpdate {
+            shard_lease,
+            names,
+            redirects,
+        })
+    }
+
+    /// Handles the heartbeats that this controller had buffered as a shard owner before it was
+    /// elected.
+    pub(in crate::coordination) fn handle_buffered_heartbeats(
+        &mut self,
+        buffered: Vec<ForwardedHeartbeat>,
+    ) {
+        if self.sharding.is_none() {
+            return;
+        }
+        for forwarded in buffered {
+            self.handle_forwarded_heartbeat(self.own_controller_index(), forwarded, true);
+        }
+    }
+
+    /// Handles a heartbeat that a shard owner received. `is_outdated`: the status that forwards it
+    /// is. Returns the controller to which its worker is redirected, if it is.
+    fn handle_forwarded_heartbeat(
+        &mut self,
+        from: u32,
+        forwarded: ForwardedHeartbeat,
+        is_outdated: bool,
+    ) -> Option<u32> {
+        let ForwardedHeartbeat {
+            heartbeat,
+            age_ms,
+            waits,
+        } = forwarded;
+        let m = self.worker_of(&heartbeat).ok()?;
+        if self.is_duplicate_heartbeat(m, &heartbeat, from) {
+            return None;
+        }
+        let received_at = self.now - age_ms as f64 / 1000.0;
+        let is_newer = self.is_newer(m, &heartbeat);
+        if is_newer || waits {
+            let worker = &mut self.workers[m];
+            worker.last_heartbeat_at = worker.last_heartbeat_at.max_of(received_at);
+            worker.reported_at = worker.reported_at.max_of(received_at);
+            self.fencing.heard(&worker.name, ceil_ms(self.now));
+        }
+        if is_newer {
+            self.apply_forwarded_heartbeat(m, heartbeat, received_at);
+        }
+        if is_outdated || !(is_newer || waits) {
+            return None;
+        }
+        let permission = self.answer_permission(m);
+        let (now, number) = (ceil_ms(self.now), self.workers[m].number);
+        let coordinator = &mut self.sharding.as_mut()?.coordinator;
+        match coordinator.handle_heartbeat(now, number, from, permission, waits) {
+            Route::Redirect(to) if waits => Some(to),
+            _ => None,
+        }
+    }
+
+    /// Applies a heartbeat as of when it came in.
+    fn apply_forwarded_heartbeat(&mut self, m: u32, heartbeat: Heartbeat, received_at: Time) {
+        let worker = &self.workers[m];
+        let (answered_at, last_heartbeat_at) = (worker.answered_at, worker.last_heartbeat_at);
+        let incarnation = worker.incarnation;
+        self.apply_heartbeat(m, heartbeat, Source::Heartbeat);
+        let worker = &mut self.workers[m];
+        worker.last_heartbeat_at = last_heartbeat_at;
+        if worker.incarnation > incarnation {
+            // It had begun by then. Answers of any controller since are bounded by the shards.
+            worker.answered_at = answered_at.max_of(received_at);
+        }
+        self.queue_follow_up(m);
+    }
+
+    /// Queues the commands that a heartbeat leads to. The shard owner's answer carries none, so
+    /// they leave with the next direct message.
+    fn queue_follow_up(&mut self, m: u32) {
+        if self.workers[m].in_message_id.is_some() {
+            return;
+        }
+        let commands = self.follow_up_commands(m, usize::MAX);
+        let outbox = &mut self.workers[m].outbox;
+        for command in commands {
+            if !outbox.contains(&command) {
+                outbox.push(command);
+            }
+        }
+    }
+
+    /// Whether a new leader still waits for the heartbeats that shard owners have buffered.
+    pub(in crate::coordination) fn awaits_forwarded_heartbeats(&self) -> bool {
+        self.now < self.elected_at + FORWARDING_WAIT_S
+            && self
+                .sharding
+                .as_ref()
+                .is_some_and(|s| !s.coordinator.all_peers_have_forwarded())
+    }
+}
