--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -176,11 +176,11 @@
     });
 }
 
-/// What a shard owner of all workers tells fits the body that its leader takes, however much there is:
-/// reports are split among messages, and workers given up together fit one.
+/// The statuses of a shard owner of all workers fit the body that its leader accepts: heartbeats are
+/// split among several, and all workers released together fit one.
 #[test]
-fn a_holder_of_every_worker_tells_the_leader_in_bodies_that_fit() {
-    let mut relay = HeartbeatForwarder::new(1, 7, 2.5);
+fn statuses_of_a_shard_owner_of_all_workers_fit_the_body_limit() {
+    let mut forwarder = HeartbeatForwarder::new(1, 7, 2.5);
     let name = |worker: usize| format!("vm-{worker:06}");
     let tasks: Vec<TaskStatus> = (0..20)
         .map(|task| TaskStatus {
@@ -203,7 +203,7 @@
             notice_s: Some(1.0),
             tasks: tasks.clone(),
         };
-        relay.handle_heartbeat(1000, worker as u64, heartbeat);
+        forwarder.handle_heartbeat(1000, worker as u64, heartbeat);
     }
     let shard_lease = |number, changes| ShardLease {
         process: 7,
@@ -213,50 +213,55 @@
         for_ms: 1000,
         changes,
     };
-    let down = |shard_lease, names| ShardUpdate {
+    let update = |shard_lease, names| ShardUpdate {
         shard_lease,
         names,
         redirects: Vec::new(),
     };
-    let fits = |word: &ShardStatus| {
-        let body = borsh::to_vec(&PeerRequest::Share(word.clone())).expect("plain data");
+    let fits = |status: &ShardStatus| {
+        let body = borsh::to_vec(&PeerRequest::Share(status.clone())).expect("plain data");
         assert!(body.len() as u64 <= MAX_PEER_BODY, "{} bytes", body.len());
         body.len()
     };
-    let (mut forwarded, mut messages, mut now) = (0, 0, 1000);
+    let (mut forwarded, mut statuses, mut now) = (0, 0, 1000);
     while forwarded < WORKERS {
         now += 30;
-        let word = relay.next_status(now).expect("more to tell");
-        fits(&word);
-        // All wait: each message tells those that come first, until they are answered.
-        let waits: Vec<&String> = word.forwarded.iter().map(|t| &t.heartbeat.worker).collect();
-        let numbers = waits.iter().map(|n| n[3..].parse::<u32>().expect("ours"));
-        let take = |m| (u64::from(m) + 1, Change::Assign(m));
-        let changes: Vec<_> = numbers.clone().map(take).collect();
+        let status = forwarder.next_status(now).expect("more to forward");
+        fits(&status);
+        // All wait: each status forwards those that come first, until they are answered.
+        let waiting: Vec<&String> = status
+            .forwarded
+            .iter()
+            .map(|t| &t.heartbeat.worker)
+            .collect();
+        let numbers = waiting.iter().map(|n| n[3..].parse::<u32>().expect("ours"));
+        let assign = |m| (u64::from(m) + 1, Change::Assign(m));
+        let changes: Vec<_> = numbers.clone().map(assign).collect();
         forwarded += changes.len();
         let names = numbers.map(|m| (m, name(m as usize))).collect();
-        relay.handle_update(
+        forwarder.handle_update(
             now,
-            &down(shard_lease(word.owner_status.number, changes), names),
+            &update(shard_lease(status.owner_status.number, changes), names),
         );
-        messages += 1;
+        statuses += 1;
     }
-    let leaves = (0..WORKERS as u32).map(|m| (10_000 + u64::from(m), Change::Release(m, Some(0))));
+    let releases =
+        (0..WORKERS as u32).map(|m| (10_000 + u64::from(m), Change::Release(m, Some(0))));
     now += 300;
-    let word = relay.next_status(now).expect("time to ask");
-    relay.handle_update(
+    let status = forwarder.next_status(now).expect("due");
+    forwarder.handle_update(
         now,
-        &down(
-            shard_lease(word.owner_status.number, leaves.collect()),
+        &update(
+            shard_lease(status.owner_status.number, releases.collect()),
             Vec::new(),
         ),
     );
     now += 300;
-    let word = relay.next_status(now).expect("time to tell");
-    assert_eq!(word.owner_status.left.len(), WORKERS);
+    let status = forwarder.next_status(now).expect("due");
+    assert_eq!(status.owner_status.left.len(), WORKERS);
     println!(
-        "{messages} messages, {} bytes with all given up",
-        fits(&word)
+        "{statuses} statuses, {} bytes with all released",
+        fits(&status)
     );
 }
 
--- a/tests/shard_owners.rs
+++ b/tests/shard_owners.rs
@@ -1,4 +1,4 @@
-//! A leader's core and a shard owner's relay, message by message, without a network.
+//! A leader's core and a shard owner's heartbeat forwarder, message by message, without a network.
 
 use copperfield::coordination::core::{CancelBegin, Config, Core, Effect, Input, Outcome};
 use copperfield::protocol::JobId;
@@ -19,25 +19,26 @@
 const CANCEL_S: f64 = 40.0;
 const STEP_S: f64 = 0.05;
 
-/// Node 0, which leads, and node 1, where one worker with one running task reports.
-struct Site {
+/// Controller 0, which leads, and controller 1, to which one worker with one running task reports.
+struct Exchange {
     now: f64,
     core: Core,
-    relay: HeartbeatForwarder,
+    forwarder: HeartbeatForwarder,
     worker: Heartbeat,
-    next_report: f64,
-    /// Whether orders reach the worker.
-    reached: bool,
+    next_heartbeat_at: f64,
+    /// Whether commands reach the worker.
+    reachable: bool,
     ticket: u64,
     /// When each answer of the shard owner left.
-    answered: Vec<f64>,
-    /// Those that were told to report to the leader.
-    sent_to_leader: Vec<f64>,
-    message_ids: Vec<(f64, Input)>,
+    answered_at: Vec<f64>,
+    /// When heartbeats were redirected to the leader.
+    redirected_at: Vec<f64>,
+    /// Outcomes of direct messages, and when they reach the leader.
+    outcomes: Vec<(f64, Input)>,
 }
 
-/// A leader that was elected at 0, of one old job.
-fn elected(registry: Vec<StoredRegistryPage>) -> Core {
+/// A leader elected at time 0, with one job from before.
+fn elected_leader(registry: Vec<StoredRegistryPage>) -> Core {
     let cluster = json!({"zones": ["a", "b"], "teams": [{"name": "team"}], "objectives": [],
             "workers": {"report_s": 5.0, "lease_s": LEASE_S, "gang_wait_s": 30.0, "gang_peer_s": 4.0, "cancel_s": CANCEL_S},
             "state": {"rps": 200, "write_rps": 50, "value_kb": 8, "txn_ops": 12}, "cloud": {"rps": 5},
@@ -71,9 +72,9 @@
     }
 }
 
-impl Site {
+impl Exchange {
     fn new() -> Self {
-        let core = elected(Vec::new());
+        let core = elected_leader(Vec::new());
         let task = TaskStatus {
             job: JobId(1),
             task: 0,
@@ -83,30 +84,30 @@
         Self {
             now: 0.0,
             core,
-            relay: HeartbeatForwarder::new(1, 9, 5.0),
+            forwarder: HeartbeatForwarder::new(1, 9, 5.0),
             worker: Heartbeat {
                 tasks: vec![task],
                 ..heartbeat("vm-000001")
             },
-            next_report: 0.0,
-            reached: true,
+            next_heartbeat_at: 0.0,
+            reachable: true,
             ticket: 0,
-            answered: Vec::new(),
-            sent_to_leader: Vec::new(),
-            message_ids: Vec::new(),
+            answered_at: Vec::new(),
+            redirected_at: Vec::new(),
+            outcomes: Vec::new(),
         }
     }
 
-    fn heartbeat(&mut self) -> Heartbeat {
+    fn next_heartbeat(&mut self) -> Heartbeat {
         self.worker.counter += 1;
         self.worker.clone()
     }
 
-    fn act(&mut self, acts: Vec<Action>) {
-        for act in acts {
-            match act {
-                Action::Answer { .. } => self.answered.push(self.now),
-                Action::Redirect { to: Some(0), .. } => self.sent_to_leader.push(self.now),
+    fn record(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Answer { .. } => self.answered_at.push(self.now),
+                Action::Redirect { to: Some(0), .. } => self.redirected_at.push(self.now),
                 Action::Redirect { .. } => {}
             }
         }
@@ -116,28 +117,32 @@
         while self.now < until {
             self.now += STEP_S;
             let ms = (self.now * 1000.0) as u64;
-            if self.now >= self.next_report {
-                self.next_report = self.now + 5.0;
+            if self.now >= self.next_heartbeat_at {
+                self.next_heartbeat_at = self.now + 5.0;
                 self.ticket += 1;
-                let heartbeat = self.heartbeat();
-                let acts = self.relay.handle_heartbeat(ms, self.ticket, heartbeat);
-                self.act(acts);
+                let heartbeat = self.next_heartbeat();
+                let actions = self.forwarder.handle_heartbeat(ms, self.ticket, heartbeat);
+                self.record(actions);
             }
-            let acts = self.relay.tick(ms);
-            self.act(acts);
-            if let Some(word) = self.relay.next_status(ms) {
+            let actions = self.forwarder.tick(ms);
+            self.record(actions);
+            if let Some(word) = self.forwarder.next_status(ms) {
                 inputs.push(Input::ShardStatus { ticket: 0, word });
             }
             let now = self.now;
-            inputs.extend(self.message_ids.extract_if(.., |f| f.0 <= now).map(|f| f.1));
+            inputs.extend(
+                self.outcomes
+                    .extract_if(.., |(at, _)| *at <= now)
+                    .map(|(_, input)| input),
+            );
             self.core.valid_until = self.now + 2.0;
             for effect in self.core.step(self.now, std::mem::take(&mut inputs)) {
                 match effect {
                     Effect::Granted {
                         down: Some(down), ..
                     } => {
-                        let acts = self.relay.handle_update(ms, &down);
-                        self.act(acts);
+                        let actions = self.forwarder.handle_update(ms, &down);
+                        self.record(actions);
                     }
                     Effect::Direct {
                         worker, message_id, ..
@@ -145,8 +150,8 @@
                     | Effect::Inspect {
                         worker, message_id, ..
                     } => {
-                        let outcome = match self.reached {
-                            true => Outcome::Executed(self.heartbeat()),
+                        let outcome = match self.reachable {
+                            true => Outcome::Executed(self.next_heartbeat()),
                             false => Outcome::Unsent,
                         };
                         let input = Input::Direct {
@@ -154,7 +159,7 @@
                             message_id,
                             outcome,
                         };
-                        self.message_ids.push((self.now + 0.5, input));
+                        self.outcomes.push((self.now + 0.5, input));
                     }
                     Effect::Cancel { begin, .. } => {
                         assert!(matches!(begin, CancelBegin::Go { .. }), "{begin:?}");
@@ -172,68 +177,77 @@
     }
 }
 
-/// A shard owner's answer carries no orders. Where none reaches a worker directly, the shard owner would
-/// renew the lease of a task that its user has cancelled for as long as it likes.
+/// A shard owner's answer carries no commands. Where none reaches a worker directly, the shard owner
+/// would renew the lease of a task that its user has cancelled for ever.
 #[test]
-fn a_worker_that_orders_do_not_reach_is_answered_by_no_holder_after_a_cancellation() {
-    let mut site = Site::new();
-    site.run(12.0, Vec::new());
-    assert!(site.answered.len() >= 2, "{:?}", site.answered);
-    site.reached = false;
+fn a_worker_without_commands_is_answered_by_no_shard_owner_after_a_cancellation() {
+    let mut exchange = Exchange::new();
+    exchange.run(12.0, Vec::new());
+    assert!(
+        exchange.answered_at.len() >= 2,
+        "{:?}",
+        exchange.answered_at
+    );
+    exchange.reachable = false;
     let cancel = Input::CancelBegin {
         ticket: 1,
         job: JobId(1),
     };
-    site.run(12.0 + CANCEL_S, vec![cancel]);
-    let last = *site.answered.last().expect("looked at");
+    exchange.run(12.0 + CANCEL_S, vec![cancel]);
+    let last = *exchange.answered_at.last().expect("looked at");
     assert!(
         last + LEASE_S < 12.0 + CANCEL_S - 1.0,
         "{:?}",
-        site.answered
+        exchange.answered_at
     );
-    // There its orders come with the answer.
-    assert!(!site.sent_to_leader.is_empty());
+    // The leader's answers carry commands.
+    assert!(!exchange.redirected_at.is_empty());
 }
 
-/// While all is well it stays where it is, answered at once, and the leader is asked for it once.
+/// Without faults a worker keeps its shard owner, which asks the leader once.
 #[test]
-fn a_held_worker_stays_and_is_answered_at_once() {
-    let mut site = Site::new();
-    site.run(60.0, Vec::new());
-    assert_eq!(site.answered.len(), 12, "{:?}", site.answered);
-    assert!(site.sent_to_leader.is_empty());
-    let waits = |(at, n): (&f64, u32)| at - f64::from(n) * 5.0;
-    let longest = site.answered.iter().zip(0..).map(waits).fold(0.0, f64::max);
-    // The first has to be taken, which the leader is asked for.
-    assert!(longest < 0.7, "{:?}", site.answered);
+fn an_owned_worker_keeps_its_owner_and_is_answered_at_once() {
+    let mut exchange = Exchange::new();
+    exchange.run(60.0, Vec::new());
+    assert_eq!(exchange.answered_at.len(), 12, "{:?}", exchange.answered_at);
+    assert!(exchange.redirected_at.is_empty());
+    let wait_s = |(at, n): (&f64, u32)| at - f64::from(n) * 5.0;
+    let longest = exchange
+        .answered_at
+        .iter()
+        .zip(0..)
+        .map(wait_s)
+        .fold(0.0, f64::max);
+    // The first one waits until the leader has assigned the worker.
+    assert!(longest < 0.7, "{:?}", exchange.answered_at);
 }
 
-/// A leader may be elected before the grants of the last one have ended, if that one's key was
-/// removed. A worker of which nothing is heard may have been answered until then, and what it
-/// may hold starts elsewhere only a lease later.
+/// A leader may be elected before the shard leases of the last one have ended, if that one's key was
+/// removed. A worker that sends nothing may have been answered until then, and the tasks that it may
+/// run start elsewhere only a worker lease later.
 #[test]
-fn leases_count_from_the_end_of_old_grants() {
-    let silent = WorkerRecord {
+fn worker_leases_count_from_the_end_of_old_shard_leases() {
+    let unresponsive = WorkerRecord {
         address: "10.1.0.9:9000".into(),
         machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
         images: Vec::new(),
     };
-    let mut core = elected(vec![StoredRegistryPage {
+    let mut core = elected_leader(vec![StoredRegistryPage {
         page: 0,
         version: 5,
-        workers: Some(vec![("vm-000009".into(), silent)]),
+        workers: Some(vec![("vm-000009".into(), unresponsive)]),
     }]);
     let ttl_s = Tuning::default().leader_ttl_ms as f64 / 1000.0;
-    let mut heard = heartbeat("vm-000002");
+    let mut responsive = heartbeat("vm-000002");
     let (mut now, mut inputs) = (0.0, Vec::new());
     let started = 'days: loop {
         now += STEP_S;
         assert!(now < 60.0, "never started");
-        if heard.counter < (now / 5.0) as u64 + 1 {
-            heard.counter += 1;
-            let heartbeat = heard.clone();
+        if responsive.counter < (now / 5.0) as u64 + 1 {
+            responsive.counter += 1;
+            let heartbeat = responsive.clone();
             inputs.push(Input::Heartbeat {
                 ticket: 1,
                 heartbeat,
@@ -248,7 +262,7 @@
                 }
                 Effect::Direct {
                     worker, commands, ..
-                } if worker == heard.worker && !commands.is_empty() => break 'days now,
+                } if worker == responsive.worker && !commands.is_empty() => break 'days now,
                 _ => {}
             }
         }
--- a/tests/sharding.rs
+++ b/tests/sharding.rs
@@ -1,5 +1,5 @@
-//! Days on which the workers are shared among the controllers, and several of them and of
-//! the workers fail together, or shares move under running work.
+//! Simulated days with sharded workers on which several controllers and workers fail together, or
+//! workers change their shard owner under running work.
 
 mod simulated_cluster;
 
@@ -11,7 +11,7 @@
 
 use simulated_cluster::*;
 
-fn clean(name: &str, seeds: std::ops::Range<u64>, faults: &[(f64, Fault)], loss: f64) {
+fn expect_clean_days(name: &str, seeds: std::ops::Range<u64>, faults: &[(f64, Fault)], loss: f64) {
     for seed in seeds {
         let day = simulate(async {
             let world = site(seed, loss);
@@ -21,14 +21,14 @@
     }
 }
 
-/// A service, a gang and an array run through a fault that is none of theirs: each task is
-/// started once, so none was lost, doubled or stopped. Returns how often workers changed the
-/// node that answers them.
-fn nothing_notices(seed: u64, fault: Fault) -> usize {
+/// Runs a service, a gang and an array through a fault that must not affect them: each task is
+/// started once, so none was lost, duplicated or stopped. Returns how often workers changed the
+/// controller that answers them.
+fn run_work_unaffected_by(seed: u64, fault: Fault) -> usize {
     simulate(async {
         let world = site(seed, 0.0);
         for i in 0..6 {
-            // Enough that the leader's own are no more than a network's fault explains.
+            // So many that the leader's own are no more than a network fault explains.
             let (site, zone) = (&mut world.lock().unwrap().site, ["a", "b"][i % 2]);
             site.add_worker("small", zone, false, 0.0);
         }
@@ -56,42 +56,42 @@
     })
 }
 
-/// Each worker is sent to another node every second.
+/// Each worker switches to another controller every second.
 #[test]
-fn shares_move_under_running_work_and_nothing_notices() {
+fn workers_that_change_owner_every_second_keep_their_tasks() {
     for seed in 400..404 {
-        let moves = nothing_notices(seed, Fault::Scatter(40, 1.0));
+        let moves = run_work_unaffected_by(seed, Fault::Scatter(40, 1.0));
         assert!(moves >= 100, "seed {seed}: {moves} moves");
     }
 }
 
-/// A leader that had lost its workers, and only it, once returned hundreds of good workers for
-/// their replicas' sake: its own questions went unanswered, and their zones were heard by others.
+/// A leader that alone had lost its connections to the workers once released hundreds of good ones:
+/// its own probes were not answered, while other controllers received their heartbeats.
 #[test]
-fn a_leader_that_reaches_no_worker_leads_through_the_others() {
+fn a_leader_without_worker_connections_leads_through_its_relays() {
     for seed in 404..408 {
-        nothing_notices(seed, Fault::PartLeader(20.0));
+        run_work_unaffected_by(seed, Fault::PartLeader(20.0));
     }
 }
 
-/// Workers stay where they report, so that all nodes have some.
+/// Workers stay with the controller that they report to, so that all have some.
 #[test]
-fn every_node_has_a_share() {
+fn every_controller_owns_workers() {
     let by = simulate(async {
         let world = site(410, 0.0);
         play_in(world.clone(), 410, &[], 40.0, 2).await;
         let w = world.lock().unwrap();
         w.answered_by.clone()
     });
-    let mut nodes: Vec<usize> = by.values().filter_map(|b| b.last().copied()).collect();
-    nodes.sort_unstable();
-    nodes.dedup();
-    assert_eq!(nodes.len(), NODES, "{by:?}");
+    let mut controllers: Vec<usize> = by.values().filter_map(|b| b.last().copied()).collect();
+    controllers.sort_unstable();
+    controllers.dedup();
+    assert_eq!(controllers.len(), NODES, "{by:?}");
 }
 
-/// Each message between controllers in turn, or the answer to it, while shares move.
+/// Each message between controllers in turn, or the answer to it, while workers change owner.
 #[test]
-fn each_message_of_a_move_is_lost() {
+fn a_reassignment_survives_the_loss_of_any_one_message() {
     for step in 0..60 {
         for answer in [false, true] {
             let faults = [
@@ -105,10 +105,10 @@
 }
 
 #[test]
-fn holders_and_workers_fail_together() {
+fn shard_owners_and_workers_that_fail_together_break_no_rule() {
     let days: [(&str, &[(f64, Fault)]); 8] = [
         (
-            "two nodes and two machines end at once, in a move",
+            "two controllers and two workers end at once, during reassignments",
             &[
                 (9.5, Fault::Scatter(6, 1.0)),
                 (10.0, Fault::Kill(0)),
@@ -122,7 +122,7 @@
             ],
         ),
         (
-            "a holder and the machines it has, in an outage",
+            "a shard owner and its workers, in a state service outage",
             &[
                 (12.0, Fault::Outage(9.0)),
                 (13.0, Fault::Kill(1)),
@@ -146,7 +146,7 @@
             ],
         ),
         (
-            "holders stand still while shares move",
+            "shard owners are paused during reassignments",
             &[
                 (8.0, Fault::Scatter(40, 1.2)),
                 (9.0, Fault::Freeze(0, 4.0)),
@@ -157,7 +157,7 @@
             ],
         ),
         (
-            "a holder reaches its machines and nobody else, or everybody but machines",
+            "a shard owner reaches its workers and nobody else, or everybody but workers",
             &[
                 (9.0, Fault::Cut(0, "state", 20.0)),
                 (9.0, Fault::Cut(0, "host-1", 20.0)),
@@ -169,7 +169,7 @@
             ],
         ),
         (
-            "restarts at once under moves and silent machines",
+            "restarts at once during reassignments and with unresponsive workers",
             &[
                 (8.0, Fault::Scatter(50, 0.9)),
                 (9.0, Fault::RestartLeaders(6, 0.05)),
@@ -182,7 +182,7 @@
             ],
         ),
         (
-            "orders do not reach machines whose reports are answered",
+            "commands do not reach workers whose heartbeats are answered",
             &[
                 (10.0, Fault::Cut(0, "host-1", 30.0)),
                 (10.0, Fault::Cut(0, "vm-000001", 30.0)),
@@ -191,7 +191,7 @@
             ],
         ),
         (
-            "a mass loss in a move, and everybody ends in it",
+            "a mass loss during reassignments, in which all controllers end",
             &[
                 (9.0, Fault::Scatter(30, 0.8)),
                 (10.0, Fault::Die(1)),
@@ -205,14 +205,14 @@
         ),
     ];
     for (name, faults) in days {
-        clean(name, 430..434, faults, 0.004);
+        expect_clean_days(name, 430..434, faults, 0.004);
     }
 }
 
-/// Nodes of which some share and some do not, as while an operator restarts them one by one
-/// with other settings.
+/// Sharding is on at some controllers and off at others, as while an operator restarts them one by
+/// one with other settings.
 #[test]
-fn some_nodes_share_and_some_do_not() {
+fn mixed_sharding_settings_break_no_rule() {
     for on in 0..8u32 {
         let faults = [
             (8.0, Fault::Scatter(20, 1.5)),
@@ -224,44 +224,58 @@
             let world = site(440, 0.0);
             for i in 0..NODES {
                 kill(&world, i);
-                let share = on & (1 << i) > 0;
-                world.lock().unwrap().shares[i] = if share { Switch::On } else { Switch::Off };
+                let is_on = on & (1 << i) > 0;
+                world.lock().unwrap().shares[i] = if is_on { Switch::On } else { Switch::Off };
                 boot(&world, i, 440 + i as u64);
             }
             play_in(world, 440, &faults, 150.0, ROUNDS).await
         });
-        expect_clean_day(&format!("shared by {on:03b}"), 440, ROUNDS, day);
+        expect_clean_day(&format!("sharding on at {on:03b}"), 440, ROUNDS, day);
     }
 }
 
-/// Twenty tasks that last, so that every worker has some, and the rules that were broken.
-/// Workers that others than the leader speak with are cut off from everything, so often and
-/// for so long.
-fn with_long_work(seed: u64, cuts: &'static [(f64, f64)], faults: &[(f64, Fault)]) -> Vec<String> {
+/// A worker is cut off from all controllers.
+struct Cut {
+    at_s: f64,
+    for_s: f64,
+}
+
+/// Cuts the workers of shard owners off from everything, at these times and for so long each, while
+/// twenty long tasks keep every worker busy. Returns the rules that were broken.
+fn rules_broken_with_long_tasks(
+    seed: u64,
+    cuts: &'static [Cut],
+    faults: &[(f64, Fault)],
+) -> Vec<String> {
     simulate(async {
         let world = site(seed, 0.0);
         let sweep = job(900, "sweep", 20, json!({"cpus": 1.0}));
         let name = "wk-000900".to_string();
         tokio::spawn(user(world.clone(), name, sweep, 60.0, 0.5, None));
-        let cut = world.clone();
+        let cluster = world.clone();
         tokio::spawn(async move {
-            sleep(Duration::from_secs_f64(cuts[0].0 - 0.1)).await;
-            let leads = leader(&cut).expect("a leader");
-            let held = |(name, node): (&String, &usize)| {
+            sleep(Duration::from_secs_f64(cuts[0].at_s - 0.1)).await;
+            let leads = leader(&cluster).expect("a leader");
+            let owned_by_other = |(name, controller): (&String, &usize)| {
                 let number: usize = name[3..].parse().expect("our own names");
-                (*node != leads && number <= 6).then_some(number)
+                (*controller != leads && number <= 6).then_some(number)
             };
-            let held: Vec<usize> = cut
+            let owned: Vec<usize> = cluster
                 .lock()
                 .unwrap()
                 .targets
                 .iter()
-                .filter_map(held)
+                .filter_map(owned_by_other)
                 .collect();
-            for m in held {
-                for (at, for_s) in cuts {
-                    let fault = Fault::CutWorker(m, *for_s);
-                    tokio::spawn(inflict(cut.clone(), at - cuts[0].0 + 0.1, fault, seed));
+            for worker in owned {
+                for cut in cuts {
+                    let fault = Fault::CutWorker(worker, cut.for_s);
+                    tokio::spawn(inflict(
+                        cluster.clone(),
+                        cut.at_s - cuts[0].at_s + 0.1,
+                        fault,
+                        seed,
+                    ));
                 }
             }
         });
@@ -270,30 +284,44 @@
     })
 }
 
-/// What a shard owner answered last is in the record of silent workers: else the next leader takes
-/// leases for over that a shard owner had renewed. The last leader is away for longer than a TTL, as
-/// it would not know for whom it had vouched.
+/// The fencing record contains what shard owners answered last: else the next leader takes leases for
+/// expired that a shard owner had renewed. The last leader is away for longer than a TTL, as it would
+/// not know which votes it had given.
 #[test]
-fn the_record_knows_what_holders_answered() {
+fn the_fencing_record_contains_the_last_answers_of_shard_owners() {
+    const CUTS: &[Cut] = &[Cut {
+        at_s: 10.0,
+        for_s: 25.0,
+    }];
     for step in 0..12 {
         let at = 12.4 + 0.1 * f64::from(step);
-        let broken = with_long_work(450, &[(10.0, 25.0)], &[(at, Fault::RestartLeaders(1, 3.0))]);
+        let broken =
+            rules_broken_with_long_tasks(450, CUTS, &[(at, Fault::RestartLeaders(1, 3.0))]);
         assert!(broken.is_empty(), "step {step}: {broken:#?}");
     }
 }
 
-/// Workers on the record come back for a second while the leader cannot store their removal:
-/// no shard owner may answer them. Planted, the next leader took leases for over that were renewed,
-/// where the shard owner ended as well and could not tell.
+/// Fenced workers are reachable again for a second while the leader cannot store their release: no
+/// shard owner may answer them. With that mistake planted, the next leader took leases for expired
+/// that were renewed, where the shard owner ended as well and could not forward anything.
 #[test]
-fn no_holder_breaks_the_promise_of_the_record() {
+fn no_shard_owner_answers_a_fenced_worker() {
+    const CUTS: &[Cut] = &[
+        Cut {
+            at_s: 10.0,
+            for_s: 4.0,
+        },
+        Cut {
+            at_s: 15.1,
+            for_s: 20.0,
+        },
+    ];
     for step in 0..16u32 {
-        let cuts = &[(10.0, 4.0), (15.1, 20.0)];
         let faults = [
             (13.7 + 0.04 * f64::from(step / 2), Fault::CutLeader(20.0)),
             (15.0, Fault::KillFollower(step as usize % 2)),
         ];
-        let broken = with_long_work(460, cuts, &faults);
+        let broken = rules_broken_with_long_tasks(460, CUTS, &faults);
         assert!(broken.is_empty(), "step {step}: {broken:#?}");
     }
 }
