--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -28,11 +28,14 @@
     Admin(AdminRequest),
     /// Do you not lead? Then no word that was given until now binds you.
     Idle,
-    /// From who speaks with some of the workers to the leader.
+    /// To the leader: the status of a shard owner. Answered by [`PeerReply::Granted`].
     Share(ShardStatus),
-    /// From the leader: orders for workers that the node asked speaks with.
+    /// From the leader: commands for workers that the receiver is to relay. Answered by
+    /// [`PeerReply::Relaying`].
     RelayCommands {
+        /// The leader's fencing token.
         token: u64,
+        /// One message for each worker.
         messages: Vec<RelayedCommand>,
     },
     /// This node leads now: whoever speaks with workers tells it what they said.
@@ -41,59 +44,66 @@
     TransferLeadership { token: u64 },
 }
 
-/// What a shard owner tells the leader: it asks for a grant and passes on what its workers said.
+/// What a shard owner sends to the leader: it requests a lease and forwards its workers' heartbeats.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct ShardStatus {
-    /// Its place among the names of all nodes in their order.
+    /// The sender's index among all controllers, ordered by name.
     pub from: u32,
+    /// The state of its shard.
     pub owner_status: OwnerStatus,
+    /// Heartbeats that the leader has not received, or whose workers wait for an answer.
     pub forwarded: Vec<ForwardedHeartbeat>,
-    /// What became of messages that it carried, by the leader's number for each.
+    /// The outcomes of messages that it relayed, by the leader's number for each.
     pub outcomes: Vec<(u64, Outcome)>,
-    /// It has nothing more to tell now.
+    /// Everything that it had to send is in this status.
     pub all: bool,
 }
 
-/// A report that came to a shard owner.
+/// A heartbeat that a shard owner received.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct ForwardedHeartbeat {
+    /// The heartbeat as the worker sent it.
     pub heartbeat: Heartbeat,
     /// How long ago it came in, in ms.
     pub age_ms: u64,
-    /// Its worker waits for an answer, and this node may not give it.
+    /// Its worker waits for an answer, which the shard owner may not give.
     pub waits: bool,
 }
 
-/// The leader's answer to a shard owner.
+/// The leader's answer to a [`ShardStatus`].
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ShardUpdate {
+    /// The lease, with the changes to the shard.
     pub shard_lease: ShardLease,
-    /// The names of the workers that its changes are about.
+    /// The numbers and names of the workers that the changes assign.
     pub names: Vec<(u32, String)>,
-    /// Workers that are to report to another node, by its place.
+    /// Workers that are redirected to another controller, by its index.
     pub redirects: Vec<(String, u32)>,
 }
 
-/// A message to a worker that a shard owner carries for the leader.
+/// A message to a worker that another controller relays for the leader.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct RelayedCommand {
+    /// The leader's number for the message.
     pub message_id: u64,
+    /// Where the worker accepts commands.
     pub address: String,
+    /// The incarnation of the worker that the commands are for.
     pub incarnation: u64,
-    /// Without any it is a question: an answer that is late is not waited for.
+    /// Without any it is a probe, whose answer is waited for only briefly.
     pub commands: Vec<Command>,
 }
 
-/// The end of a message to a worker.
+/// The outcome of a message to a worker.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Outcome {
     /// Surely not delivered.
     Unsent,
-    /// Executed, with the report that followed.
+    /// Executed, with the heartbeat that followed.
     Executed(Heartbeat),
     /// Answered, but nothing was executed.
     Rejected(Option<Heartbeat>),
-    /// It may still be carried out.
+    /// It may still be executed.
     Unknown,
 }
 
@@ -140,8 +150,9 @@
     Idle {
         up_ms: u64,
     },
+    /// The leader's answer to a shard owner.
     Granted(ShardUpdate),
-    /// The messages are on their way; what became of them comes with what a shard owner tells.
+    /// The messages are on their way; their outcomes come with the shard owner's statuses.
     Relaying,
     /// It does not vouch: the state service serves it, and has the key of the leader that asks.
     ReadyForTransfer,
