--- a/crates/sharding/src/coordinator.rs
+++ b/crates/sharding/src/coordinator.rs
@@ -229,7 +229,10 @@
         let Some(assignment) = self.table.assignment(worker) else {
             return Route::Wait;
         };
-        let state = self.workers.get_mut(&worker).expect("as in the table");
+        let state = self
+            .workers
+            .get_mut(&worker)
+            .expect("every worker of the table has a state");
         state.last_heartbeat_at = now;
         let permission = match permission {
             AnswerPermission::AnyController if now < state.leader_only_until => {
@@ -334,7 +337,10 @@
         let is_unanswered = state.unanswered_commands >= MAX_UNANSWERED_COMMANDS;
         let is_alive = now - state.last_heartbeat_at < 2 * self.heartbeat_interval_ms;
         if is_unanswered && is_alive && self.shard_owner(worker).is_some() {
-            let state = self.workers.get_mut(&worker).expect("looked up above");
+            let state = self
+                .workers
+                .get_mut(&worker)
+                .expect("the worker was found above");
             state.unanswered_commands = 0;
             state.leader_only_until = now + LEADER_ONLY_MS;
             self.revoke(worker);
--- a/crates/sharding/src/table.rs
+++ b/crates/sharding/src/table.rs
@@ -172,7 +172,7 @@
     }
 
     /// Revokes all workers of a controller that is unreachable. They are free once its lease has
-    /// ended; any lease that it gets later tells it first to release them.
+    /// ended; any later lease carries the releases.
     pub fn revoke_all(&mut self, controller: ControllerIndex) {
         let is_owned = |assignment: &Assignment| matches!(assignment, Assignment::Owned { owner, .. } if *owner == controller);
         let owned: Vec<WorkerNumber> = self
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -235,17 +235,25 @@
     };
 }
 
-impl copperfield_model_checker::World for World {
-    fn next(&self) -> Vec<(&'static str, World)> {
-        let mut successors = Vec::new();
-        let mut then = |action, apply: &dyn Fn(&mut World) -> bool| {
-            let mut w = self.clone();
-            if apply(&mut w) {
-                successors.push((action, w));
-            }
-        };
-        let mistake = self.mistake;
-        then("time passes", &|w| {
+/// The worlds that one action leads to.
+struct Successors<'a> {
+    world: &'a World,
+    found: Vec<(&'static str, World)>,
+}
+
+impl Successors<'_> {
+    /// Adds the world after this action, unless it is impossible now.
+    fn then(&mut self, action: &'static str, apply: impl Fn(&mut World) -> bool) {
+        let mut world = self.world.clone();
+        if apply(&mut world) {
+            self.found.push((action, world));
+        }
+    }
+
+    /// Time passes; the leader renews, ends, is elected, or revokes the worker.
+    fn add_leader_actions(&mut self) {
+        let mistake = self.world.mistake;
+        self.then("time passes", |w| {
             w.now += STEP_MS;
             let (now, valid) = (w.now, w.valid_leader().is_some());
             if let Some(l) = w.leader.as_mut().filter(|_| valid) {
@@ -253,7 +261,7 @@
             }
             now <= HORIZON_MS
         });
-        then("the leader renews", &|w| {
+        self.then("the leader renews", |w| {
             let until = w.now + LEADER_TTL_MS;
             let renews = w.valid_leader().is_some_and(|l| l.valid_until < until);
             if let Some(l) = w.leader.as_mut().filter(|_| renews) {
@@ -262,18 +270,18 @@
             }
             renews
         });
-        then("the leader ends", &|w| {
+        self.then("the leader ends", |w| {
             w.crashes_left = w.crashes_left.wrapping_sub(1);
             w.leader.take().is_some() && w.crashes_left < 9
         });
-        then("the next is elected", &|w| {
+        self.then("the next is elected", |w| {
             let can_elect = w.leader.is_none() && w.now >= w.key_expires_at;
             if can_elect {
                 w.elect(w.now);
             }
             can_elect
         });
-        then("the next is elected at once", &|w| {
+        self.then("the next is elected at once", |w| {
             let can_elect = w.leader.is_none() && w.now < w.key_expires_at;
             if can_elect {
                 let old_leases_end = match mistake {
@@ -284,7 +292,7 @@
             }
             can_elect
         });
-        then("the worker is revoked", &|w| {
+        self.then("the worker is revoked", |w| {
             let valid = w.valid_leader().is_some() && w.reassignments_left > 0;
             let Some(l) = w.leader.as_mut().filter(|_| valid) else {
                 return false;
@@ -294,122 +302,143 @@
             l.table.reassign(WORKER, None);
             before != l.table
         });
-        for n in 0..2 {
-            then(of!(n, "is assigned the worker"), &|w| {
-                if w.valid_leader().is_none() || w.reassignments_left == 0 {
-                    return false;
-                }
-                w.reassignments_left -= 1;
-                let l = w.leader.as_mut().expect("valid");
-                let before = l.table.clone();
-                l.table.reassign(WORKER, Some(n as u32));
-                if mistake == Mistake::AssignsBeforeRelease {
-                    l.table.expire_releases(u64::MAX / 2);
+    }
+
+    /// The leader assigns the worker to a controller.
+    fn add_assignment(&mut self, n: usize) {
+        let mistake = self.world.mistake;
+        self.then(of!(n, "is assigned the worker"), |w| {
+            if w.valid_leader().is_none() || w.reassignments_left == 0 {
+                return false;
+            }
+            w.reassignments_left -= 1;
+            let l = w.leader.as_mut().expect("valid");
+            let before = l.table.clone();
+            l.table.reassign(WORKER, Some(n as u32));
+            if mistake == Mistake::AssignsBeforeRelease {
+                l.table.expire_releases(u64::MAX / 2);
+            }
+            before != l.table
+        });
+    }
+
+    /// A controller sends a status or restarts.
+    fn add_process_actions(&mut self, n: usize) {
+        let mistake = self.world.mistake;
+        self.then(of!(n, "sends a status"), |w| {
+            let now = w.now;
+            let controller = &mut w.controllers[n];
+            if w.statuses_left == 0 || controller.statuses.len() == 2 {
+                return false;
+            }
+            w.statuses_left -= 1;
+            let sent = SentStatus {
+                status: controller.shard_owner.next_status(now, 3),
+                last_answer: controller.last_answer,
+            };
+            controller.statuses.push(sent);
+            true
+        });
+        self.then(of!(n, "restarts"), |w| {
+            w.crashes_left = w.crashes_left.wrapping_sub(1);
+            let controller = &mut w.controllers[n];
+            if mistake != Mistake::ReusesProcessIdentity {
+                controller.process += 2;
+            }
+            controller.shard_owner = ShardOwner::new(controller.process);
+            if mistake == Mistake::ReusesProcessIdentity {
+                // Or its statuses would be taken for old ones.
+                for _ in 0..8 {
+                    controller.shard_owner.next_status(0, 1);
                 }
-                before != l.table
+            }
+            controller.heartbeat = None;
+            controller.last_answer = None;
+            w.crashes_left < 9
+        });
+    }
+
+    /// A controller reads a heartbeat or answers it.
+    fn add_heartbeat_actions(&mut self, n: usize) {
+        let mistake = self.world.mistake;
+        self.then(of!(n, "reads a heartbeat"), |w| {
+            let now = w.now;
+            if w.heartbeats_left == 0 || w.controllers[n].heartbeat.is_some() {
+                return false;
+            }
+            w.heartbeats_left -= 1;
+            if now >= w.leased_from + WORKER_LEASE_MS {
+                w.leased_from = now;
+                w.holds_tasks = false;
+                w.answers.clear();
+            }
+            let token = w.answering_token(n);
+            w.controllers[n].heartbeat = Some(PendingHeartbeat {
+                received_at: now,
+                token,
             });
-            then(of!(n, "sends a status"), &|w| {
-                let now = w.now;
-                let controller = &mut w.controllers[n];
-                if w.statuses_left == 0 || controller.statuses.len() == 2 {
-                    return false;
-                }
-                w.statuses_left -= 1;
-                let sent = SentStatus {
-                    status: controller.shard_owner.next_status(now, 3),
-                    last_answer: controller.last_answer,
-                };
-                controller.statuses.push(sent);
+            token.is_some()
+        });
+        self.then(of!(n, "answers"), |w| {
+            let now = w.now;
+            let controller = &mut w.controllers[n];
+            let Some(PendingHeartbeat {
+                received_at,
+                token: Some(token),
+            }) = controller.heartbeat.take()
+            else {
+                return false;
+            };
+            let may_answer = controller
+                .shard_owner
+                .record_answer(WORKER, received_at, now);
+            if may_answer || mistake == Mistake::AnswersWithoutRecheck {
+                controller.last_answer = Some(received_at);
+                w.answers.push(Answer {
+                    token,
+                    sent_at: received_at,
+                });
+            }
+            true
+        });
+    }
+
+    /// A status or a lease of a controller is delivered, duplicated or lost.
+    fn add_deliveries(&mut self, n: usize) {
+        for i in 0..self.world.controllers[n].statuses.len() {
+            let action = match i {
+                0 => of!(n, "has a status delivered"),
+                _ => of!(n, "has a status delivered out of order"),
+            };
+            self.then(action, |w| {
+                let sent = w.controllers[n].statuses.remove(i);
+                w.deliver_status(n, sent);
                 true
             });
-            then(of!(n, "restarts"), &|w| {
-                w.crashes_left = w.crashes_left.wrapping_sub(1);
-                let controller = &mut w.controllers[n];
-                if mistake != Mistake::ReusesProcessIdentity {
-                    controller.process += 2;
-                }
-                controller.shard_owner = ShardOwner::new(controller.process);
-                if mistake == Mistake::ReusesProcessIdentity {
-                    // Or its statuses would be taken for old ones.
-                    for _ in 0..8 {
-                        controller.shard_owner.next_status(0, 1);
-                    }
-                }
-                controller.heartbeat = None;
-                controller.last_answer = None;
-                w.crashes_left < 9
+            self.then(of!(n, "has a status duplicated"), |w| {
+                w.duplicates_left = w.duplicates_left.wrapping_sub(1);
+                let sent = w.controllers[n].statuses[i].clone();
+                w.deliver_status(n, sent);
+                w.duplicates_left < 9
             });
-            then(of!(n, "reads a heartbeat"), &|w| {
-                let now = w.now;
-                if w.heartbeats_left == 0 || w.controllers[n].heartbeat.is_some() {
-                    return false;
-                }
-                w.heartbeats_left -= 1;
-                if now >= w.leased_from + WORKER_LEASE_MS {
-                    w.leased_from = now;
-                    w.holds_tasks = false;
-                    w.answers.clear();
-                }
-                let token = w.answering_token(n);
-                w.controllers[n].heartbeat = Some(PendingHeartbeat {
-                    received_at: now,
-                    token,
-                });
-                token.is_some()
+        }
+        for i in 0..self.world.controllers[n].leases.len() {
+            self.then(of!(n, "receives a lease"), |w| {
+                let lease = w.controllers[n].leases.remove(i);
+                w.deliver_lease(n, lease);
+                true
             });
-            then(of!(n, "answers"), &|w| {
-                let now = w.now;
-                let controller = &mut w.controllers[n];
-                let Some(PendingHeartbeat {
-                    received_at,
-                    token: Some(token),
-                }) = controller.heartbeat.take()
-                else {
-                    return false;
-                };
-                let may_answer = controller
-                    .shard_owner
-                    .record_answer(WORKER, received_at, now);
-                if may_answer || mistake == Mistake::AnswersWithoutRecheck {
-                    controller.last_answer = Some(received_at);
-                    w.answers.push(Answer {
-                        token,
-                        sent_at: received_at,
-                    });
-                }
+            self.then(of!(n, "loses a lease"), |w| {
+                w.controllers[n].leases.remove(i);
                 true
             });
-            for i in 0..self.controllers[n].statuses.len() {
-                let action = match i {
-                    0 => of!(n, "status arrives"),
-                    _ => of!(n, "status arrives out of order"),
-                };
-                then(action, &|w| {
-                    let sent = w.controllers[n].statuses.remove(i);
-                    w.deliver_status(n, sent);
-                    true
-                });
-                then(of!(n, "status arrives, and will arrive again"), &|w| {
-                    w.duplicates_left = w.duplicates_left.wrapping_sub(1);
-                    let sent = w.controllers[n].statuses[i].clone();
-                    w.deliver_status(n, sent);
-                    w.duplicates_left < 9
-                });
-            }
-            for i in 0..self.controllers[n].leases.len() {
-                then(of!(n, "receives a lease"), &|w| {
-                    let lease = w.controllers[n].leases.remove(i);
-                    w.deliver_lease(n, lease);
-                    true
-                });
-                then(of!(n, "loses a lease"), &|w| {
-                    w.controllers[n].leases.remove(i);
-                    true
-                });
-            }
         }
-        for i in 0..self.answers.len() {
-            then("an answer arrives", &|w| {
+    }
+
+    /// An answer reaches the worker.
+    fn add_answer_arrivals(&mut self) {
+        for i in 0..self.world.answers.len() {
+            self.then("an answer arrives", |w| {
                 let Answer { token, sent_at } = w.answers.remove(i);
                 if token >= w.token_seen && w.now < w.leased_from + WORKER_LEASE_MS {
                     w.token_seen = token;
@@ -418,7 +447,12 @@
                 true
             });
         }
-        then("the lease is taken for expired", &|w| {
+    }
+
+    /// The leader takes the worker's lease for expired.
+    fn add_lease_expiry(&mut self) {
+        let mistake = self.world.mistake;
+        self.then("the lease is taken for expired", |w| {
             let now = w.now;
             if w.valid_leader().is_none() {
                 return false;
@@ -433,7 +467,25 @@
             l.lease_expired = expired;
             expired
         });
-        successors
+    }
+}
+
+impl copperfield_model_checker::World for World {
+    fn next(&self) -> Vec<(&'static str, World)> {
+        let mut successors = Successors {
+            world: self,
+            found: Vec::new(),
+        };
+        successors.add_leader_actions();
+        for n in 0..2 {
+            successors.add_assignment(n);
+            successors.add_process_actions(n);
+            successors.add_heartbeat_actions(n);
+            successors.add_deliveries(n);
+        }
+        successors.add_answer_arrivals();
+        successors.add_lease_expiry();
+        successors.found
     }
 
     fn broken(&self) -> bool {
@@ -449,7 +501,7 @@
 const ASSIGNED: [&str; 4] = [
     "controller 0 is assigned the worker",
     "controller 0 sends a status",
-    "controller 0 status arrives",
+    "controller 0 has a status delivered",
     "controller 0 receives a lease",
 ];
 /// The worker is reassigned from controller 0 to controller 1.
@@ -465,17 +517,17 @@
 const REVOKED: [&str; 6] = [
     "the worker is revoked",
     "controller 0 sends a status",
-    "controller 0 status arrives",
+    "controller 0 has a status delivered",
     "controller 0 receives a lease",
     "controller 0 sends a status",
-    "controller 0 status arrives",
+    "controller 0 has a status delivered",
 ];
 /// Controller 0 requests that its lease be renewed, and receives it.
 const RENEWED: [&str; 5] = [
     "time passes",
     "the leader renews",
     "controller 0 sends a status",
-    "controller 0 status arrives",
+    "controller 0 has a status delivered",
     "controller 0 receives a lease",
 ];
 
@@ -483,7 +535,7 @@
 const LATE_LEASE: [&str; 16] = [
     "controller 0 is assigned the worker",
     "controller 0 sends a status",
-    "controller 0 status arrives",
+    "controller 0 has a status delivered",
     "controller 0 receives a lease",
     "time passes",
     "controller 0 reads a heartbeat",
@@ -491,7 +543,7 @@
     "an answer arrives",
     "the leader renews",
     "controller 0 sends a status",
-    "controller 0 status arrives",
+    "controller 0 has a status delivered",
     "time passes",
     "controller 0 reads a heartbeat",
     "controller 0 answers",
@@ -577,11 +629,11 @@
                 ],
                 &[
                     "controller 0 sends a status",
-                    "controller 0 status arrives out of order",
+                    "controller 0 has a status delivered out of order",
                 ],
                 &[
                     "controller 0 receives a lease",
-                    "controller 0 status arrives",
+                    "controller 0 has a status delivered",
                     "controller 0 loses a lease",
                 ],
                 &REASSIGNED,
