--- a/src/transport/rate_limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -1,45 +1,73 @@
-//! Token buckets that keep a node under its share of a published limit.
-
-use std::sync::Mutex;
+//! A token bucket that keeps a controller under its share of a published limit.
+//!
+//! Crates for rate limits serve requests in order of arrival. Here the urgent ones go first: each
+//! [`Urgency`] leaves a part of the bucket to those above it, a lease renewal may take the bucket
+//! below zero, and the server asks for the [backlog](RateLimiter::backlog) before it accepts more.
+//! Time is tokio's, so that tests run in simulated time.
+
+use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-use tokio::time::Instant;
+use tokio::time::{Instant, sleep};
 
-/// Who may still spend when little is left.
+/// Who may still take tokens when few are left.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
     /// Housekeeping: leaves half of the bucket to others.
     Low,
     /// Users waiting for an answer.
     Normal,
-    /// What rules hang on: terminal states, a cancellation.
+    /// What service levels depend on: terminal states, a cancellation.
     High,
     /// Lease renewals: never wait.
     Renewal,
 }
 
-/// The part of the bucket that users leave to what is urgent.
+/// The part of the bucket that requests of low urgency leave to others.
+const LOW_RESERVE: f64 = 0.5;
+/// The part of the bucket that users leave to more urgent requests.
 const NORMAL_RESERVE: f64 = 0.2;
+/// A request that waits looks at the bucket again after at least so long,
+const MIN_WAIT_S: f64 = 0.001;
+/// and at most so long, since others may have left the queue.
+const MAX_WAIT_S: f64 = 1.0;
+
+impl Urgency {
+    /// The tokens that a request of this urgency leaves in a bucket of `burst` tokens.
+    fn reserve(self, burst: f64) -> f64 {
+        match self {
+            Self::Low => burst * LOW_RESERVE,
+            Self::Normal => burst * NORMAL_RESERVE,
+            Self::High => 0.0,
+            Self::Renewal => f64::NEG_INFINITY,
+        }
+    }
+}
 
 #[derive(Debug)]
 struct TokenBucket {
     tokens: f64,
-    at: Instant,
-    /// What is waited for, in tokens.
-    wanted: f64,
+    refilled_at: Instant,
+    /// The tokens that requests in the queue wait for.
+    queued: f64,
 }
 
+/// Holds requests to a rate, the urgent ones first.
 #[derive(Debug)]
 pub struct RateLimiter {
+    /// Tokens a second.
     rate: f64,
+    /// Size of the bucket.
     burst: f64,
     bucket: Mutex<TokenBucket>,
 }
 
 impl RateLimiter {
+    /// `rate` tokens a second, and a bucket that fills in `burst_s`.
+    ///
     /// At first it holds what is kept for urgent requests and nothing more: a process that is
-    /// started anew does not spend what the one before it has spent already, so however often that
-    /// happens a node takes no more for its users than one process would.
+    /// restarted must not spend again what the one before it has spent, so that a controller
+    /// takes no more for its users than one process would, however often it restarts.
     pub fn new(rate: f64, burst_s: f64) -> Self {
         let burst = (rate * burst_s).max(1.0);
         Self {
@@ -47,142 +75,71 @@
             burst,
             bucket: Mutex::new(TokenBucket {
                 tokens: burst * NORMAL_RESERVE,
-                at: Instant::now(),
-                wanted: 0.0,
+                refilled_at: Instant::now(),
+                queued: 0.0,
             }),
         }
     }
 
-    /// Takes `cost` tokens or says how long to wait for them.
-    fn take(&self, cost: f64, urgency: Urgency) -> Result<(), Duration> {
-        let mut bucket = self.bucket.lock().expect("no panic while held");
-        let now = Instant::now();
-        let passed = now.duration_since(bucket.at).as_secs_f64();
-        bucket.tokens = (bucket.tokens + passed * self.rate).min(self.burst);
-        bucket.at = now;
-        let reserve = match urgency {
-            Urgency::Low => self.burst * 0.5,
-            Urgency::Normal => self.burst * NORMAL_RESERVE,
-            Urgency::High => 0.0,
-            Urgency::Renewal => f64::NEG_INFINITY,
-        };
-        // A cost above the bucket's size must pass some time: let it go at a full bucket.
-        let wanted = (cost + reserve).min(self.burst);
-        if bucket.tokens >= wanted {
-            bucket.tokens -= cost;
-            return Ok(());
-        }
-        let wait = (wanted - bucket.tokens) / self.rate;
-        Err(Duration::from_secs_f64(wait.clamp(0.001, 1.0)))
-    }
-
+    /// Takes `cost` tokens, and waits for them if need be.
     pub async fn spend(&self, cost: f64, urgency: Urgency) {
-        let Err(mut wait) = self.take(cost, urgency) else {
+        let Err(mut wait) = self.try_take(cost, urgency) else {
             return;
         };
-        let _place = Place::take(self, cost);
+        let _queued = QueuedCost::add(self, cost);
         loop {
-            tokio::time::sleep(wait).await;
-            match self.take(cost, urgency) {
+            sleep(wait).await;
+            match self.try_take(cost, urgency) {
                 Ok(()) => return,
                 Err(longer) => wait = longer,
             }
         }
     }
 
-    /// How long it takes to serve what waits already.
+    /// How long it takes to serve the requests that wait now.
     pub fn backlog(&self) -> Duration {
-        let bucket = self.bucket.lock().expect("no panic while held");
-        Duration::from_secs_f64((bucket.wanted / self.rate).max(0.0))
+        Duration::from_secs_f64((self.lock().queued / self.rate).max(0.0))
     }
-}
-
-/// A place in the line, given up when served or when the wait is broken off.
-struct Place<'a> {
-    budget: &'a RateLimiter,
-    cost: f64,
-}
 
-impl<'a> Place<'a> {
-    fn take(budget: &'a RateLimiter, cost: f64) -> Self {
-        let mut bucket = budget.bucket.lock().expect("no panic while held");
-        bucket.wanted += cost;
-        drop(bucket);
-        Self { budget, cost }
+    /// Takes `cost` tokens or returns how long to wait for them.
+    fn try_take(&self, cost: f64, urgency: Urgency) -> Result<(), Duration> {
+        let mut bucket = self.lock();
+        let now = Instant::now();
+        let passed = now.duration_since(bucket.refilled_at).as_secs_f64();
+        bucket.tokens = (bucket.tokens + passed * self.rate).min(self.burst);
+        bucket.refilled_at = now;
+        // A cost above the bucket's size must pass some time: let it go at a full bucket.
+        let needed = (cost + urgency.reserve(self.burst)).min(self.burst);
+        if bucket.tokens >= needed {
+            bucket.tokens -= cost;
+            return Ok(());
+        }
+        let wait_s = (needed - bucket.tokens) / self.rate;
+        Err(Duration::from_secs_f64(
+            wait_s.clamp(MIN_WAIT_S, MAX_WAIT_S),
+        ))
     }
-}
 
-impl Drop for Place<'_> {
-    fn drop(&mut self) {
-        let mut bucket = self.budget.bucket.lock().expect("no panic while held");
-        bucket.wanted -= self.cost;
+    fn lock(&self) -> MutexGuard<'_, TokenBucket> {
+        self.bucket.lock().expect("no panic while held")
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[tokio::test(start_paused = true)]
-    async fn the_backlog_is_what_waits_and_has_not_given_up() {
-        let budget = std::sync::Arc::new(RateLimiter::new(10.0, 1.0));
-        tokio::time::sleep(Duration::from_secs(1)).await;
-        let waiting: Vec<_> = (0..40)
-            .map(|_| {
-                let budget = budget.clone();
-                tokio::spawn(async move { budget.spend(1.0, Urgency::High).await })
-            })
-            .collect();
-        tokio::task::yield_now().await;
-        tokio::time::sleep(Duration::from_millis(1)).await;
-        assert_eq!(budget.backlog().as_secs_f64(), 3.0, "30 beyond the burst");
-        waiting.iter().for_each(tokio::task::JoinHandle::abort);
-        tokio::time::sleep(Duration::from_millis(1)).await;
-        assert_eq!(budget.backlog(), Duration::ZERO);
-    }
+/// The cost of a request in the queue, until it is served or no longer waited for.
+struct QueuedCost<'a> {
+    limiter: &'a RateLimiter,
+    cost: f64,
+}
 
-    #[tokio::test(start_paused = true)]
-    async fn renewals_pass_while_the_rest_is_held_to_the_rate() {
-        let budget = RateLimiter::new(10.0, 1.0);
-        tokio::time::sleep(Duration::from_secs(1)).await;
-        let start = Instant::now();
-        for _ in 0..30 {
-            budget.spend(1.0, Urgency::High).await;
-        }
-        let spent = start.elapsed().as_secs_f64();
-        assert!(
-            (1.9..2.2).contains(&spent),
-            "20 beyond the burst at 10/s: {spent}"
-        );
-        let before = Instant::now();
-        budget.spend(1.0, Urgency::Renewal).await;
-        assert_eq!(before.elapsed(), Duration::ZERO);
-        budget.spend(1.0, Urgency::Low).await;
-        assert!(
-            before.elapsed() > Duration::from_millis(600),
-            "low urgency leaves half"
-        );
+impl<'a> QueuedCost<'a> {
+    fn add(limiter: &'a RateLimiter, cost: f64) -> Self {
+        limiter.lock().queued += cost;
+        Self { limiter, cost }
     }
+}
 
-    /// Five times a second five controllers once had a full bucket each: 25 times the burst.
-    #[tokio::test(start_paused = true)]
-    async fn processes_that_are_started_over_and_over_spend_no_more_than_one() {
-        let start = Instant::now();
-        let mut spent = 0;
-        while start.elapsed() < Duration::from_secs(10) {
-            let budget = RateLimiter::new(10.0, 1.0);
-            let lives = tokio::time::sleep(Duration::from_millis(350));
-            tokio::pin!(lives);
-            loop {
-                tokio::select! {
-                    () = &mut lives => break,
-                    () = budget.spend(1.0, Urgency::Normal) => spent += 1,
-                }
-            }
-        }
-        assert!(
-            (80..=100).contains(&spent),
-            "{spent} in 10 s at 10 a second"
-        );
+impl Drop for QueuedCost<'_> {
+    fn drop(&mut self) {
+        self.limiter.lock().queued -= self.cost;
     }
 }
