--- a/crates/http/benches/held.rs
+++ b/crates/http/benches/held.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperfield_http::{ClientClass, Meter, Pool, Rules, serve};
+use copperfield_http::{ClientClass, Meter, Pool, PoolConfig, ServerConfig, serve};
 use http::{Method, Response};
 
 struct Counting;
@@ -56,22 +56,22 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let rules = Rules {
-        limit: 4 * CONNECTIONS,
-        idle: Duration::from_secs(60),
-        whole: Duration::from_secs(10),
-        most_body: 64 * 1024,
-        spare: 4,
+    let config = ServerConfig {
+        max_connections: 4 * CONNECTIONS,
+        idle_timeout: Duration::from_secs(60),
+        request_timeout: Duration::from_secs(10),
+        max_body: 64 * 1024,
+        reserved_fraction: 4,
         meter: Meter::new(64 << 20),
         client_class: |_| ClientClass::Worker,
-        refusal: |_, _| Response::new(Bytes::new()),
+        error_response: |_, _| Response::new(Bytes::new()),
     };
     let port = runtime.block_on(async {
         let any = (Ipv4Addr::UNSPECIFIED, 0);
         let listener = tokio::net::TcpListener::bind(any).await.expect("a port");
         let port = listener.local_addr().expect("bound").port();
         let answer = |_| async { Response::new(Bytes::from_static(b"{}")) };
-        tokio::spawn(serve(listener, rules, answer));
+        tokio::spawn(serve(listener, config, answer));
         port
     });
     let mut buffer = vec![b'x'; 64 * 1024];
@@ -100,8 +100,12 @@
         each(before)
     );
 
-    let keep = Duration::from_secs(60);
-    let pool = Pool::new(Duration::from_secs(1), keep, 4, 1 << 20);
+    let pool = Pool::new(PoolConfig {
+        connect_timeout: Duration::from_secs(1),
+        idle_timeout: Duration::from_secs(60),
+        max_idle_per_address: 4,
+        max_body: 1 << 20,
+    });
     let before = HELD.load(Ordering::Relaxed);
     runtime.block_on(async {
         for i in 0..CONNECTIONS {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,10 +1,11 @@
 #![doc = include_str!("../README.md")]
+#![warn(missing_docs)]
 
 mod client;
-mod head;
+pub mod head;
 mod meter;
 mod server;
 
-pub use client::{Failure, Pool, Reply};
-pub use meter::{Charge, ClientClass, Meter};
-pub use server::{Rules, serve};
+pub use client::{CallError, Pool, PoolConfig, Reply};
+pub use meter::{Charge, ClientClass, Meter, REQUEST_BYTES};
+pub use server::{ServerConfig, serve};
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,87 +1,95 @@
-//! The server's side: one future a connection, which holds a buffer only while a request is
+//! The server: one future for each connection, which holds a buffer only while a request is
 //! being read or answered.
 
 use std::future::Future;
-use std::io;
+use std::io::{self, Write};
 use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::Bytes;
-use http::{Request, Response, StatusCode};
+use http::header::{CONNECTION, CONTENT_LENGTH};
+use http::{Method, Request, Response, StatusCode};
 use http_body_util::Full;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-use crate::head::{self, Body};
+use crate::head::{self, BodyFraming, ParseError, RequestHead};
 use crate::meter::{ClientClass, Meter};
 
 /// The first read of a request; most fit.
 const FIRST_READ: usize = 1024;
-
+/// What the head of a response takes.
+const RESPONSE_HEAD_BYTES: usize = 160;
 /// The longest that a client may go on sending after its last answer.
 const LINGER: Duration = Duration::from_secs(1);
+/// When no connection can be accepted, the next attempt is after so long.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
 /// What a server holds its clients to.
 #[derive(Clone)]
-pub struct Rules {
+pub struct ServerConfig {
     /// Connections at once. The next is left in the queue of the system.
-    pub limit: usize,
+    pub max_connections: usize,
     /// A client that sends nothing for so long, or no whole head, is hung up on.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// From the head of a request to the end of its answer.
-    pub whole: Duration,
+    pub request_timeout: Duration,
     /// Bytes of a body. A longer one is not read: the handler sees the head alone.
-    pub most_body: u64,
-    /// With less than this part of the places left, users get no second answer on their
-    /// connection: idle ones once kept the reports of workers out for a whole lease.
-    pub spare: usize,
+    pub max_body: u64,
+    /// With less than one in so many connections free, users get no second answer on their
+    /// connection: their idle ones could keep workers out for a whole lease.
+    pub reserved_fraction: usize,
+    /// Counts what connections and requests hold.
     pub meter: Meter,
     /// Who asks for this path.
     pub client_class: fn(&str) -> ClientClass,
-    /// What those are told who are refused or time out.
-    pub refusal: fn(StatusCode, &str) -> Response<Bytes>,
+    /// The response to a request that is refused or times out.
+    pub error_response: fn(StatusCode, &str) -> Response<Bytes>,
 }
 
 /// Serves `handler` on a listener until the process ends.
-pub async fn serve<H, F>(listener: TcpListener, rules: Rules, handler: H) -> io::Result<()>
+///
+/// # Errors
+/// None yet: a connection that cannot be accepted is tried again.
+pub async fn serve<H, F>(listener: TcpListener, config: ServerConfig, handler: H) -> io::Result<()>
 where
     H: Fn(Request<Full<Bytes>>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Bytes>> + Send + 'static,
 {
-    let limit = rules.limit.min(rules.meter.connections());
-    let places = Arc::new(Semaphore::new(limit));
-    let rules = Arc::new(rules);
+    let max_connections = config.max_connections.min(config.meter.connections());
+    let permits = Arc::new(Semaphore::new(max_connections));
+    let config = Arc::new(config);
     loop {
-        let place = places.clone().acquire_owned().await;
-        let place = place.expect("never closed");
+        let permit = permits.clone().acquire_owned().await;
+        let permit = permit.expect("never closed");
         let Ok((stream, _)) = listener.accept().await else {
             // No socket is free, or the client has gone already.
-            sleep(Duration::from_millis(20)).await;
+            sleep(ACCEPT_RETRY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
         let connection = Connection {
             stream,
-            rules: rules.clone(),
+            config: config.clone(),
             handler: handler.clone(),
-            crowd: places.clone(),
-            limit,
-            rest: Vec::new(),
+            permits: permits.clone(),
+            max_connections,
+            unparsed: Vec::new(),
         };
         tokio::spawn(async move {
-            let _charge = connection.rules.meter.connection();
+            let _charge = connection.config.meter.connection();
             // A client that hangs up is no error of ours.
             let _ = connection.run().await;
-            drop(place);
+            drop(permit);
         });
     }
 }
 
 /// What becomes of a connection after an answer.
-enum After {
-    Next,
+enum AfterAnswer {
+    ReadNext,
     Close,
     /// Close, though the client may still be sending.
     Linger,
@@ -89,12 +97,13 @@
 
 struct Connection<H> {
     stream: TcpStream,
-    rules: Arc<Rules>,
+    config: Arc<ServerConfig>,
     handler: H,
-    crowd: Arc<Semaphore>,
-    limit: usize,
+    /// One for each connection that can still be accepted.
+    permits: Arc<Semaphore>,
+    max_connections: usize,
     /// What came after the last request, in case there was anything.
-    rest: Vec<u8>,
+    unparsed: Vec<u8>,
 }
 
 impl<H, F> Connection<H>
@@ -104,14 +113,15 @@
 {
     async fn run(mut self) -> io::Result<()> {
         loop {
-            if self.rest.is_empty() && timeout(self.rules.idle, self.first_bytes()).await?? == 0 {
+            let idle = self.unparsed.is_empty();
+            if idle && timeout(self.config.idle_timeout, self.first_bytes()).await?? == 0 {
                 return Ok(());
             }
             // Boxed, so that an idle connection is small.
             match Box::pin(self.exchange()).await? {
-                After::Next => {}
-                After::Close => return self.stream.shutdown().await,
-                After::Linger => return Box::pin(self.linger()).await,
+                AfterAnswer::ReadNext => {}
+                AfterAnswer::Close => return self.stream.shutdown().await,
+                AfterAnswer::Linger => return Box::pin(self.linger()).await,
             }
         }
     }
@@ -124,7 +134,7 @@
             let mut bytes = Vec::with_capacity(FIRST_READ);
             match self.stream.try_read_buf(&mut bytes) {
                 Ok(read) => {
-                    self.rest = bytes;
+                    self.unparsed = bytes;
                     return Ok(read);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -138,106 +148,141 @@
     async fn linger(&mut self) -> io::Result<()> {
         self.stream.shutdown().await?;
         let to_the_end = skip(&mut self.stream, usize::MAX);
-        let _ = timeout(self.rules.idle.min(LINGER), to_the_end).await;
+        let _ = timeout(self.config.idle_timeout.min(LINGER), to_the_end).await;
         Ok(())
     }
 
     /// One request and its answer.
-    async fn exchange(&mut self) -> io::Result<After> {
-        let mut bytes = std::mem::take(&mut self.rest);
-        let idle = self.rules.idle;
-        let parsed = timeout(idle, read_head(&mut self.stream, &mut bytes)).await?;
-        let request = match parsed? {
-            Ok(request) => request,
-            Err(problem) => {
-                let refused = (self.rules.refusal)(StatusCode::BAD_REQUEST, &problem.to_string());
-                self.answer(refused, false, false).await?;
-                return Ok(After::Linger);
-            }
+    async fn exchange(&mut self) -> io::Result<AfterAnswer> {
+        let mut bytes = std::mem::take(&mut self.unparsed);
+        let idle_timeout = self.config.idle_timeout;
+        let parsed = timeout(idle_timeout, read_head(&mut self.stream, &mut bytes)).await?;
+        let head = match parsed? {
+            Ok(head) => head,
+            Err(problem) => return self.refuse_malformed(&problem).await,
         };
-        bytes.drain(..request.length);
-        let path = request.uri.path();
-        let client_class = (self.rules.client_class)(path);
-        let length = match request.body {
-            Body::Length(length) if length <= self.rules.most_body => Some(length as usize),
-            Body::None => Some(0),
+        bytes.drain(..head.length);
+        let client_class = (self.config.client_class)(head.uri.path());
+        let body_length = match head.body {
+            BodyFraming::Length(length) if length <= self.config.max_body => Some(length as usize),
+            BodyFraming::None => Some(0),
             // Not read: the handler refuses it by its head.
-            Body::Length(_) | Body::Chunked => None,
-        };
-        let of_head = request.method == http::Method::HEAD;
-        let mut keep = request.keep_alive && length.is_some();
-        let mut unread = length.is_none();
-        let Some(_charge) = self.rules.meter.request(length.unwrap_or(0), client_class) else {
-            let what = "too much is under way";
-            let refused = (self.rules.refusal)(StatusCode::SERVICE_UNAVAILABLE, what);
-            // Told at once, and only then is its body read past. A client that waits for leave
-            // to send may send nothing or all of it: the next request would not be found.
-            keep &= !request.expects_continue;
-            self.answer(refused, keep, of_head).await?;
-            if !keep {
-                return Ok(After::Linger);
-            }
-            let length = length.unwrap_or(0);
-            self.rest = bytes.split_off(length.min(bytes.len()));
-            let left = length - bytes.len();
-            drop(bytes);
-            timeout(self.rules.whole, skip(&mut self.stream, left)).await??;
-            return Ok(After::Next);
-        };
-        let whole = async {
-            if request.expects_continue && length.is_some_and(|l| l > bytes.len()) {
-                self.stream
-                    .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
-                    .await?;
-            }
-            let length = length.unwrap_or(0);
-            while bytes.len() < length {
-                bytes.reserve(length - bytes.len());
-                if self.stream.read_buf(&mut bytes).await? == 0 {
-                    return Err(io::Error::from(io::ErrorKind::UnexpectedEof));
-                }
-            }
-            self.rest = bytes.split_off(length);
-            let mut asked = Request::new(Full::new(Bytes::from(bytes)));
-            *asked.method_mut() = request.method;
-            *asked.uri_mut() = request.uri;
-            *asked.headers_mut() = request.headers;
-            Ok((self.handler)(asked).await)
+            BodyFraming::Length(_) | BodyFraming::Chunked => None,
         };
-        let answer = match timeout(self.rules.whole, whole).await {
-            Ok(answer) => answer?,
+        let reserved = body_length.unwrap_or(0);
+        match self.config.meter.request(reserved, client_class) {
+            Some(_charge) => self.answer(head, bytes, body_length, client_class).await,
+            None => self.refuse_overload(&head, bytes, body_length).await,
+        }
+    }
+
+    async fn refuse_malformed(&mut self, problem: &ParseError) -> io::Result<AfterAnswer> {
+        let response = (self.config.error_response)(StatusCode::BAD_REQUEST, &problem.to_string());
+        self.send(response, false, false).await?;
+        Ok(AfterAnswer::Linger)
+    }
+
+    /// Answers at once, and only then reads past the body.
+    async fn refuse_overload(
+        &mut self,
+        head: &RequestHead,
+        mut bytes: Vec<u8>,
+        body_length: Option<usize>,
+    ) -> io::Result<AfterAnswer> {
+        let problem = "too much is under way";
+        let response = (self.config.error_response)(StatusCode::SERVICE_UNAVAILABLE, problem);
+        // A client that asks before it sends the body may send none or all of it: the next
+        // request would not be found.
+        let keep = head.keep_alive && body_length.is_some() && !head.expects_continue;
+        self.send(response, keep, head.method == Method::HEAD)
+            .await?;
+        if !keep {
+            return Ok(AfterAnswer::Linger);
+        }
+        let length = body_length.unwrap_or(0);
+        self.unparsed = bytes.split_off(length.min(bytes.len()));
+        let left = length - bytes.len();
+        drop(bytes);
+        let request_timeout = self.config.request_timeout;
+        timeout(request_timeout, skip(&mut self.stream, left)).await??;
+        Ok(AfterAnswer::ReadNext)
+    }
+
+    /// Reads the body, lets the handler answer, and sends its response.
+    async fn answer(
+        &mut self,
+        head: RequestHead,
+        bytes: Vec<u8>,
+        body_length: Option<usize>,
+        client_class: ClientClass,
+    ) -> io::Result<AfterAnswer> {
+        let to_head = head.method == Method::HEAD;
+        let mut keep = head.keep_alive && body_length.is_some();
+        let mut unread = body_length.is_none();
+        let request_timeout = self.config.request_timeout;
+        let handled = self.handle(head, bytes, body_length.unwrap_or(0));
+        let response = match timeout(request_timeout, handled).await {
+            Ok(response) => response?,
             Err(_) => {
                 // What is left of it would be taken for the next request.
                 keep = false;
                 unread = true;
-                let what = "the request took too long to arrive";
-                (self.rules.refusal)(StatusCode::REQUEST_TIMEOUT, what)
+                let problem = "the request took too long to arrive";
+                (self.config.error_response)(StatusCode::REQUEST_TIMEOUT, problem)
             }
         };
-        let crowded = self.crowd.available_permits() < self.limit / self.rules.spare;
-        keep &= !(client_class == ClientClass::User && crowded);
-        timeout(self.rules.whole, self.answer(answer, keep, of_head)).await??;
+        keep &= !(client_class == ClientClass::User && self.is_crowded());
+        timeout(request_timeout, self.send(response, keep, to_head)).await??;
         Ok(match (keep, unread) {
-            (true, _) => After::Next,
-            (false, false) => After::Close,
-            (false, true) => After::Linger,
+            (true, _) => AfterAnswer::ReadNext,
+            (false, false) => AfterAnswer::Close,
+            (false, true) => AfterAnswer::Linger,
         })
     }
 
-    async fn answer(
+    fn is_crowded(&self) -> bool {
+        self.permits.available_permits() < self.max_connections / self.config.reserved_fraction
+    }
+
+    /// `bytes`: what has been read of the body.
+    async fn handle(
         &mut self,
-        answer: Response<Bytes>,
+        head: RequestHead,
+        mut bytes: Vec<u8>,
+        body_length: usize,
+    ) -> io::Result<Response<Bytes>> {
+        if head.expects_continue && body_length > bytes.len() {
+            let interim = b"HTTP/1.1 100 Continue\r\n\r\n";
+            self.stream.write_all(interim).await?;
+        }
+        while bytes.len() < body_length {
+            bytes.reserve(body_length - bytes.len());
+            if self.stream.read_buf(&mut bytes).await? == 0 {
+                return Err(io::ErrorKind::UnexpectedEof.into());
+            }
+        }
+        self.unparsed = bytes.split_off(body_length);
+        let mut request = Request::new(Full::new(Bytes::from(bytes)));
+        *request.method_mut() = head.method;
+        *request.uri_mut() = head.uri;
+        *request.headers_mut() = head.headers;
+        Ok((self.handler)(request).await)
+    }
+
+    /// `to_head`: the request was `HEAD`, so the body is left out.
+    async fn send(
+        &mut self,
+        response: Response<Bytes>,
         keep: bool,
-        of_head: bool,
+        to_head: bool,
     ) -> io::Result<()> {
-        use std::io::Write;
-        let (parts, body) = answer.into_parts();
-        let mut out = Vec::with_capacity(160 + body.len());
+        let (parts, body) = response.into_parts();
+        let mut out = Vec::with_capacity(RESPONSE_HEAD_BYTES + body.len());
         let status = parts.status;
         let reason = status.canonical_reason().unwrap_or("");
         write!(out, "HTTP/1.1 {} {reason}\r\n", status.as_u16())?;
         for (name, value) in &parts.headers {
-            if *name != http::header::CONTENT_LENGTH && *name != http::header::CONNECTION {
+            if *name != CONTENT_LENGTH && *name != CONNECTION {
                 out.extend_from_slice(name.as_str().as_bytes());
                 out.extend_from_slice(b": ");
                 out.extend_from_slice(value.as_bytes());
@@ -246,18 +291,20 @@
         }
         let close = if keep { "" } else { "connection: close\r\n" };
         write!(out, "{close}content-length: {}\r\n\r\n", body.len())?;
-        if !of_head {
+        if !to_head {
             out.extend_from_slice(&body);
         }
         self.stream.write_all(&out).await
     }
 }
 
-type Parsed = Result<head::Request, head::Malformed>;
-
-async fn read_head(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<Parsed> {
+/// The outer error is the connection's, the inner one the client's.
+async fn read_head(
+    stream: &mut TcpStream,
+    bytes: &mut Vec<u8>,
+) -> io::Result<Result<RequestHead, ParseError>> {
     loop {
-        if let Some(parsed) = head::request(bytes).transpose() {
+        if let Some(parsed) = head::parse_request(bytes).transpose() {
             return Ok(parsed);
         }
         if stream.read_buf(bytes).await? == 0 {
@@ -266,13 +313,14 @@
     }
 }
 
+/// Reads `left` bytes and throws them away.
 async fn skip(stream: &mut TcpStream, mut left: usize) -> io::Result<()> {
     let mut buffer = [0; 1024];
     while left > 0 {
         let limit = left.min(buffer.len());
         match stream.read(&mut buffer[..limit]).await? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            n => left -= n,
+            read => left -= read,
         }
     }
     Ok(())
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -4,33 +4,33 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperfield_http::{ClientClass, Failure, Meter, Pool, Rules, serve};
+use copperfield_http::{CallError, ClientClass, Meter, Pool, PoolConfig, ServerConfig, serve};
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-fn refusal(status: StatusCode, what: &str) -> Response<Bytes> {
+fn error_response(status: StatusCode, what: &str) -> Response<Bytes> {
     let answer = Response::builder()
         .status(status)
         .header("retry-after", "1");
     answer.body(Bytes::from(what.to_string())).expect("valid")
 }
 
-fn rules(meter: Meter) -> Rules {
-    Rules {
-        limit: 500,
-        idle: Duration::from_millis(400),
-        whole: Duration::from_millis(600),
-        most_body: 64 * 1024,
-        spare: 4,
+fn config(meter: Meter) -> ServerConfig {
+    ServerConfig {
+        max_connections: 500,
+        idle_timeout: Duration::from_millis(400),
+        request_timeout: Duration::from_millis(600),
+        max_body: 64 * 1024,
+        reserved_fraction: 4,
         meter,
         client_class: |path| match path {
             "/hello" => ClientClass::Worker,
             _ => ClientClass::User,
         },
-        refusal,
+        error_response,
     }
 }
 
@@ -51,13 +51,17 @@
 async fn server(meter: Meter) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
-    tokio::spawn(serve(listener, rules(meter), echo));
+    tokio::spawn(serve(listener, config(meter), echo));
     address
 }
 
 fn pool() -> Pool {
-    let second = Duration::from_secs(1);
-    Pool::new(second, second, 4, 100_000)
+    Pool::new(PoolConfig {
+        connect_timeout: Duration::from_secs(1),
+        idle_timeout: Duration::from_secs(1),
+        max_idle_per_address: 4,
+        max_body: 100_000,
+    })
 }
 
 async fn raw(address: SocketAddr, text: &[u8]) -> String {
@@ -83,7 +87,7 @@
             (200, size.to_string().as_bytes())
         );
     }
-    // One connection, and nothing else, is on the account.
+    // One connection is counted, and nothing else.
     let one = meter.held();
     assert!(0 < one && one < 4096, "{one}");
     drop(pool);
@@ -98,7 +102,7 @@
 
 /// Half a head, half a body, nothing at all, a body that is too long, two ways to read it.
 #[tokio::test]
-async fn what_is_not_a_request_is_answered_or_hung_up_on_in_time() {
+async fn malformed_requests_are_answered_or_hung_up_on_in_time() {
     let address = server(Meter::new(1 << 20)).await;
     for (sent, answer) in [
         ("", ""),
@@ -133,10 +137,10 @@
 }
 
 /// A flood of large bodies at once, from users and workers, and clients that stall beside it:
-/// what is held stays on the account, users are told at once when to come back, workers are
+/// what is held stays below the limit, users learn at once when to come back, workers are
 /// served, and afterwards all is as before.
 #[tokio::test]
-async fn a_flood_is_refused_at_once_and_workers_last() {
+async fn a_flood_of_users_is_refused_at_once_and_workers_are_served() {
     let meter = Meter::new(2 << 20);
     let address = server(meter.clone()).await;
     let mut stalled = Vec::new();
@@ -151,7 +155,7 @@
     for i in 0..100 {
         let worker = i % 20 == 0;
         let path = if worker { "/hello" } else { "/slow" };
-        // Reports are small.
+        // Heartbeats are small.
         let body = body[..if worker { 1000 } else { 60_000 }].to_vec();
         flood.spawn(async move {
             let began = std::time::Instant::now();
@@ -159,11 +163,11 @@
             (path, reply.expect("answered").status, began.elapsed())
         });
     }
-    let mut limit = 0;
+    let mut peak = 0;
     let (mut served, mut refused, mut workers) = (0, 0, 0);
     while let Some(done) = flood.join_next().await {
         let (path, status, took) = done.expect("no panic");
-        limit = limit.max(meter.held());
+        peak = peak.max(meter.held());
         match (path, status) {
             ("/hello", 200) => workers += 1,
             ("/slow", 200) => served += 1,
@@ -171,7 +175,7 @@
             other => panic!("{other:?} after {took:?}"),
         }
     }
-    assert!(limit <= meter.limit(), "{limit} bytes of {}", meter.limit());
+    assert!(peak <= meter.limit(), "{peak} bytes of {}", meter.limit());
     assert!(refused > 50, "{served} served, {refused} refused");
     assert_eq!(workers, 5, "no worker is refused");
     drop(stalled);
@@ -182,7 +186,7 @@
 }
 
 /// Guards against a refusal that waits for the body: a client that stalls within it got no
-/// answer at all. It is told at once, its body is read past when it comes, and what follows on
+/// answer at all. It is answered at once, its body is read past when it comes, and what follows on
 /// the connection, sent along with the body, is served.
 #[tokio::test]
 async fn a_refusal_does_not_wait_for_the_body() {
@@ -229,22 +233,22 @@
     assert!(answer.contains("connection: close"), "{answer}");
 }
 
-/// A server of a few words.
-async fn says(words: &'static [u8]) -> SocketAddr {
+/// A server that sends the same bytes to everyone.
+async fn fixed_server(bytes: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let _ = stream.read(&mut [0; 1000]).await;
-            let _ = stream.write_all(words).await;
+            let _ = stream.write_all(bytes).await;
         }
     });
     address
 }
 
 #[tokio::test]
-async fn answers_are_read_as_they_are_framed() {
-    for (words, body) in [
+async fn replies_are_read_as_they_are_framed() {
+    for (bytes, body) in [
         (&b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody"[..], Some("body")),
         (b"HTTP/1.1 200 OK\r\n\r\nto the end", Some("to the end")),
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n", Some("")),
@@ -257,59 +261,59 @@
         (b"what?\r\n\r\n", None),
         (b"", None),
     ] {
-        let address = says(words).await;
+        let address = fixed_server(bytes).await;
         let reply = pool().call(&Method::GET, address, "/", b"").await;
         match (body, reply) {
             (Some(body), Ok(reply)) => assert_eq!(reply.body, body.as_bytes()),
             // It arrived, so it may have been carried out.
-            (None, Err(Failure::Unknown(_))) => {}
-            (_, other) => panic!("{:?}: {other:?}", String::from_utf8_lossy(words)),
+            (None, Err(CallError::Unknown(_))) => {}
+            (_, other) => panic!("{:?}: {other:?}", String::from_utf8_lossy(bytes)),
         }
     }
 }
 
-/// Told from one that was lost: asking again would bring the same.
+/// Not the error of a reply that was lost: asking again would bring the same.
 #[tokio::test]
-async fn an_answer_that_is_too_large_is_told_as_such() {
-    for words in [
+async fn a_reply_that_is_too_large_has_its_own_error() {
+    for bytes in [
         &b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nfffffff0\r\n"[..],
         b"HTTP/1.1 200 OK\r\ncontent-length: 100001\r\n\r\n",
     ] {
-        let address = says(words).await;
+        let address = fixed_server(bytes).await;
         let reply = pool().call(&Method::GET, address, "/", b"").await;
-        assert!(matches!(reply, Err(Failure::TooLarge)), "{reply:?}");
+        assert!(matches!(reply, Err(CallError::TooLarge)), "{reply:?}");
     }
 }
 
 /// One that was closed while it was idle is not used again, and the request goes out on
 /// another; where nobody listens it surely did not arrive.
 #[tokio::test]
-async fn a_connection_that_was_closed_meanwhile_is_not_used() {
+async fn a_connection_closed_while_idle_is_not_reused() {
     let (address, pool) = (server(Meter::new(1 << 20)).await, pool());
     for _ in 0..2 {
         let reply = pool.call(&Method::GET, address, "/", b"").await;
         assert_eq!(reply.expect("answered").status, 200);
-        // Longer than the server's patience.
+        // Longer than the server's idle timeout.
         sleep(Duration::from_millis(600)).await;
     }
     let nobody = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = nobody.local_addr().expect("bound");
     drop(nobody);
     let reply = pool.call(&Method::GET, address, "/", b"").await;
-    assert!(matches!(reply, Err(Failure::Unsent)));
+    assert!(matches!(reply, Err(CallError::Unsent)));
 }
 
-/// More workers than places, each with a heartbeat every 50 ms on a connection that it keeps. Those
-/// without a place once waited until another was silent for `idle`, longer than a lease.
+/// More workers than connections, each with a heartbeat every 50 ms on one that it keeps. Those
+/// without one once waited until another was idle for `idle_timeout`, longer than a lease.
 #[tokio::test]
-async fn workers_in_excess_of_the_places_are_all_served() {
+async fn workers_in_excess_of_the_connections_are_all_served() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
-    let rules = Rules {
-        limit: 8,
-        ..rules(Meter::new(1 << 20))
+    let config = ServerConfig {
+        max_connections: 8,
+        ..config(Meter::new(1 << 20))
     };
-    tokio::spawn(serve(listener, rules, echo));
+    tokio::spawn(serve(listener, config, echo));
     let mut workers = tokio::task::JoinSet::new();
     for _ in 0..12 {
         workers.spawn(async move {
--- a/crates/simulation/src/loopback.rs
+++ b/crates/simulation/src/loopback.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use copperfield::protocol::MAX_BODY;
-use copperfield::transport::client::{Answer, Http, Network};
+use copperfield::transport::client::{Answer, HttpClient, Network};
 use copperfield::transport::server::{Incoming, Outgoing, bind, serve};
 use copperfield_http::Meter;
 use hyper::Method;
@@ -47,7 +47,7 @@
     pub cloud: SocketAddr,
     pub public: Vec<SocketAddr>,
     peers: Vec<SocketAddr>,
-    http: Arc<Http>,
+    http: Arc<HttpClient>,
 }
 
 /// Below what the kernel gives to outgoing connections: there an address that was free a moment
@@ -96,7 +96,7 @@
             cloud: address("cloud", 0),
             public,
             peers,
-            http: Arc::new(Http::default()),
+            http: Arc::new(HttpClient::default()),
         }
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 use copperfield::settings::{
     LeaderTtlTooLong, Log, LogFormat, Settings, SettingsError, Tuning, tuning_beside,
 };
-use copperfield::transport::client::Http;
+use copperfield::transport::client::HttpClient;
 use copperfield::transport::server::{bind, serve};
 use copperfield_http::Meter;
 use tracing::level_filters::LevelFilter;
@@ -195,7 +195,7 @@
     // Before anything else: while an earlier process of this node has its addresses, this one
     // does nothing in the node's name. As its successor it may remove its leader key.
     let (public, peers) = (bind(public).await?, bind(peers).await?);
-    let network = Arc::new(Http::default());
+    let network = Arc::new(HttpClient::default());
     let (service, owner) = Service::start(settings, tuning, network, rand::random());
     let for_users = service.clone();
     let public = serve(
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -3,34 +3,21 @@
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
-use std::time::Duration;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use copperfield_http::Pool;
-pub use copperfield_http::{Failure as CallError, Reply as Answer};
+pub use copperfield_http::{CallError, Reply as Answer};
+use copperfield_http::{Pool, PoolConfig};
 use hyper::Method;
 use tokio::time::{Instant, timeout};
 
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const MAX_IDLE_PER_ADDRESS: usize = 4;
 /// Responses larger than this are refused: a page of the state service is
 /// 512 KiB at most, and memory is short.
-const MAX_RESPONSE: usize = 4 * 1024 * 1024;
-
-pub struct Http {
-    pool: Pool,
-}
-
-impl Default for Http {
-    fn default() -> Self {
-        Self {
-            pool: Pool::new(
-                Duration::from_millis(800),
-                Duration::from_secs(15),
-                4,
-                MAX_RESPONSE,
-            ),
-        }
-    }
-}
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
+/// A call that is under way.
 pub type Exchange<'a> = Pin<Box<dyn Future<Output = Result<Answer, CallError>> + Send + 'a>>;
 
 /// How a controller reaches others, and the time of day that it shares with them. Tests put
@@ -38,11 +25,12 @@
 pub trait Network: Send + Sync {
     /// Milliseconds since 1970, within the platform's `clock_error_ms`.
     fn unix_ms(&self) -> u64 {
-        std::time::SystemTime::now()
-            .duration_since(std::time::UNIX_EPOCH)
-            .map_or(0, |d| d.as_millis() as u64)
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |since| since.as_millis() as u64)
     }
 
+    /// Sends a request and waits for the answer until `deadline` has passed.
     fn call(
         &self,
         method: Method,
@@ -53,7 +41,25 @@
     ) -> Exchange<'_>;
 }
 
-impl Network for Http {
+/// The real network.
+pub struct HttpClient {
+    pool: Pool,
+}
+
+impl Default for HttpClient {
+    fn default() -> Self {
+        Self {
+            pool: Pool::new(PoolConfig {
+                connect_timeout: CONNECT_TIMEOUT,
+                idle_timeout: IDLE_TIMEOUT,
+                max_idle_per_address: MAX_IDLE_PER_ADDRESS,
+                max_body: MAX_RESPONSE_BYTES,
+            }),
+        }
+    }
+}
+
+impl Network for HttpClient {
     fn call(
         &self,
         method: Method,
@@ -71,18 +77,21 @@
 }
 
 /// Timers may fire this late without anything being wrong.
-const LATE: Duration = Duration::from_millis(100);
+const TIMER_SLACK: Duration = Duration::from_millis(100);
 
-/// Ends an exchange at its deadline, also where this process stood still over
-/// it: a timer alone takes an answer that lay in the socket meanwhile, and a
-/// node that woke after 25 s took the leader key of before for news.
+/// Ends an exchange at its deadline, also where this process was paused meanwhile: a timer alone
+/// accepts an answer that lay in the socket during the pause, and a controller that woke after
+/// 25 s took an outdated leader key for the current one.
+///
+/// # Errors
+/// The exchange failed, or the deadline has passed.
 pub async fn within(
     deadline: Duration,
     exchange: impl Future<Output = Result<Answer, CallError>>,
 ) -> Result<Answer, CallError> {
-    let began = Instant::now();
+    let started = Instant::now();
     match timeout(deadline, exchange).await {
-        Ok(result) if result.is_err() || began.elapsed() <= deadline + LATE => result,
+        Ok(result) if result.is_err() || started.elapsed() <= deadline + TIMER_SLACK => result,
         _ => Err(CallError::Unknown("deadline passed".into())),
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,10 @@
-//! HTTP in and out: the servers for users, workers and peers, the pooled
-//! client, and the rate budgets that keep us under the published limits.
+//! HTTP in and out.
+//!
+//! | module | contents |
+//! | --- | --- |
+//! | [`server`] | serves users, workers and the other controllers |
+//! | [`client`] | the pooled client for all that a controller calls |
+//! | [`rate_limiter`] | keeps calls under the published limits |
 
 pub mod client;
 pub mod rate_limiter;
