--- a/crates/admin/src/cli.rs
+++ b/crates/admin/src/cli.rs
@@ -16,11 +16,30 @@
 
 use clap::{Args, Subcommand};
 use serde::Serialize;
+use thiserror::Error;
 
 use crate::client::{Client, ClientError};
 use crate::table;
-use crate::views::DrainOrder;
+use crate::views::{DrainOrder, Node};
 
+const EXIT_DONE: u8 = 0;
+const EXIT_OTHER: u8 = 1;
+const EXIT_USAGE: u8 = 2;
+const EXIT_NOT_FOUND: u8 = 3;
+const EXIT_UNCONFIRMED: u8 = 4;
+const EXIT_TRY_AGAIN: u8 = 5;
+const EXIT_UNAUTHORIZED: u8 = 6;
+
+/// The variable with the operators' key.
+const KEY_VARIABLE: &str = "COPPERFIELD_KEY";
+/// The longest deadline of a drain, in seconds.
+const MAX_DEADLINE_S: f64 = 1e6;
+
+/// A command of operators. The comments on its parts are its published help.
+#[expect(
+    missing_docs,
+    reason = "a comment on an argument would become a part of the published help"
+)]
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// List the nodes.
@@ -29,33 +48,33 @@
         #[arg(long = "by-holder", conflicts_with = "json")]
         by_shard_owner: bool,
         #[command(flatten)]
-        at: At,
+        site: SiteArgs,
     },
     /// Start nothing new on a node; what may move moves, the rest runs to its end.
     Drain {
         node: String,
         /// Stop in order what still runs after so many seconds.
-        #[arg(long, value_name = "S", value_parser = seconds)]
+        #[arg(long, value_name = "S", value_parser = parse_seconds)]
         deadline: Option<f64>,
         /// Do not ask, even if a protected class is disturbed.
         #[arg(long)]
         yes: bool,
         #[command(flatten)]
-        at: At,
+        site: SiteArgs,
     },
     /// Let a node that drains take work again.
     Undrain {
         node: String,
         #[command(flatten)]
-        at: At,
+        site: SiteArgs,
     },
     /// Show moves, and what waits for whole workers.
-    Moves(At),
+    Moves(SiteArgs),
 }
 
-/// Which site, and as whom.
+/// Which site, with which key, and how to print.
 #[derive(Debug, Args)]
-pub struct At {
+pub struct SiteArgs {
     /// Public address of a controller; may be given several times.
     #[arg(
         long = "address",
@@ -73,24 +92,37 @@
     json: bool,
 }
 
-fn seconds(text: &str) -> Result<f64, String> {
+#[derive(Debug, Error)]
+#[error("--key-file {}: cannot be read: {source}", .path.display())]
+struct KeyFileError {
+    path: PathBuf,
+    source: std::io::Error,
+}
+
+#[derive(Debug, Error)]
+#[error("allowed is a number from 0 to {MAX_DEADLINE_S}")]
+struct NotADeadline;
+
+fn parse_seconds(text: &str) -> Result<f64, NotADeadline> {
     match text.parse::<f64>() {
-        Ok(s) if (0.0..=1e6).contains(&s) => Ok(s),
-        _ => Err("allowed is a number from 0 to 1000000".into()),
+        Ok(seconds) if (0.0..=MAX_DEADLINE_S).contains(&seconds) => Ok(seconds),
+        _ => Err(NotADeadline),
     }
 }
 
-impl At {
-    fn client(&self) -> Result<Client, String> {
+impl SiteArgs {
+    fn client(&self) -> Result<Client, KeyFileError> {
         let key = match &self.key_file {
-            Some(path) => std::fs::read_to_string(path)
-                .map_err(|e| format!("--key-file {}: cannot be read: {e}", path.display()))?,
-            None => std::env::var("COPPERFIELD_KEY").unwrap_or_default(),
+            Some(path) => std::fs::read_to_string(path).map_err(|source| KeyFileError {
+                path: path.clone(),
+                source,
+            })?,
+            None => std::env::var(KEY_VARIABLE).unwrap_or_default(),
         };
         Ok(Client::new(self.addresses.clone(), key.trim().to_string()))
     }
 
-    fn show<T: Serialize>(&self, value: &T, table: impl FnOnce(&T) -> String) {
+    fn print<T: Serialize>(&self, value: &T, table: impl FnOnce(&T) -> String) {
         let text = if self.json {
             serde_json::to_string_pretty(value).expect("plain data")
         } else {
@@ -99,27 +131,33 @@
         // Nobody reads on: a pager that was left.
         let _ = writeln!(std::io::stdout(), "{text}");
     }
+
+    fn print_node(&self, node: &Node) {
+        self.print(node, |node| table::nodes(std::slice::from_ref(node)));
+    }
 }
 
 impl Command {
-    fn at(&self) -> &At {
+    fn site(&self) -> &SiteArgs {
         match self {
-            Self::Moves(at) => at,
-            Self::Nodes { at, .. } | Self::Drain { at, .. } | Self::Undrain { at, .. } => at,
+            Self::Moves(site) => site,
+            Self::Nodes { site, .. } | Self::Drain { site, .. } | Self::Undrain { site, .. } => {
+                site
+            }
         }
     }
 
     /// Carries the command out and returns the exit code; problems go to standard error.
     pub async fn run(self) -> u8 {
-        let client = match self.at().client() {
+        let client = match self.site().client() {
             Ok(client) => client,
-            Err(problem) => {
-                eprintln!("copperfield: {problem}");
-                return 2;
+            Err(error) => {
+                eprintln!("copperfield: {error}");
+                return EXIT_USAGE;
             }
         };
-        match self.execute_effect(&client).await {
-            Ok(()) => 0,
+        match self.execute(&client).await {
+            Ok(()) => EXIT_DONE,
             Err(error) => {
                 eprintln!("copperfield: {error}");
                 if let ClientError::Confirm(confirm) = &error {
@@ -131,52 +169,54 @@
         }
     }
 
-    async fn execute_effect(&self, client: &Client) -> Result<(), ClientError> {
-        let at = self.at();
+    async fn execute(&self, client: &Client) -> Result<(), ClientError> {
+        let site = self.site();
         match self {
             Self::Nodes { by_shard_owner, .. } => {
+                let nodes = client.nodes().await?;
                 let table = if *by_shard_owner {
                     table::by_shard_owner
                 } else {
                     table::nodes
                 };
-                at.show(&client.nodes().await?, |n| table(n));
-            }
-            Self::Moves(_) => at.show(&client.moves().await?, table::moves),
-            Self::Undrain { node, .. } => {
-                let node = client.undrain(node).await?;
-                at.show(&node, |n| table::nodes(std::slice::from_ref(n)));
+                site.print(&nodes, |nodes| table(nodes));
             }
+            Self::Moves(_) => site.print(&client.moves().await?, table::moves),
+            Self::Undrain { node, .. } => site.print_node(&client.undrain(node).await?),
             Self::Drain {
                 node,
                 deadline,
                 yes,
                 ..
             } => {
-                let mut order = DrainOrder {
+                let order = DrainOrder {
                     deadline_s: *deadline,
                     yes: *yes,
                 };
-                let mut drained = client.drain(node, &order).await;
-                if let Err(ClientError::Confirm(confirm)) = &drained
-                    && asked(&format!(
-                        "{} ({}). Drain it all the same?",
-                        confirm.error,
-                        confirm.protected.join(", ")
-                    ))
-                {
-                    order.yes = true;
-                    drained = client.drain(node, &order).await;
-                }
-                at.show(&drained?, |n| table::nodes(std::slice::from_ref(n)));
+                site.print_node(&drain(client, node, order).await?);
             }
         }
         Ok(())
     }
 }
 
+/// Asks before it disturbs a protected class, if there is someone to ask.
+async fn drain(client: &Client, node: &str, mut order: DrainOrder) -> Result<Node, ClientError> {
+    let drained = client.drain(node, &order).await;
+    let Err(ClientError::Confirm(confirm)) = &drained else {
+        return drained;
+    };
+    let protected = confirm.protected.join(", ");
+    let question = format!("{} ({protected}). Drain it all the same?", confirm.error);
+    if !is_confirmed(&question) {
+        return drained;
+    }
+    order.yes = true;
+    client.drain(node, &order).await
+}
+
 /// Asks on a terminal; elsewhere nobody can say yes.
-fn asked(question: &str) -> bool {
+fn is_confirmed(question: &str) -> bool {
     if !std::io::stdin().is_terminal() || !std::io::stderr().is_terminal() {
         return false;
     }
@@ -188,10 +228,10 @@
 
 fn exit_code(error: &ClientError) -> u8 {
     match error {
-        ClientError::NotFound(_) => 3,
-        ClientError::Confirm(_) => 4,
-        ClientError::Unreachable(_) | ClientError::Busy(_) => 5,
-        ClientError::Unauthorized | ClientError::SwitchedOff => 6,
-        ClientError::Unexpected(..) => 1,
+        ClientError::NotFound(_) => EXIT_NOT_FOUND,
+        ClientError::Confirm(_) => EXIT_UNCONFIRMED,
+        ClientError::Unreachable(_) | ClientError::Busy(_) => EXIT_TRY_AGAIN,
+        ClientError::Unauthorized | ClientError::SwitchedOff => EXIT_UNAUTHORIZED,
+        ClientError::Unexpected { .. } => EXIT_OTHER,
     }
 }
--- a/crates/admin/src/client.rs
+++ b/crates/admin/src/client.rs
@@ -17,35 +17,44 @@
 
 /// One controller is given so long before the next is asked.
 const DEADLINE: Duration = Duration::from_secs(5);
-const MAX_ANSWER: usize = 1024 * 1024;
+/// How long a connection may take to come about.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+/// What controllers answer on all paths of operators while these are switched off.
+const SWITCHED_OFF: &str = "no such path";
 
+/// Why a request of an operator was not carried out.
 #[derive(Debug, Error)]
 pub enum ClientError {
+    /// None of the addresses answers.
     #[error("no controller answers at {0}")]
     Unreachable(String),
+    /// There is no leader now, or it cannot store anything.
     #[error("the controllers cannot do it now ({0}); try again in a moment")]
     Busy(String),
+    /// The key is refused.
     #[error("the key is missing or not the one in the controllers' settings")]
     Unauthorized,
+    /// The settings have no key, so that nobody may ask.
     #[error("operators' endpoints are switched off on this site")]
     SwitchedOff,
+    /// There is no such node.
     #[error("{0}")]
     NotFound(String),
+    /// A drain would disturb a protected class.
     #[error("{}", .0.error)]
     Confirm(Confirm),
-    #[error("the controllers answered {0}: {1}")]
-    Unexpected(u16, String),
-}
-
-/// Names of nodes stand in paths as they are; one that could not is no node's.
-fn path_of(node: &str, verb: &str) -> Result<String, ClientError> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._:".contains(&b);
-    if node.is_empty() || !node.bytes().all(plain) {
-        return Err(ClientError::NotFound(format!("there is no node {node:?}")));
-    }
-    Ok(format!("/operator/nodes/{node}/{verb}"))
+    /// An answer that the protocol does not have.
+    #[error("the controllers answered {status}: {problem}")]
+    Unexpected {
+        /// The status code.
+        status: u16,
+        /// The reason in the answer, or what is wrong with its body.
+        problem: String,
+    },
 }
 
+/// Asks controllers as an operator.
 pub struct Client {
     addresses: Vec<SocketAddr>,
     key: String,
@@ -57,11 +66,18 @@
     body: Bytes,
 }
 
+/// What an answer means for the caller.
+enum Interpreted<T> {
+    Final(Result<T, ClientError>),
+    /// This controller cannot do it now; another may know who leads.
+    Busy(String),
+}
+
 impl Client {
     /// `addresses` are tried in turn.
     pub fn new(addresses: Vec<SocketAddr>, key: String) -> Self {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(Duration::from_secs(1)));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         Self {
             addresses,
             key,
@@ -76,9 +92,9 @@
     pub async fn nodes(&self) -> Result<Vec<Node>, ClientError> {
         let mut all: Vec<Node> = Vec::new();
         loop {
-            let since = all.last().map_or("", |n| n.name.as_str());
+            let since = all.last().map_or("", |node| node.name.as_str());
             let path = format!("/operator/nodes?since={since}");
-            let page: Nodes = self.read(Method::GET, &path, &()).await?;
+            let page: Nodes = self.request(Method::GET, &path, &()).await?;
             let empty = page.nodes.is_empty();
             all.extend(page.nodes);
             if !page.more || empty {
@@ -87,29 +103,36 @@
         }
     }
 
+    /// Moves in progress and the last that ended, and why nothing moves for a job.
+    ///
     /// # Errors
     /// See [`ClientError`].
     pub async fn moves(&self) -> Result<Moves, ClientError> {
-        self.read(Method::GET, "/operator/moves", &()).await
+        self.request(Method::GET, "/operator/moves", &()).await
     }
 
-    /// The node as it is once the drain is stored. The same drain twice does nothing more.
+    /// Drains a node, and returns it as it is once the drain is stored. The same drain twice
+    /// does nothing more.
     ///
     /// # Errors
     /// [`ClientError::Confirm`] if a protected class would be disturbed.
     pub async fn drain(&self, node: &str, order: &DrainOrder) -> Result<Node, ClientError> {
-        let path = path_of(node, "drain")?;
-        self.read(Method::POST, &path, order).await
+        let path = node_path(node, "drain")?;
+        self.request(Method::POST, &path, order).await
     }
 
+    /// Ends a drain, and returns the node as it is then.
+    ///
     /// # Errors
     /// See [`ClientError`].
     pub async fn undrain(&self, node: &str) -> Result<Node, ClientError> {
-        let path = path_of(node, "undrain")?;
-        self.read(Method::POST, &path, &DrainOrder::default()).await
+        let path = node_path(node, "undrain")?;
+        let order = DrainOrder::default();
+        self.request(Method::POST, &path, &order).await
     }
 
-    async fn read<T: DeserializeOwned>(
+    /// Asks one controller after another until one has a final answer.
+    async fn request<T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
@@ -121,43 +144,26 @@
         };
         let mut busy = None;
         for &address in &self.addresses {
-            let asked = self.ask(&method, address, path, body.clone());
-            let Ok(Some(answer)) = tokio::time::timeout(DEADLINE, asked).await else {
+            let answer = self.ask(&method, address, path, body.clone());
+            let Ok(Some(answer)) = tokio::time::timeout(DEADLINE, answer).await else {
                 continue;
             };
-            let text = || {
-                let value: serde_json::Value =
-                    serde_json::from_slice(&answer.body).unwrap_or_default();
-                value["error"]
-                    .as_str()
-                    .unwrap_or("no reason given")
-                    .to_string()
-            };
-            return match answer.status {
-                200 => serde_json::from_slice(&answer.body)
-                    .map_err(|e| ClientError::Unexpected(200, e.to_string())),
-                401 => Err(ClientError::Unauthorized),
-                404 if text() == "no such path" => Err(ClientError::SwitchedOff),
-                404 => Err(ClientError::NotFound(text())),
-                409 => Err(match serde_json::from_slice(&answer.body) {
-                    Ok(confirm) => ClientError::Confirm(confirm),
-                    Err(_) => ClientError::Unexpected(409, text()),
-                }),
-                // Another may know who leads.
-                503 => {
-                    busy = Some(text());
-                    continue;
-                }
-                status => Err(ClientError::Unexpected(status, text())),
-            };
+            match answer.interpret() {
+                Interpreted::Final(result) => return result,
+                Interpreted::Busy(reason) => busy = Some(reason),
+            }
         }
-        let names: Vec<String> = self.addresses.iter().map(SocketAddr::to_string).collect();
         Err(match busy {
-            Some(why) => ClientError::Busy(why),
-            None => ClientError::Unreachable(names.join(", ")),
+            Some(reason) => ClientError::Busy(reason),
+            None => ClientError::Unreachable(self.address_list()),
         })
     }
 
+    fn address_list(&self) -> String {
+        let addresses: Vec<String> = self.addresses.iter().map(SocketAddr::to_string).collect();
+        addresses.join(", ")
+    }
+
     async fn ask(
         &self,
         method: &Method,
@@ -174,8 +180,49 @@
             .ok()?;
         let response = self.pool.request(request).await.ok()?;
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), MAX_ANSWER);
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
         let body = body.collect().await.ok()?.to_bytes();
         Some(Answer { status, body })
     }
 }
+
+impl Answer {
+    fn interpret<T: DeserializeOwned>(&self) -> Interpreted<T> {
+        Interpreted::Final(match self.status {
+            200 => serde_json::from_slice(&self.body)
+                .map_err(|error| self.unexpected(error.to_string())),
+            401 => Err(ClientError::Unauthorized),
+            404 if self.reason() == SWITCHED_OFF => Err(ClientError::SwitchedOff),
+            404 => Err(ClientError::NotFound(self.reason())),
+            409 => Err(match serde_json::from_slice(&self.body) {
+                Ok(confirm) => ClientError::Confirm(confirm),
+                Err(_) => self.unexpected(self.reason()),
+            }),
+            503 => return Interpreted::Busy(self.reason()),
+            _ => Err(self.unexpected(self.reason())),
+        })
+    }
+
+    /// The `error` of the body.
+    fn reason(&self) -> String {
+        let value: serde_json::Value = serde_json::from_slice(&self.body).unwrap_or_default();
+        let reason = value["error"].as_str().unwrap_or("no reason given");
+        reason.to_string()
+    }
+
+    fn unexpected(&self, problem: String) -> ClientError {
+        ClientError::Unexpected {
+            status: self.status,
+            problem,
+        }
+    }
+}
+
+/// Names of nodes stand in paths as they are; one that could not is no node's.
+fn node_path(node: &str, verb: &str) -> Result<String, ClientError> {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._:".contains(&byte);
+    if node.is_empty() || !node.bytes().all(is_plain) {
+        return Err(ClientError::NotFound(format!("there is no node {node:?}")));
+    }
+    Ok(format!("/operator/nodes/{node}/{verb}"))
+}
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,11 +1,5 @@
-//! What operators see of a site, and the commands with which they run it.
-//!
-//! | module | what |
-//! | --- | --- |
-//! | [`views`] | the JSON of the operators' endpoints, for both sides |
-//! | [`client`] | asks any of the controllers |
-//! | [`table`] | prints for people |
-//! | [`cli`] | the commands and their exit codes |
+#![doc = include_str!("../README.md")]
+#![warn(missing_docs)]
 
 pub mod cli;
 pub mod client;
--- a/crates/admin/src/table.rs
+++ b/crates/admin/src/table.rs
@@ -4,122 +4,149 @@
 
 use comfy_table::{Table, presets};
 
-use crate::views::{Move, Moves, Node, NodeState, Share};
+use crate::views::{Move, Moves, Node, NodeState, ResourceUsage, Waiting};
 
-fn table(header: &[&str]) -> Table {
-    let mut table = Table::new();
-    table.load_preset(presets::NOTHING).set_header(header);
-    table
-}
-
-fn share(s: Share) -> String {
-    format!("{}/{}", trim(s.used), trim(s.all))
-}
+/// In place of a value that is not known.
+const UNKNOWN: &str = "-";
 
-/// One digit, and none where it would be 0.
-fn trim(x: f64) -> String {
-    let text = format!("{x:.1}");
-    text.strip_suffix(".0").map_or(text.clone(), str::to_string)
-}
+const NODE_HEADER: [&str; 13] = [
+    "NODE",
+    "TYPE",
+    "ZONE",
+    "STATE",
+    "TASKS",
+    "PROTECTED",
+    "LEAVING",
+    "CPUS",
+    "GPUS",
+    "MEMORY GB",
+    "HEARD",
+    "DEADLINE",
+    "WITH",
+];
+const SHARD_OWNER_HEADER: [&str; 4] = ["CONTROLLER", "NODES", "READY", "TASKS"];
+const MOVE_HEADER: [&str; 6] = ["TASK", "FROM", "TO", "FOR", "STATE", "AGE"];
+const WAITING_HEADER: [&str; 4] = [
+    "WAITS FOR WHOLE MACHINES",
+    "TASKS",
+    "WAITED",
+    "WHY NOTHING MOVES",
+];
 
-fn seconds(s: Option<f64>) -> String {
-    s.map_or("-".into(), |s| format!("{s:.0} s"))
+/// One line for each node.
+pub fn nodes(nodes: &[Node]) -> String {
+    let mut table = new_table(&NODE_HEADER);
+    table.add_rows(nodes.iter().map(node_row));
+    table.trim_fmt()
 }
 
-pub fn nodes(all: &[Node]) -> String {
-    let mut t = table(&[
-        "NODE",
-        "TYPE",
-        "ZONE",
-        "STATE",
-        "TASKS",
-        "PROTECTED",
-        "LEAVING",
-        "CPUS",
-        "GPUS",
-        "MEMORY GB",
-        "HEARD",
-        "DEADLINE",
-        "WITH",
-    ]);
-    for n in all {
-        let state = format!("{:?}", n.state).to_lowercase();
-        t.add_row([
-            n.name.clone(),
-            n.machine_type.clone(),
-            n.zone.clone(),
-            state,
-            n.tasks.to_string(),
-            n.protected.to_string(),
-            n.leaving.to_string(),
-            share(n.cpus),
-            share(n.gpus),
-            share(n.memory_gb),
-            seconds(n.heard_s),
-            seconds(n.deadline_s),
-            n.controller.clone().unwrap_or("-".into()),
-        ]);
+/// One line for each controller: the nodes whose heartbeats it answers, how many of them are
+/// ready, and their tasks.
+pub fn by_shard_owner(nodes: &[Node]) -> String {
+    let mut shards: BTreeMap<&str, ShardTotals> = BTreeMap::new();
+    for node in nodes {
+        let controller = node.controller.as_deref().unwrap_or(UNKNOWN);
+        shards.entry(controller).or_default().add(node);
     }
-    t.trim_fmt()
-}
-
-/// Which controller speaks with how many nodes, and how many of them are well.
-pub fn by_shard_owner(all: &[Node]) -> String {
-    let mut shard_owners: BTreeMap<&str, [u32; 3]> = BTreeMap::new();
-    for n in all {
-        let with = n.controller.as_deref().unwrap_or("-");
-        let [nodes, ready, tasks] = shard_owners.entry(with).or_default();
-        *nodes += 1;
-        *ready += u32::from(n.state == NodeState::Ready);
-        *tasks += n.tasks;
-    }
-    let mut t = table(&["CONTROLLER", "NODES", "READY", "TASKS"]);
-    for (with, [nodes, ready, tasks]) in shard_owners {
-        t.add_row([
-            with.to_string(),
-            nodes.to_string(),
-            ready.to_string(),
-            tasks.to_string(),
+    let mut table = new_table(&SHARD_OWNER_HEADER);
+    for (controller, totals) in shards {
+        table.add_row([
+            controller.to_string(),
+            totals.nodes.to_string(),
+            totals.ready.to_string(),
+            totals.tasks.to_string(),
         ]);
     }
-    t.trim_fmt()
+    table.trim_fmt()
 }
 
-pub fn moves(all: &Moves) -> String {
+/// One line for each move, and below them one for each job that waits for whole workers.
+pub fn moves(moves: &Moves) -> String {
     let mut text = String::new();
-    if !all.enabled {
+    if !moves.enabled {
         text += "Work is moved for drains only: defragmentation.enabled is false.\n";
     }
-    let mut t = table(&["TASK", "FROM", "TO", "FOR", "STATE", "AGE"]);
-    let row = |m: &Move| {
-        [
-            m.task.clone(),
-            m.from.clone(),
-            m.to.clone(),
-            m.purpose.clone(),
-            m.state.clone(),
-            seconds(Some(m.age_s)),
-        ]
-    };
-    t.add_rows(all.live.iter().chain(&all.recent).map(row));
-    text += &t.trim_fmt();
-    if !all.waiting.is_empty() {
-        let mut t = table(&[
-            "WAITS FOR WHOLE MACHINES",
-            "TASKS",
-            "WAITED",
-            "WHY NOTHING MOVES",
-        ]);
-        t.add_rows(all.waiting.iter().map(|w| {
-            [
-                w.job.clone(),
-                w.tasks.to_string(),
-                seconds(Some(w.waited_s)),
-                w.reason.clone(),
-            ]
-        }));
+    let mut table = new_table(&MOVE_HEADER);
+    table.add_rows(moves.live.iter().chain(&moves.recent).map(move_row));
+    text += &table.trim_fmt();
+    if !moves.waiting.is_empty() {
+        let mut table = new_table(&WAITING_HEADER);
+        table.add_rows(moves.waiting.iter().map(waiting_row));
         text += "\n\n";
-        text += &t.trim_fmt();
+        text += &table.trim_fmt();
     }
     text
 }
+
+#[derive(Default)]
+struct ShardTotals {
+    nodes: u32,
+    ready: u32,
+    tasks: u32,
+}
+
+impl ShardTotals {
+    fn add(&mut self, node: &Node) {
+        self.nodes += 1;
+        self.ready += u32::from(node.state == NodeState::Ready);
+        self.tasks += node.tasks;
+    }
+}
+
+fn node_row(node: &Node) -> [String; 13] {
+    [
+        node.name.clone(),
+        node.machine_type.clone(),
+        node.zone.clone(),
+        node.state.name().to_string(),
+        node.tasks.to_string(),
+        node.protected.to_string(),
+        node.leaving.to_string(),
+        usage(node.cpus),
+        usage(node.gpus),
+        usage(node.memory_gb),
+        seconds(node.heard_s),
+        seconds(node.deadline_s),
+        node.controller.clone().unwrap_or(UNKNOWN.into()),
+    ]
+}
+
+fn move_row(one: &Move) -> [String; 6] {
+    [
+        one.task.clone(),
+        one.from.clone(),
+        one.to.clone(),
+        one.purpose.clone(),
+        one.state.clone(),
+        seconds(Some(one.age_s)),
+    ]
+}
+
+fn waiting_row(waiting: &Waiting) -> [String; 4] {
+    [
+        waiting.job.clone(),
+        waiting.tasks.to_string(),
+        seconds(Some(waiting.waited_s)),
+        waiting.reason.clone(),
+    ]
+}
+
+fn new_table(header: &[&str]) -> Table {
+    let mut table = Table::new();
+    table.load_preset(presets::NOTHING).set_header(header);
+    table
+}
+
+fn usage(usage: ResourceUsage) -> String {
+    format!("{}/{}", decimal(usage.used), decimal(usage.capacity))
+}
+
+/// One digit, and none where it would be 0.
+fn decimal(value: f64) -> String {
+    let text = format!("{value:.1}");
+    text.strip_suffix(".0").map_or(text.clone(), str::to_string)
+}
+
+fn seconds(seconds: Option<f64>) -> String {
+    seconds.map_or(UNKNOWN.into(), |seconds| format!("{seconds:.0} s"))
+}
--- a/src/coordination/drains.rs
+++ b/src/coordination/drains.rs
@@ -283,9 +283,9 @@
         let all = self.types.get(worker.kind).map(|t| t.whole);
         let all = amounts(&all.unwrap_or_default());
         let used = amounts(&worker.used);
-        let share = |d: usize| views::Share {
+        let share = |d: usize| views::ResourceUsage {
             used: used[d],
-            all: all[d],
+            capacity: all[d],
         };
         let until = self.drains.get(&worker.name).and_then(|d| d.until);
         views::Node {
@@ -353,9 +353,9 @@
 
 /// A node that drains and that this leader has not heard of.
 fn lost(name: &str) -> views::Node {
-    let nothing = views::Share {
+    let nothing = views::ResourceUsage {
         used: 0.0,
-        all: 0.0,
+        capacity: 0.0,
     };
     views::Node {
         name: name.to_string(),
