--- a/tests/whole_nodes.rs
+++ b/tests/whole_nodes.rs
@@ -1,4 +1,4 @@
-//! The proof: three controllers and stand-in nodes as real processes on loopback. Eight
+//! The deployment: three controllers and stand-in nodes as real processes on loopback. Eight
 //! GPUs are free, two on each of four nodes; a job that wants four on one node runs within
 //! two minutes, and a checker over the whole history finds every task ended exactly once.
 
@@ -17,7 +17,7 @@
 
 const TYPES: &str = r#"{"flavors":[{"name":"gpu4","cpus":16,"gpus":4,"memory_gb":64,"local_gb":90,
  "pull_gb_per_s":2,"price":4.0,"ready_s":5,"regions":["a","b"]}]}"#;
-const KEY: &str = "the key of this proof";
+const KEY: &str = "the key of this deployment";
 const HCL: &str = r#"
 fleet_max = 4
 idle_return_s = 3600
@@ -26,11 +26,11 @@
   enabled = true
 }
 operators {
-  key = "the-key-of-this-proof"
+  key = "the-key-of-this-deployment"
 }
 "#;
 
-struct Proof {
+struct Deployment {
     site: Loopback,
     settings: Vec<PathBuf>,
     controllers: Vec<Child>,
@@ -39,7 +39,7 @@
     tasks: Vec<String>,
 }
 
-impl Drop for Proof {
+impl Drop for Deployment {
     fn drop(&mut self) {
         for child in &mut self.controllers {
             let _ = child.kill();
@@ -68,7 +68,7 @@
     body
 }
 
-impl Proof {
+impl Deployment {
     async fn start(name: &str) -> Self {
         let mut site = Site::default();
         site.types = serde_json::from_str(TYPES).expect("our own");
@@ -178,9 +178,9 @@
     }
 
     async fn until(&mut self, what: &str, seconds: f64, test: impl Fn(&Self) -> bool) -> f64 {
-        let began = Instant::now();
+        let started = Instant::now();
         while !test(self) {
-            let waited = began.elapsed().as_secs_f64();
+            let waited = started.elapsed().as_secs_f64();
             assert!(
                 waited < seconds,
                 "not within {seconds} s: {what}; in use {:?}",
@@ -188,7 +188,7 @@
             );
             sleep(Duration::from_millis(50)).await;
         }
-        began.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     }
 
     fn started(&self, task: &str) -> bool {
@@ -209,17 +209,17 @@
             .filter_map(|t| Some(t.split_once('/')?.0.into()))
             .collect();
         for id in jobs {
-            let began = Instant::now();
+            let started = Instant::now();
             loop {
-                let told = self.site.poll(&id).await;
+                let answer = self.site.poll(&id).await;
                 let shards = self.site.world().site.jobs[&id].done.len();
-                if told
+                if answer
                     .as_ref()
                     .is_some_and(|t| t["phase"] == "done" && t["done"] == shards)
                 {
                     break;
                 }
-                assert!(began.elapsed().as_secs() < 15, "{id}: {told:?}");
+                assert!(started.elapsed().as_secs() < 15, "{id}: {answer:?}");
                 sleep(Duration::from_millis(200)).await;
             }
         }
@@ -242,25 +242,25 @@
 
 #[tokio::test]
 async fn a_four_gpu_job_runs_on_a_fragmented_site() {
-    let mut proof = Proof::start("plain").await;
-    proof.fragment(45.0).await;
-    let job = proof.submit(whole(), 6.0).await + "/0";
-    let took = proof
+    let mut deployment = Deployment::start("plain").await;
+    deployment.fragment(45.0).await;
+    let job = deployment.submit(whole(), 6.0).await + "/0";
+    let took = deployment
         .until("the four-GPU job runs", 30.0, |p| p.started(&job))
         .await;
     println!("whole node after {took:.1} s");
-    proof.finish().await;
+    deployment.finish().await;
 }
 
 #[tokio::test]
-async fn the_same_with_a_node_that_drains_meanwhile() {
-    let mut proof = Proof::start("drain").await;
-    proof.fragment(45.0).await;
-    let job = proof.submit(whole(), 6.0).await + "/0";
-    let node = proof.client.nodes().await.expect("a leader")[3]
+async fn a_four_gpu_job_runs_while_a_node_drains() {
+    let mut deployment = Deployment::start("drain").await;
+    deployment.fragment(45.0).await;
+    let job = deployment.submit(whole(), 6.0).await + "/0";
+    let node = deployment.client.nodes().await.expect("a leader")[3]
         .name
         .clone();
-    let drained = proof
+    let drained = deployment
         .client
         .drain(&node, &DrainOrder::default())
         .await
@@ -269,78 +269,81 @@
         drained.state,
         NodeState::Draining | NodeState::Drained
     ));
-    let took = proof
+    let took = deployment
         .until("the four-GPU job runs", 60.0, |p| p.started(&job))
         .await;
     println!("whole node after {took:.1} s, beside a drain");
-    let off = |p: &Proof| p.used()[3] == 0;
-    proof.until("the node is empty", 60.0, off).await;
-    proof.client.undrain(&node).await.expect("stored");
-    proof.finish().await;
+    let off = |p: &Deployment| p.used()[3] == 0;
+    deployment.until("the node is empty", 60.0, off).await;
+    deployment.client.undrain(&node).await.expect("stored");
+    deployment.finish().await;
 }
 
 #[tokio::test]
-async fn the_same_with_the_leader_killed_between_stop_and_start() {
-    let mut proof = Proof::start("killed").await;
-    proof.fragment(45.0).await;
-    let before = proof.site.world().site.history.events().len();
-    let job = proof.submit(whole(), 6.0).await + "/0";
-    let stopped = |p: &Proof| {
+async fn a_four_gpu_job_runs_after_the_leader_is_killed_between_stop_and_start() {
+    let mut deployment = Deployment::start("killed").await;
+    deployment.fragment(45.0).await;
+    let before = deployment.site.world().site.history.events().len();
+    let job = deployment.submit(whole(), 6.0).await + "/0";
+    let stopped = |p: &Deployment| {
         let w = p.site.world();
         w.site.history.events()[before..]
             .iter()
             .any(|e| e.what == What::Leaves)
     };
-    proof.until("a task leaves", 30.0, stopped).await;
-    let leader = proof.site.world().leader;
-    proof.controllers[leader].kill().expect("kills");
-    proof.controllers[leader].wait().expect("ends");
-    let took = proof
+    deployment.until("a task leaves", 30.0, stopped).await;
+    let leader = deployment.site.world().leader;
+    deployment.controllers[leader].kill().expect("kills");
+    deployment.controllers[leader].wait().expect("ends");
+    let took = deployment
         .until("the four-GPU job runs", 60.0, |p| p.started(&job))
         .await;
     println!("whole node after {took:.1} s, with the leader killed");
-    proof.controllers[leader] = controller(&proof.settings[leader]);
-    proof.finish().await;
+    deployment.controllers[leader] = controller(&deployment.settings[leader]);
+    deployment.finish().await;
 }
 
 /// Replicas of the porting service sit on two of the nodes and are never touched; a drain
 /// that would disturb them must be confirmed, and nobody without the key can order one.
 #[tokio::test]
-async fn the_same_beside_a_service_that_is_never_touched() {
-    let mut proof = Proof::start("service").await;
+async fn a_four_gpu_job_runs_beside_a_protected_service_that_is_never_moved() {
+    let mut deployment = Deployment::start("service").await;
     let replicas = json!({"shape": "service", "rank": "production", "shards": 2, "gpus": 0.0, "cpus": 2.0,
         "spread": true, "runtime_s": 0.0, "jobclass": "porting", "movable": true});
-    proof.submit(job(990, replicas), f64::INFINITY).await;
-    proof
+    deployment.submit(job(990, replicas), f64::INFINITY).await;
+    deployment
         .until("the replicas run", 30.0, |p| {
             p.started("wk-000990/0") && p.started("wk-000990/1")
         })
         .await;
-    proof.fragment(45.0).await;
-    let job = proof.submit(whole(), 6.0).await + "/0";
-    let took = proof
+    deployment.fragment(45.0).await;
+    let job = deployment.submit(whole(), 6.0).await + "/0";
+    let took = deployment
         .until("the four-GPU job runs", 60.0, |p| p.started(&job))
         .await;
     println!("whole node after {took:.1} s, beside a service");
-    let nodes = proof.client.nodes().await.expect("a leader");
+    let nodes = deployment.client.nodes().await.expect("a leader");
     let served = nodes
         .iter()
         .find(|n| n.protected > 0)
         .expect("a replica")
         .name
         .clone();
-    let refused = proof.client.drain(&served, &DrainOrder::default()).await;
+    let refused = deployment
+        .client
+        .drain(&served, &DrainOrder::default())
+        .await;
     assert!(
         matches!(refused, Err(ClientError::Confirm(_))),
         "{refused:?}"
     );
-    let (code, out) = proof.command(&["drain", &served], KEY).await;
+    let (code, out) = deployment.command(&["drain", &served], KEY).await;
     assert_eq!(code, Some(4), "{out}");
     assert!(out.contains("protected: wk-000990 (porting)"), "{out}");
-    let (code, out) = proof.command(&["nodes", "--json"], KEY).await;
+    let (code, out) = deployment.command(&["nodes", "--json"], KEY).await;
     let listed: Value = serde_json::from_str(&out).expect("JSON");
     assert_eq!((code, listed.as_array().map(Vec::len)), (Some(0), Some(4)));
-    let (code, out) = proof.command(&["moves"], KEY).await;
+    let (code, out) = deployment.command(&["moves"], KEY).await;
     assert_eq!(code, Some(0), "{out}");
     assert!(out.contains("wk-000900"), "{out}");
     for (args, code) in [
@@ -348,17 +351,20 @@
         (vec!["undrain", "no such node"], 3),
         (vec!["drain", &served, "--deadline", "soon"], 2),
     ] {
-        let (found, out) = proof.command(&args, KEY).await;
+        let (found, out) = deployment.command(&args, KEY).await;
         assert_eq!(found, Some(code), "{args:?}: {out}");
     }
     assert_eq!(
-        proof
+        deployment
             .command(&["nodes"], "another key, a wrong one")
             .await
             .0,
         Some(6)
     );
-    let stranger = Client::new(proof.site.public.clone(), "another key, a wrong one".into());
+    let stranger = Client::new(
+        deployment.site.public.clone(),
+        "another key, a wrong one".into(),
+    );
     assert!(matches!(
         stranger.nodes().await,
         Err(ClientError::Unauthorized)
@@ -366,22 +372,22 @@
     let none: Vec<SocketAddr> = vec![free_address()];
     let nobody = Client::new(none, String::new()).moves().await;
     assert!(matches!(nobody, Err(ClientError::Unreachable(_))));
-    assert_eq!(NODES, proof.controllers.len());
+    assert_eq!(NODES, deployment.controllers.len());
     let moved = {
-        let w = proof.site.world();
+        let w = deployment.site.world();
         let events = w.site.history.events().iter();
         events.filter(|e| e.task.starts_with("wk-000990/")).count()
     };
     assert_eq!(moved, 2, "each replica started, and nothing else");
-    proof.finish().await;
+    deployment.finish().await;
 }
 
 /// More changes at once than one answer may hold, as after a leader's pause on a site of thousands
 /// of workers. The leader asked again from the same revision, and learned of no job any more.
 #[tokio::test]
 async fn a_job_is_learned_after_more_changes_than_one_answer_holds() {
-    let mut proof = Proof::start("burst").await;
-    proof.all_ready().await;
+    let mut deployment = Deployment::start("burst").await;
+    deployment.all_ready().await;
     let flavors: Vec<String> = (0..32).map(|i| format!("{i:0>200}")).collect();
     let sets: Vec<Value> = (1000..2000)
         .map(|id| {
@@ -392,15 +398,15 @@
     let body = json!({"guards": [], "apply": sets}).to_string();
     assert!(body.len() > 5 * 1024 * 1024, "{}", body.len());
     {
-        let mut w = proof.site.world();
+        let mut w = deployment.site.world();
         let now = w.site.now;
         let (status, _) = w.state.handle(now, "POST", "/multi", body.as_bytes());
         assert_eq!(status, 200);
     }
-    let job = proof.submit(job(900, json!({})), 1.0).await + "/0";
-    let took = proof
+    let job = deployment.submit(job(900, json!({})), 1.0).await + "/0";
+    let took = deployment
         .until("the next job runs", 20.0, |p| p.started(&job))
         .await;
     println!("runs {took:.1} s after the burst");
-    proof.finish().await;
+    deployment.finish().await;
 }
