--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -9,6 +9,8 @@
 //! | `tuning` | [`Tuning`], what operators may set beside it |
 //! | `checks` | the values that are allowed, and the errors about the others |
 
+#![warn(missing_docs)]
+
 mod checks;
 mod platform;
 mod tuning;
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -6,6 +6,8 @@
 //! | [`client`] | the pooled client for all that a controller calls |
 //! | [`rate_limiter`] | keeps calls under the published limits |
 
+#![warn(missing_docs)]
+
 pub mod client;
 pub mod rate_limiter;
 pub mod server;
