--- a/crates/defrag/src/fleet.rs
+++ b/crates/defrag/src/fleet.rs
@@ -5,12 +5,14 @@
 /// One worker, as far as a plan cares.
 #[derive(Debug, Clone)]
 pub struct Worker {
+    /// Index of its zone.
     pub zone: u32,
     /// Index of its type.
     pub kind: u32,
+    /// The cloud may reclaim it.
     pub spot: bool,
-    /// May be given work: heard in time, not draining, not about to be taken,
-    /// not quarantined, nothing unknown on it.
+    /// May be given work: its heartbeats are in time, and it is not draining, about to be
+    /// reclaimed, quarantined or unreconciled.
     pub receives: bool,
     /// May be freed: as `receives`, and no other job has a claim on it.
     pub frees: bool,
@@ -31,7 +33,9 @@
 /// A task that is stopped where work of a higher rank wants its room.
 #[derive(Debug, Clone, Copy)]
 pub struct Yield {
+    /// Work of a higher rank may have it stopped.
     pub rank: u8,
+    /// What it takes.
     pub needs: Resources,
     /// What stopping it costs, in money.
     pub cost: f64,
@@ -58,7 +62,9 @@
     pub zone_cap: u32,
     /// Tasks that may be in each zone now.
     pub by_zone: Vec<u32>,
+    /// Index of its image.
     pub image: u32,
+    /// Size of its image.
     pub image_gb: f64,
     /// All its tasks move together or none does.
     pub gang: bool,
@@ -83,10 +89,14 @@
     pub lost_s: f64,
 }
 
+/// All workers and what runs on them.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
+    /// All workers.
     pub workers: Vec<Worker>,
+    /// The jobs of all task instances.
     pub works: Vec<Work>,
+    /// The tasks that run on workers.
     pub instances: Vec<TaskInstance>,
 }
 
@@ -101,11 +111,15 @@
     pub tasks: u32,
     /// All places must be in one zone.
     pub one_zone: bool,
+    /// Most tasks in one zone (`spread`).
     pub zone_cap: u32,
     /// Tasks of it that are placed already, by zone.
     pub by_zone: Vec<u32>,
+    /// Types its tasks may run on; `None`: any.
     pub kinds: Option<Vec<u32>>,
+    /// The only zone it may run in.
     pub zone: Option<u32>,
+    /// May run on spot workers.
     pub spot: bool,
     /// Places are wanted all at once; else fewer are better than none.
     pub whole: bool,
@@ -132,6 +146,7 @@
 }
 
 impl Want {
+    /// Whether a task of it may run on the worker once it is free.
     pub fn suits(&self, worker: &Worker) -> bool {
         suits(&self.kinds, self.zone, self.spot, worker) && self.needs.fits_in(&worker.whole)
     }
@@ -154,7 +169,7 @@
         }
     }
 
-    /// Money that a second of a copy's work is worth where it runs.
+    /// Money that a second of a task instance's work is worth where it runs.
     fn rate(&self, instance: &TaskInstance) -> f64 {
         let work = &self.works[instance.work as usize];
         let worker = &self.workers[instance.worker as usize];
--- a/crates/defrag/src/lib.rs
+++ b/crates/defrag/src/lib.rs
@@ -12,11 +12,13 @@
 //!
 //! | module | what |
 //! | --- | --- |
-//! | [`fleet`] | what goes in: workers, work, copies of tasks, a want |
-//! | `choose` | the cheapest copies to take off one worker |
+//! | [`fleet`] | what goes in: workers, work, task instances, a want |
+//! | `choose` | the cheapest task instances to take off one worker |
 //! | `place` | where each of them goes |
 //! | `plan` | which workers to free, and for how much |
 
+#![warn(missing_docs)]
+
 mod choose;
 pub mod fleet;
 mod place;
--- a/crates/defrag/src/plan.rs
+++ b/crates/defrag/src/plan.rs
@@ -32,6 +32,7 @@
 /// Moves that belong together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
+    /// The tasks to move, and where to.
     pub moves: Vec<Move>,
     /// Workers on which a place comes free by these moves, one place each.
     pub frees: Vec<u32>,
@@ -47,18 +48,29 @@
 /// Why there is no plan.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum Reason {
+    /// No worker is of a type and in a zone that it may run on.
     #[error("no machine suits it")]
     NoWorker,
+    /// Nothing need be moved.
     #[error("the places are there, or come free by themselves")]
     ComesFree,
+    /// What runs there must not be moved.
     #[error("work that may not move is in the way")]
     InTheWay,
+    /// There is no room elsewhere.
     #[error("what would have to move finds no other place")]
     NoTarget,
+    /// [`Limits::moves`] does not suffice.
     #[error("it would take more moves than may be under way")]
     TooMany,
+    /// The moves cost more than they bring.
     #[error("the moves would cost {cost:.3}, the places are worth {worth:.3}")]
-    NotWorth { cost: f64, worth: f64 },
+    NotWorth {
+        /// What the moves cost, in money.
+        cost: f64,
+        /// What the places are worth, in money.
+        worth: f64,
+    },
 }
 
 /// Frees the places that a job waits for.
--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -4,6 +4,8 @@
 //! process. Nothing here outlives the process: what an earlier process of the same controller
 //! may have voted is taken to be binding until that vote has surely expired.
 
+#![warn(missing_docs)]
+
 mod fencing_token;
 mod lease;
 mod vote;
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -3,6 +3,8 @@
 //! A [`World`] holds the code under test and a model of its surroundings. [`explore()`] and
 //! [`walk()`] search its histories for one that breaks the world's property.
 
+#![warn(missing_docs)]
+
 mod explore;
 mod successors;
 mod walk;
