--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -231,7 +231,7 @@
                 (self.config.error_response)(StatusCode::REQUEST_TIMEOUT, problem)
             }
         };
-        keep &= !(client_class == ClientClass::User && self.is_crowded());
+        keep &= self.may_keep(client_class);
         timeout(request_timeout, self.send(response, keep, to_head)).await??;
         Ok(match (keep, unread) {
             (true, _) => AfterAnswer::ReadNext,
@@ -240,8 +240,12 @@
         })
     }
 
-    fn is_crowded(&self) -> bool {
-        self.permits.available_permits() < self.max_connections / self.config.reserved_fraction
+    /// Whether a connection of this class may wait for its next request. With none free even
+    /// workers take turns: those without one would wait for longer than a lease.
+    fn may_keep(&self, client_class: ClientClass) -> bool {
+        let free = self.permits.available_permits();
+        let crowded = free < self.max_connections / self.config.reserved_fraction;
+        free > 0 && !(client_class == ClientClass::User && crowded)
     }
 
     /// `bytes`: what has been read of the body.
