--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -149,7 +149,9 @@
     }
 }
 
+// Workers are answered with this text when a body is no object: it stays as it was published.
 #[derive(Deserialize)]
+#[serde(expecting = "struct WireReport")]
 struct WireHeartbeat {
     #[serde(rename = "host")]
     worker: String,
