--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,4 +1,7 @@
-//! What controllers say to each other, in `borsh`.
+//! Requests and replies between controllers, in `borsh`.
+//!
+//! borsh writes positions, not names: fields and variants are added at the end and never reordered.
+//! What a controller of another version does not understand it refuses.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use copperfield_sharding::{OwnerStatus, ShardLease};
@@ -7,159 +10,200 @@
 use crate::job::{JobOutcome, Phase};
 use crate::worker::{Command, Heartbeat};
 
+/// A request from one controller to another.
 #[derive(Debug, Clone, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
-    /// What the leader knows of each of these jobs.
-    Lookup(Vec<JobId>),
-    /// Cancel a job, asked of the leader.
-    Cancel(JobId),
-    /// A request to the state service on behalf of a node that it refuses.
+    /// To the leader: what it knows of each of these jobs. Answered by [`PeerReply::Lookups`].
+    LookUpJobs(Vec<JobId>),
+    /// To the leader: cancel a job. Answered by [`PeerReply::Cancelled`].
+    CancelJob(JobId),
+    /// A request to the state service on behalf of a controller that it refuses. Answered by
+    /// [`PeerReply::State`].
     State {
+        /// The HTTP method.
         method: String,
+        /// Path and query.
         path: String,
+        /// The body, empty for none.
         body: Vec<u8>,
     },
-    /// The leader cannot renew: does the state service refuse you as well, and
-    /// will you not campaign for one TTL? Or does it serve you?
+    /// From the leader of this fencing token, which cannot renew its lease at the state service:
+    /// asks for a vote that extends it. A voter cannot reach the state service either, and
+    /// promises not to campaign for one TTL.
     VoteToExtendLease { token: u64 },
-    /// Are you there?
+    /// Whether the controller can be reached. Answered by [`PeerReply::Pong`].
     Ping,
-    /// What an operator asks, of the leader.
+    /// To the leader: an operator's request. Answered by [`PeerReply::AdminResponse`].
     Admin(AdminRequest),
-    /// Do you not lead? Then no word that was given until now binds you.
-    Idle,
-    /// From who speaks with some of the workers to the leader.
+    /// Asks the receiver to confirm that it leads no term. Then it acts on no vote that was
+    /// granted until now.
+    ConfirmNoLeader,
+    /// To the leader: the status of a shard owner. Answered by [`PeerReply::Granted`].
     Share(ShardStatus),
-    /// From the leader: orders for workers that the node asked speaks with.
+    /// From the leader: commands for workers that the receiver is to relay. Answered by
+    /// [`PeerReply::Relaying`].
     RelayCommands {
+        /// The leader's fencing token.
         token: u64,
+        /// One message for each worker.
         messages: Vec<RelayedCommand>,
     },
-    /// This node leads now: whoever speaks with workers tells it what they said.
+    /// The sender leads now: shard owners forward their workers' heartbeats to it.
     LeaderAnnouncement { member: String },
-    /// From the leader of this token, which has stepped down: remove its key, and campaign.
+    /// From the leader of this fencing token, which has stepped down: asks the receiver to remove
+    /// its leader key and to campaign.
     TransferLeadership { token: u64 },
 }
 
-/// What a shard owner tells the leader: it asks for a grant and passes on what its workers said.
+/// What a shard owner sends to the leader: it requests a lease and forwards its workers' heartbeats.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct ShardStatus {
-    /// Its place among the names of all nodes in their order.
+    /// The sender's index among all controllers, ordered by name.
     pub from: u32,
+    /// The state of its shard.
     pub owner_status: OwnerStatus,
+    /// Heartbeats that the leader has not received, or whose workers wait for an answer.
     pub forwarded: Vec<ForwardedHeartbeat>,
-    /// What became of messages that it carried, by the leader's number for each.
+    /// The outcomes of messages that it relayed, by the leader's number for each.
     pub outcomes: Vec<(u64, Outcome)>,
-    /// It has nothing more to tell now.
+    /// Everything that it had to send is in this status.
     pub all: bool,
 }
 
-/// A report that came to a shard owner.
+/// A heartbeat that a shard owner received.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct ForwardedHeartbeat {
+    /// The heartbeat as the worker sent it.
     pub heartbeat: Heartbeat,
     /// How long ago it came in, in ms.
     pub age_ms: u64,
-    /// Its worker waits for an answer, and this node may not give it.
+    /// Its worker waits for an answer, which the shard owner may not give.
     pub waits: bool,
 }
 
-/// The leader's answer to a shard owner.
+/// The leader's answer to a [`ShardStatus`].
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ShardUpdate {
+    /// The lease, with the changes to the shard.
     pub shard_lease: ShardLease,
-    /// The names of the workers that its changes are about.
+    /// The numbers and names of the workers that the changes assign.
     pub names: Vec<(u32, String)>,
-    /// Workers that are to report to another node, by its place.
+    /// Workers that are redirected to another controller, by its index.
     pub redirects: Vec<(String, u32)>,
 }
 
-/// A message to a worker that a shard owner carries for the leader.
+/// A message to a worker that another controller relays for the leader.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct RelayedCommand {
+    /// The leader's number for the message.
     pub message_id: u64,
+    /// Where the worker accepts commands.
     pub address: String,
+    /// The incarnation of the worker that the commands are for.
     pub incarnation: u64,
-    /// Without any it is a question: an answer that is late is not waited for.
+    /// Without any it is a probe, whose answer is waited for only briefly.
     pub commands: Vec<Command>,
 }
 
-/// The end of a message to a worker.
+/// The outcome of a message to a worker.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Outcome {
     /// Surely not delivered.
     Unsent,
-    /// Executed, with the report that followed.
+    /// Executed, with the heartbeat that followed.
     Executed(Heartbeat),
     /// Answered, but nothing was executed.
     Rejected(Option<Heartbeat>),
-    /// It may still be carried out.
+    /// It may still be executed.
     Unknown,
 }
 
-/// What an operator asks.
+/// An operator's request. Its "node" is the published name for a worker.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum AdminRequest {
-    /// A page of the nodes, by name, beginning after `since`.
+    /// A page of the nodes in the order of their names.
     Nodes {
+        /// The page begins with the first name after this one; empty: with the first of all.
         since: String,
     },
-    /// Moves under way, the last ones, and what waits for whole workers.
+    /// Migrations under way, the last ones, and the large tasks that wait for whole workers.
     Moves,
-    /// Nothing new is started on a node; what may move moves; the rest ends by itself, or
-    /// is stopped in order once the deadline has passed.
+    /// Start nothing new on a node, migrate what is movable, and let the rest complete.
     Drain {
+        /// The worker's name.
         node: String,
+        /// Seconds from now after which what still runs is stopped; `None`: it completes.
         deadline_s: Option<f64>,
-        /// Also if it disturbs a protected class.
+        /// Confirms a drain that disturbs a protected class.
         yes: bool,
     },
+    /// End the drain of a node.
     Undrain {
+        /// The worker's name.
         node: String,
     },
 }
 
+/// A controller's answer to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum PeerReply {
-    Job(Lookup),
-    Jobs(Vec<Lookup>),
+    /// How a job stands after the request to cancel it.
+    Cancelled(Lookup),
+    /// One result for each job asked for, in the same order.
+    Lookups(Vec<Lookup>),
+    /// The state service's answer to a forwarded request, as HTTP has it.
     State {
+        /// The HTTP status.
         status: u16,
+        /// The body.
         body: Vec<u8>,
     },
+    /// The request was received.
     Pong,
+    /// The vote that a leader asked for to extend its lease.
     VoteGranted,
-    /// The node asked cannot answer now.
+    /// The controller cannot answer now.
     Unable,
     /// The leader's answer to an operator, as HTTP has it.
-    AdminAnswered {
+    AdminResponse {
+        /// The HTTP status.
         status: u16,
+        /// The JSON body.
         body: Vec<u8>,
     },
-    /// It does not, and its process has lived for so long.
-    Idle {
+    /// The receiver leads no term.
+    NotLeading {
+        /// For how long its process has been running.
         up_ms: u64,
     },
+    /// The leader's answer to a shard owner.
     Granted(ShardUpdate),
-    /// The messages are on their way; what became of them comes with what a shard owner tells.
+    /// The messages are on their way; their outcomes come with the shard owner's statuses.
     Relaying,
-    /// It does not vouch: the state service serves it, and has the key of the leader that asks.
+    /// No vote is granted, as the receiver can reach the state service and has read the leader
+    /// key of the leader that asks: leadership can be transferred to it.
     ReadyForTransfer,
 }
 
+/// What a controller knows of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Lookup {
+    /// The job has ended, and its outcome is stored.
     Terminal(JobOutcome),
+    /// The job has not ended.
     Live {
+        /// Pending or running.
         phase: Phase,
+        /// Tasks that are known to be completed.
         done: u32,
+        /// Tasks that run now.
         running: u32,
     },
-    /// Not in the leader's memory, or its end is just being stored: only the
-    /// state service can tell.
-    AskState,
-    /// The state service was asked and has never seen it.
-    Never,
-    /// The node asked does not lead.
-    NotLeading,
+    /// Not in the leader's memory, or its outcome is just being stored: only the state service
+    /// can tell.
+    NotInMemory,
+    /// The state service was asked and knows no such job.
+    NotFound,
+    /// The controller that was asked does not lead.
+    NotLeader,
 }
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -171,9 +171,7 @@
     /// have returned good workers. Leases are another matter: they run on.
     pub fn paused(&mut self, pause_s: f64) {
         self.listening_since += pause_s;
-        if let Some(sharding) = &mut self.sharding {
-            sharding.coordinator.paused((pause_s * 1000.0) as u64);
-        }
+        self.shift_shard_statuses(pause_s);
         for (_, worker) in self.workers.iter_mut() {
             let of_worker = [
                 &mut worker.last_heartbeat_at,
@@ -202,7 +200,7 @@
                 running: job.running,
             },
             // An end that is being stored may already be known elsewhere.
-            _ => Lookup::AskState,
+            _ => Lookup::NotInMemory,
         }
     }
 
