--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -71,7 +71,7 @@
             team_names,
             teams,
             jobs: Slab::default(),
-            job_ids: JobIds::new(),
+            job_ids: BTreeMap::new(),
             workers: Slab::default(),
             worker_ids: HashMap::new(),
             gone: BTreeSet::new(),
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -87,7 +87,7 @@
         if via.is_some() {
             self.note_carried(m, message_id);
         }
-        self.workers[m].in_message_id = Some(InFlightMessage {
+        self.workers[m].in_flight = Some(InFlightMessage {
             id: message_id,
             since: self.now,
             starts,
@@ -111,7 +111,7 @@
     pub(super) fn flush_commands(&mut self) {
         let mut due: Vec<(Reason, u32)> = Vec::new();
         for m in self.workers.indices() {
-            if self.workers[m].in_message_id.is_none()
+            if self.workers[m].in_flight.is_none()
                 && let Some(reason) = self.due(m)
             {
                 due.push((reason, m));
@@ -145,7 +145,7 @@
             } else {
                 self.ask_worker(m);
             }
-            let message_id = &self.workers[m].in_message_id;
+            let message_id = &self.workers[m].in_flight;
             window = window.saturating_sub(message_id.as_ref().map_or(WHOLE, cost));
         }
     }
@@ -157,7 +157,7 @@
             ..InFlightLoad::default()
         };
         for (_, worker) in self.workers.iter() {
-            let Some(message_id) = &worker.in_message_id else {
+            let Some(message_id) = &worker.in_flight else {
                 continue;
             };
             let late = worker
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -1,6 +1,6 @@
 //! What workers report, what goes back to them, and what silence proves.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 use copperfield_sharding::Route;
 
@@ -28,45 +28,10 @@
         zone: u32,
         spot: bool,
     ) -> u32 {
-        let ix = self.workers.insert(Worker {
-            name: name.to_string(),
-            address: address.to_string(),
-            kind,
-            zone,
-            spot,
-            incarnation: 0,
-            counter: 0,
-            reported: ((0, 0), 0),
-            answered_at: None,
-            last_heartbeat_at: None,
-            reported_at: None,
-            expired_incarnation: 0,
-            reconciled: false,
-            reclaim_at: None,
-            instances: BTreeMap::new(),
-            used: Resources::default(),
-            orphaned_tasks: OrphanedTasks::None,
-            outbox: Vec::new(),
-            in_message_id: None,
-            page: None,
-            registered: false,
-            known_to_predecessor: false,
-            fenced: self.fencing.holds(name),
-            number: 0,
-            images: Vec::new(),
-            reservations: Vec::new(),
-            reserved_for: None,
-            failed: BTreeMap::new(),
-            quarantined_until: 0.0,
-            quarantines: 0,
-            returning: false,
-            draining: self.drains.contains_key(name),
-            idle_since: None,
-            next_probe: 0.0,
-            commands_unanswered: false,
-            unanswered_at: None,
-            missed: Unanswered::default(),
-        });
+        let mut worker = Worker::new(name, address, kind, zone, spot);
+        worker.fenced = self.fencing.holds(name);
+        worker.draining = self.drains.contains_key(name);
+        let ix = self.workers.insert(worker);
         self.worker_ids.insert(name.to_string(), ix);
         self.add_worker_to_shards(ix);
         ix
@@ -78,8 +43,7 @@
             Ok(m) => m,
             Err(why) => return self.effects.push(Effect::Refuse { ticket, why }),
         };
-        let order = (heartbeat.incarnation, heartbeat.counter);
-        let again = order == self.workers[m].reported.0;
+        let again = HeartbeatSequence::of(&heartbeat) == self.workers[m].newest_receipt.sequence;
         if again || self.is_duplicate_heartbeat(m, &heartbeat, self.own_controller_index()) {
             let why = "this report or a newer one has come before";
             return self.effects.push(Effect::Refuse { ticket, why });
@@ -95,15 +59,19 @@
         &mut self,
         m: u32,
         heartbeat: &Heartbeat,
-        place: u32,
+        controller: u32,
     ) -> bool {
-        let order = (heartbeat.incarnation, heartbeat.counter);
-        let newest = &mut self.workers[m].reported;
-        let instance = order < newest.0 || (order == newest.0 && place != newest.1);
-        if !instance {
-            *newest = (order, place);
+        let sequence = HeartbeatSequence::of(heartbeat);
+        let newest = &mut self.workers[m].newest_receipt;
+        let duplicate = sequence < newest.sequence
+            || (sequence == newest.sequence && controller != newest.controller);
+        if !duplicate {
+            *newest = HeartbeatReceipt {
+                sequence,
+                controller,
+            };
         }
-        instance
+        duplicate
     }
 
     pub(super) fn answer_heartbeat(&mut self, ticket: u64, heartbeat: Heartbeat) {
@@ -174,8 +142,7 @@
     }
 
     pub(super) fn is_newer(&self, m: u32, heartbeat: &Heartbeat) -> bool {
-        let worker = &self.workers[m];
-        (heartbeat.incarnation, heartbeat.counter) > (worker.incarnation, worker.counter)
+        HeartbeatSequence::of(heartbeat) > self.workers[m].sequence()
     }
 
     pub(super) fn handle_command_outcome(&mut self, name: &str, message_id: u64, outcome: Outcome) {
@@ -187,9 +154,7 @@
             orders,
             relayed,
             ..
-        }) = self.workers[m]
-            .in_message_id
-            .take_if(|f| f.id == message_id)
+        }) = self.workers[m].in_flight.take_if(|f| f.id == message_id)
         else {
             return;
         };
@@ -199,7 +164,7 @@
         worker.commands_unanswered = !answered && (orders || worker.commands_unanswered);
         let (heartbeat, executed) = match outcome {
             Outcome::Unsent => {
-                worker.note_unanswered(self.now, relayed);
+                worker.record_unanswered(self.now, relayed);
                 self.workers[m].next_probe = self.ask_again_at(m);
                 (None, false)
             }
@@ -228,7 +193,7 @@
                         instance.unacknowledged = true;
                     }
                 }
-                worker.note_unanswered(self.now, relayed);
+                worker.record_unanswered(self.now, relayed);
                 self.workers[m].next_probe = self.ask_again_at(m);
                 return;
             }
@@ -406,12 +371,7 @@
                 attempt: t.attempt,
             });
         }
-        let outbox = &mut self.workers[m].outbox;
-        for command in commands {
-            if !outbox.contains(&command) {
-                outbox.push(command);
-            }
-        }
+        self.workers[m].queue_missing(commands);
     }
 
     pub(super) fn apply_task(&mut self, m: u32, key: InstanceId, phase: TaskPhase) {
@@ -554,7 +514,7 @@
     /// What goes back with the answer to a report.
     pub(super) fn collect_commands(&mut self, m: u32, counter: u64) -> Vec<Command> {
         let mut commands = Vec::new();
-        if self.workers[m].in_message_id.is_none() {
+        if self.workers[m].in_flight.is_none() {
             commands = self.drain_outbox(m, Sent::Response { counter });
         }
         commands.extend(self.follow_up_commands(m, MAX_COMMANDS.saturating_sub(commands.len())));
--- /dev/null
+++ b/src/coordination/model/instance.rs
@@ -0,0 +1,102 @@
+//! Task instances: one attempt of a task that may be on one worker.
+
+use crate::protocol::worker::{Exit, TaskPhase};
+
+use super::Time;
+
+/// Names one attempt of a task within this leader.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct InstanceId {
+    /// Index of the job.
+    pub job: u32,
+    /// Number of the task within its job.
+    pub task: u32,
+    /// Unique across leaders; the tasks of a gang's attempt share one.
+    pub attempt: u64,
+}
+
+/// How the start of an instance left for its worker.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Sent {
+    /// Decided, but no message has left yet.
+    Queued,
+    /// In the response to the heartbeat with this counter: it never arrives late.
+    Response { counter: u64 },
+    /// In a direct message that has no answer yet.
+    Direct { message_id: u64 },
+    /// A heartbeat has listed the instance.
+    Seen,
+}
+
+/// One task that may be on one worker.
+#[derive(Debug, Clone)]
+pub struct TaskInstance {
+    /// How its start was sent.
+    pub sent: Sent,
+    /// What its worker last reported of it.
+    pub phase: Option<TaskPhase>,
+    /// A direct start without an answer may still arrive.
+    pub unacknowledged: bool,
+    /// The order to stop, if there is one.
+    pub stop: Option<Stop>,
+    /// Since when it has been reported as running.
+    pub running_since: Option<Time>,
+}
+
+/// An order to stop a task instance.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Stop {
+    /// How long the task may take to save its work.
+    pub grace_s: f64,
+    /// When it was first ordered, whatever the grace period was.
+    pub ordered_at: Time,
+    /// When it last left for the worker.
+    pub sent_at: Option<Time>,
+}
+
+impl TaskInstance {
+    /// An instance whose start is decided and not sent yet.
+    pub fn queued() -> Self {
+        Self {
+            sent: Sent::Queued,
+            phase: None,
+            unacknowledged: false,
+            stop: None,
+            running_since: None,
+        }
+    }
+
+    /// An instance that a worker reports and this leader did not know.
+    pub fn reported(phase: TaskPhase) -> Self {
+        Self {
+            sent: Sent::Seen,
+            phase: Some(phase),
+            ..Self::queued()
+        }
+    }
+
+    /// How it ended, if it has.
+    pub fn exit(&self) -> Option<Exit> {
+        match self.phase {
+            Some(TaskPhase::Exited(exit)) => Some(exit),
+            _ => None,
+        }
+    }
+
+    /// Whether the task may be on the worker, now or later. One that has exited may not, even with
+    /// a start in flight: a worker ignores the start of an attempt that it holds, and an
+    /// unacknowledged attempt is never forgotten.
+    pub fn possible(&self) -> bool {
+        self.exit().is_none()
+    }
+
+    /// Whether its worker last reported it as running.
+    pub fn is_running(&self) -> bool {
+        matches!(self.phase, Some(TaskPhase::Running))
+    }
+
+    /// Whether its start is in a direct message with this id and the worker has not been heard of it.
+    pub fn sent_directly_in(&self, message_id: u64) -> bool {
+        self.sent == (Sent::Direct { message_id })
+    }
+}
--- /dev/null
+++ b/src/coordination/model/instance_types.rs
@@ -0,0 +1,58 @@
+//! The instance types of the cloud ("machine types" in settings and messages).
+
+use crate::protocol::cloud::MachineType;
+
+use super::interner::Interner;
+
+/// Instance types by index. An index without an entry is a type that a worker or a job has named
+/// and the cloud has not described.
+#[derive(Debug, Default)]
+pub struct Types {
+    /// Names of all types that were mentioned.
+    pub names: Interner,
+    /// What the cloud says of each, by index.
+    pub known: Vec<Option<MachineType>>,
+}
+
+impl Types {
+    /// Takes in the cloud's descriptions.
+    pub fn update(&mut self, types: Vec<MachineType>) {
+        for described in types {
+            let index = self.intern(&described.name) as usize;
+            self.known[index] = Some(described);
+        }
+    }
+
+    /// The index of a type's name, which is added if it is new.
+    pub fn intern(&mut self, name: &str) -> u32 {
+        let index = self.names.intern(name);
+        if self.known.len() <= index as usize {
+            self.known.resize(index as usize + 1, None);
+        }
+        index
+    }
+
+    /// The lowest rate at which any type fetches images, in GB/s.
+    pub fn slowest_fetch(&self) -> f64 {
+        self.known
+            .iter()
+            .flatten()
+            .map(|described| described.fetch_gb_per_s)
+            .fold(f64::INFINITY, f64::min)
+    }
+
+    /// The highest rate among the allowed types, in GB/s; infinite if none is described.
+    pub fn fastest_fetch(&self, allowed: Option<&[u32]>) -> f64 {
+        let rate = (0u32..)
+            .zip(&self.known)
+            .filter(|(index, _)| allowed.is_none_or(|list| list.contains(index)))
+            .filter_map(|(_, described)| Some(described.as_ref()?.fetch_gb_per_s))
+            .fold(0.0, f64::max);
+        if rate > 0.0 { rate } else { f64::INFINITY }
+    }
+
+    /// The description of a type, if the cloud has given one.
+    pub fn get(&self, index: u32) -> Option<&MachineType> {
+        self.known.get(index as usize).and_then(Option::as_ref)
+    }
+}
--- /dev/null
+++ b/src/coordination/model/mod.rs
@@ -0,0 +1,21 @@
+//! What the core keeps: jobs, workers, and every place where a task may be.
+
+mod instance;
+mod instance_types;
+mod interner;
+mod job;
+mod slab;
+mod worker;
+
+pub use instance::{InstanceId, Sent, Stop, TaskInstance};
+pub use instance_types::Types;
+pub use interner::Interner;
+pub use job::{Job, JobState, LargeTaskProfile, SchedulingClass, Task};
+pub use slab::Slab;
+pub use worker::{
+    HeartbeatReceipt, HeartbeatSequence, InFlightMessage, OrphanedTasks, Reservation, Unanswered,
+    Worker,
+};
+
+/// Seconds on this controller's steady clock.
+pub type Time = f64;
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -405,7 +405,7 @@
         for (_, m) in self.workers.iter_mut() {
             let empty = m.instances.is_empty()
                 && m.orphaned_tasks == OrphanedTasks::None
-                && m.in_message_id.is_none();
+                && m.in_flight.is_none();
             if empty && !waiting && !m.draining && m.idle_since.is_some_and(|t| now - t > idle_s) {
                 m.returning = true;
             }
@@ -496,7 +496,7 @@
                 );
                 self.workers[m].returning = true;
                 self.send_scale_in();
-            } else if worker.in_message_id.is_none() && worker.next_probe <= self.now {
+            } else if worker.in_flight.is_none() && worker.next_probe <= self.now {
                 let left = questions_left.get_or_insert_with(|| self.questions_left());
                 if *left > 0 {
                     *left -= 1;
--- a/src/coordination/sharding.rs
+++ b/src/coordination/sharding.rs
@@ -344,7 +344,7 @@
     /// What goes to a worker that a shard owner answers: as that answer has no orders, they leave
     /// with the next direct message.
     fn follow_up(&mut self, m: u32) {
-        if self.workers[m].in_message_id.is_some() {
+        if self.workers[m].in_flight.is_some() {
             return;
         }
         let commands = self.follow_up_commands(m, usize::MAX);
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -56,7 +56,7 @@
     pub(super) team_names: Interner,
     pub(super) teams: Vec<TeamUsage>,
     pub(super) jobs: Slab<Job>,
-    pub(super) job_ids: JobIds,
+    pub(super) job_ids: BTreeMap<JobId, u32>,
     pub(super) workers: Slab<Worker>,
     pub(super) worker_ids: HashMap<String, u32>,
     /// Workers that were returned: their late reports mean nothing.
