--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -460,7 +460,7 @@
             }
             Effect::Refuse { ticket, why } => {
                 if let Some(reply) = l.tickets.remove(&ticket) {
-                    let _ = reply.send(Outgoing::error(503, why));
+                    let _ = reply.send(Outgoing::error(503, &why.to_string()));
                 }
             }
             Effect::SendTo { ticket, controller } => {
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -17,6 +17,7 @@
 use super::auction::Group;
 pub use super::messages::*;
 use super::model::*;
+use super::reconciliation::Reconciliation;
 pub use super::state::{Config, Core, TeamUsage};
 use copperfield_fencing::FencingRecord;
 
@@ -95,14 +96,13 @@
             sharding: None,
             lease_extended_until: f64::NEG_INFINITY,
             valid_until: f64::NEG_INFINITY,
-            unknown_workers: false,
             next_batch: now,
             next_second: now,
             next_watch: now,
             move_credit: 0.0,
             migrations: Migrations::default(),
             drains: BTreeMap::new(),
-            reconciliation_complete: false,
+            reconciliation: Reconciliation::default(),
             failover: None,
         };
         core.types.update(types);
@@ -347,7 +347,7 @@
             fresh: 0,
             retry: VecDeque::new(),
             predates_election: stored.version < self.token,
-            blocked: stored.version < self.token && !self.reconciliation_complete,
+            blocked: stored.version < self.token && !self.reconciliation.is_complete(),
             seen_at: self.now - stored.age_s,
             accepted_ms: stored.accepted_ms,
             unplaced_since: None,
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -179,7 +179,7 @@
         let worker = &self.workers[m];
         let may_probe = worker.next_probe <= self.now;
         let unreconciled =
-            worker.known_to_predecessor && !worker.reconciled && !self.reconciliation_complete;
+            worker.known_to_predecessor && !worker.reconciled && !self.reconciliation.is_complete();
         let never = worker.incarnation <= worker.expired_incarnation;
         if never || (silent && unreconciled) {
             // Recorded by an earlier leader, and not heard yet, or heard by a shard owner before this
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -12,7 +12,7 @@
 use crate::storage::StoredFencingPage;
 use crate::storage::writer::{Write, Written};
 
-use super::messages::Effect;
+use super::messages::{Effect, HeartbeatRefusal};
 use super::model::*;
 use super::state::Core;
 
@@ -134,7 +134,7 @@
     pub(super) fn defer_answer(&mut self, ticket: u64, heartbeat: Heartbeat) {
         let name = heartbeat.worker.clone();
         if let Some((ticket, _)) = self.deferred_heartbeats.insert(name, (ticket, heartbeat)) {
-            let why = "a newer report has come";
+            let why = HeartbeatRefusal::Overtaken;
             self.effects.push(Effect::Refuse { ticket, why });
         }
     }
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -93,7 +93,7 @@
     /// Answer a report without renewing anything.
     Refuse {
         ticket: u64,
-        why: &'static str,
+        why: HeartbeatRefusal,
     },
     /// Answer a report without renewing anything: this node is to be reported to.
     SendTo {
@@ -147,10 +147,32 @@
     Deposed,
 }
 
-/// Where a report came from: only a `/hello` proves what became of the
-/// commands in the response before it, only a direct answer of its message.
+/// Why a heartbeat is not answered with commands and renews no lease.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum HeartbeatRefusal {
+    /// Its worker has seen a higher fencing token.
+    #[error("a newer leader is known")]
+    NewerLeader,
+    /// Its worker was scaled in; the message is a late one.
+    #[error("the machine was returned")]
+    ScaledIn,
+    /// The lease of its incarnation has expired; the message is a late one.
+    #[error("the session is over")]
+    IncarnationExpired,
+    /// It or a newer one has come before, here or at another controller.
+    #[error("this report or a newer one has come before")]
+    Duplicate,
+    /// A newer one has come while this one waited for its answer.
+    #[error("a newer report has come")]
+    Overtaken,
+}
+
+/// Where a heartbeat came from: only one that the worker sent by itself proves what became of the
+/// commands in the response before it, only a direct answer what became of its message.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Source {
-    Heartbeat,
+pub(crate) enum HeartbeatSource {
+    /// The worker sent it by itself.
+    Worker,
+    /// It is the answer to this direct message.
     Direct { message_id: u64, executed: bool },
 }
--- a/src/coordination/model/instance.rs
+++ b/src/coordination/model/instance.rs
@@ -66,11 +66,12 @@
         }
     }
 
-    /// An instance that a worker reports and this leader did not know.
-    pub fn reported(phase: TaskPhase) -> Self {
+    /// An instance that a worker lists and this leader did not know. Unless it has exited, its
+    /// phase is taken in as that of any other.
+    pub fn adopted(exited: Option<TaskPhase>) -> Self {
         Self {
             sent: Sent::Seen,
-            phase: Some(phase),
+            phase: exited,
             ..Self::queued()
         }
     }
@@ -95,7 +96,7 @@
         matches!(self.phase, Some(TaskPhase::Running))
     }
 
-    /// Whether its start is in a direct message with this id and the worker has not been heard of it.
+    /// Whether its start left in the direct message with this id and no heartbeat has shown it.
     pub fn sent_directly_in(&self, message_id: u64) -> bool {
         self.sent == (Sent::Direct { message_id })
     }
--- /dev/null
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -0,0 +1,289 @@
+//! Heartbeats: which are answered, by whom, and what they change.
+
+use std::collections::BTreeSet;
+
+use copperfield_sharding::Route;
+
+use crate::protocol::worker::{Heartbeat, TaskPhase, TaskStatus, orders_body};
+
+use crate::coordination::messages::{Effect, HeartbeatRefusal, HeartbeatSource};
+use crate::coordination::model::*;
+use crate::coordination::state::Core;
+
+impl Core {
+    /// Adds a worker that was not known.
+    pub(crate) fn add_worker(
+        &mut self,
+        name: &str,
+        address: &str,
+        kind: u32,
+        zone: u32,
+        spot: bool,
+    ) -> u32 {
+        let mut worker = Worker::new(name, address, kind, zone, spot);
+        worker.fenced = self.fencing.holds(name);
+        worker.draining = self.drains.contains_key(name);
+        let index = self.workers.insert(worker);
+        self.worker_ids.insert(name.to_string(), index);
+        self.add_worker_to_shards(index);
+        index
+    }
+
+    /// A heartbeat has come to this controller.
+    pub(crate) fn handle_heartbeat(&mut self, ticket: u64, heartbeat: Heartbeat) {
+        let m = match self.worker_of(&heartbeat) {
+            Ok(m) => m,
+            Err(why) => return self.effects.push(Effect::Refuse { ticket, why }),
+        };
+        let again = HeartbeatSequence::of(&heartbeat) == self.workers[m].newest_receipt.sequence;
+        if again || self.is_duplicate_heartbeat(m, &heartbeat, self.own_controller_index()) {
+            let why = HeartbeatRefusal::Duplicate;
+            return self.effects.push(Effect::Refuse { ticket, why });
+        }
+        self.answer_heartbeat(ticket, heartbeat);
+    }
+
+    /// Whether a newer heartbeat has come, or the same one to another controller. The worker no
+    /// longer waits for the answer to this one or has had it: it renews no lease and proves
+    /// nothing. Without this check, delayed duplicates kept dead workers from being released. A
+    /// shard owner forwards the same heartbeat until it may answer it; that is no duplicate.
+    pub(crate) fn is_duplicate_heartbeat(
+        &mut self,
+        m: u32,
+        heartbeat: &Heartbeat,
+        controller: u32,
+    ) -> bool {
+        let sequence = HeartbeatSequence::of(heartbeat);
+        let newest = &mut self.workers[m].newest_receipt;
+        let duplicate = sequence < newest.sequence
+            || (sequence == newest.sequence && controller != newest.controller);
+        if !duplicate {
+            *newest = HeartbeatReceipt {
+                sequence,
+                controller,
+            };
+        }
+        duplicate
+    }
+
+    /// Answers a heartbeat here, sends its worker to its shard owner, or defers the answer.
+    pub(crate) fn answer_heartbeat(&mut self, ticket: u64, heartbeat: Heartbeat) {
+        let m = match self.worker_of(&heartbeat) {
+            Ok(m) => m,
+            Err(why) => return self.effects.push(Effect::Refuse { ticket, why }),
+        };
+        let Some(heartbeat) = self.may_answer(m, ticket, heartbeat) else {
+            return;
+        };
+        let newer = self.is_newer(m, &heartbeat);
+        match self.route_heartbeat(m) {
+            Route::Here => {}
+            Route::Redirect(controller) => {
+                if newer {
+                    self.apply_heartbeat(m, heartbeat, HeartbeatSource::Worker);
+                }
+                return self.effects.push(Effect::SendTo { ticket, controller });
+            }
+            Route::Wait => return self.defer_answer(ticket, heartbeat),
+        }
+        self.workers[m].answered_at = Some(self.now);
+        let counter = heartbeat.counter;
+        let mut commands = Vec::new();
+        if newer {
+            self.apply_heartbeat(m, heartbeat, HeartbeatSource::Worker);
+            commands = self.collect_commands(m, counter);
+        }
+        self.effects.push(Effect::Answer {
+            ticket,
+            body: orders_body(self.token, None, &commands),
+        });
+    }
+
+    /// The worker that sent a heartbeat, added if it is new; or why this leader ignores it.
+    pub(crate) fn worker_of(&mut self, heartbeat: &Heartbeat) -> Result<u32, HeartbeatRefusal> {
+        if heartbeat.token > self.token {
+            self.effects.push(Effect::Deposed);
+            return Err(HeartbeatRefusal::NewerLeader);
+        }
+        if self.gone.contains(&heartbeat.worker) {
+            return Err(HeartbeatRefusal::ScaledIn);
+        }
+        let m = match self.worker_ids.get(&heartbeat.worker) {
+            Some(&m) => m,
+            None => self.add_booted_worker(heartbeat),
+        };
+        if heartbeat.incarnation <= self.workers[m].expired_incarnation {
+            // Delayed by the network: the lease of that incarnation expired long ago.
+            return Err(HeartbeatRefusal::IncarnationExpired);
+        }
+        Ok(m)
+    }
+
+    fn add_booted_worker(&mut self, heartbeat: &Heartbeat) -> u32 {
+        let kind = self.types.intern(&heartbeat.machine_type);
+        let zone = self.zones.intern(&heartbeat.zone);
+        tracing::info!(worker = heartbeat.worker, "worker joined");
+        self.handle_worker_boot(&heartbeat.worker);
+        self.add_worker(
+            &heartbeat.worker,
+            &heartbeat.address,
+            kind,
+            zone,
+            heartbeat.spot,
+        )
+    }
+
+    /// Whether a heartbeat tells more than the newest that was applied.
+    pub(crate) fn is_newer(&self, m: u32, heartbeat: &Heartbeat) -> bool {
+        HeartbeatSequence::of(heartbeat) > self.workers[m].sequence()
+    }
+
+    /// Takes in a heartbeat that is newer than all before it.
+    pub(crate) fn apply_heartbeat(
+        &mut self,
+        m: u32,
+        heartbeat: Heartbeat,
+        source: HeartbeatSource,
+    ) {
+        if heartbeat.incarnation > self.workers[m].incarnation {
+            self.begin_incarnation(m);
+        }
+        let counter = heartbeat.counter;
+        let reclaim_noticed = self.update_worker(m, &heartbeat);
+        self.register_worker(m);
+        let (listed, orphaned_tasks) = self.apply_listed_tasks(m, &heartbeat.tasks);
+        self.remove_absent_instances(m, &listed, counter, source);
+        self.workers[m].orphaned_tasks = orphaned_tasks;
+        if orphaned_tasks != OrphanedTasks::None {
+            self.clear_orphaned_tasks(m, &heartbeat.tasks);
+        }
+        if reclaim_noticed {
+            self.save_before_reclaim(m);
+        }
+        let now = self.now;
+        let worker = &mut self.workers[m];
+        if worker.instances.is_empty() && orphaned_tasks == OrphanedTasks::None {
+            worker.idle_since.get_or_insert(now);
+        } else {
+            worker.idle_since = None;
+        }
+    }
+
+    /// A new process of the worker holds none of the tasks of those before it.
+    fn begin_incarnation(&mut self, m: u32) {
+        let worker = &mut self.workers[m];
+        if worker.incarnation > 0 && !worker.instances.is_empty() {
+            tracing::info!(
+                worker = worker.name,
+                instances = worker.instances.len(),
+                "new incarnation: all its task instances are gone"
+            );
+        }
+        worker.reconciled = false;
+        // Its lease runs from when it began, which is before now. By the lease of the incarnation
+        // before it, what was started in this one would be taken for gone at once.
+        worker.answered_at = Some(self.now);
+        self.clear_worker(m);
+    }
+
+    /// Copies what the heartbeat says of the worker itself. Whether it is news that the cloud will
+    /// reclaim the worker.
+    fn update_worker(&mut self, m: u32, heartbeat: &Heartbeat) -> bool {
+        let now = self.now;
+        let worker = &mut self.workers[m];
+        worker.incarnation = heartbeat.incarnation;
+        worker.counter = heartbeat.counter;
+        worker.reconciled = heartbeat.token == self.token;
+        worker.last_heartbeat_at = Some(now);
+        worker.address.clone_from(&heartbeat.address);
+        if let Some(notice_s) = heartbeat.notice_s
+            && worker.reclaim_at.is_none()
+        {
+            tracing::info!(worker = worker.name, notice_s, "worker will be reclaimed");
+            worker.reclaim_at = Some(now + notice_s);
+            return true;
+        }
+        false
+    }
+
+    /// Applies the status of each listed task. The instances that were listed, and what was
+    /// listed of jobs that are not known.
+    fn apply_listed_tasks(
+        &mut self,
+        m: u32,
+        tasks: &[TaskStatus],
+    ) -> (BTreeSet<InstanceId>, OrphanedTasks) {
+        let mut listed = BTreeSet::new();
+        let mut orphaned_tasks = OrphanedTasks::None;
+        for status in tasks {
+            let Some(job) = self.known_job_of(status) else {
+                let orphaned = match status.phase {
+                    TaskPhase::Exited(_) => OrphanedTasks::Ended,
+                    _ => OrphanedTasks::Run,
+                };
+                orphaned_tasks = orphaned_tasks.max(orphaned);
+                continue;
+            };
+            let id = InstanceId {
+                job,
+                task: status.task,
+                attempt: status.attempt,
+            };
+            listed.insert(id);
+            self.apply_task_phase(m, id, status.phase);
+        }
+        (listed, orphaned_tasks)
+    }
+
+    /// The job of a listed task, if it is known and has such a task.
+    pub(super) fn known_job_of(&self, status: &TaskStatus) -> Option<u32> {
+        let job = *self.job_ids.get(&status.job)?;
+        ((status.task as usize) < self.jobs[job].tasks.len()).then_some(job)
+    }
+
+    /// Removes the instances that a heartbeat does not list and that it would list by now.
+    fn remove_absent_instances(
+        &mut self,
+        m: u32,
+        listed: &BTreeSet<InstanceId>,
+        counter: u64,
+        source: HeartbeatSource,
+    ) {
+        let absent: Vec<InstanceId> = self.workers[m]
+            .instances
+            .iter()
+            .filter(|(id, instance)| {
+                !listed.contains(*id)
+                    && !instance.unacknowledged
+                    && arrived_before(instance.sent, counter, source)
+            })
+            .map(|(id, _)| *id)
+            .collect();
+        for id in absent {
+            // An answer with a start in it was lost. Perhaps all are.
+            let lost = matches!(self.workers[m].instances[&id].sent, Sent::Response { .. });
+            self.workers[m].commands_unanswered |= lost;
+            self.remove_instance(m, id);
+            self.gang_lost_task(id);
+        }
+    }
+}
+
+/// Whether a start that was sent so had reached the worker, if it ever would, when the worker
+/// sent the heartbeat with this counter.
+fn arrived_before(sent: Sent, heartbeat_counter: u64, source: HeartbeatSource) -> bool {
+    match sent {
+        Sent::Queued => false,
+        Sent::Seen => true,
+        Sent::Response { counter } => {
+            source == HeartbeatSource::Worker && heartbeat_counter > counter
+        }
+        Sent::Direct { message_id } => {
+            source
+                == (HeartbeatSource::Direct {
+                    message_id,
+                    executed: true,
+                })
+        }
+    }
+}
--- a/src/coordination/registry.rs
+++ b/src/coordination/registry.rs
@@ -25,7 +25,7 @@
         page.version = stored.version;
         let Some(workers) = stored.workers else {
             page.unreadable = true;
-            self.unknown_workers = true;
+            self.reconciliation.record_unknown_workers();
             return;
         };
         for (name, record) in workers {
--- a/src/coordination/sharding.rs
+++ b/src/coordination/sharding.rs
@@ -7,7 +7,7 @@
 
 use crate::protocol::peer::{ForwardedHeartbeat, Outcome, ShardStatus, ShardUpdate};
 
-use super::messages::{Effect, Source};
+use super::messages::{Effect, HeartbeatSource};
 use super::model::*;
 use super::state::Core;
 
@@ -315,7 +315,7 @@
             let worker = &self.workers[m];
             let (answered_at, last_heartbeat_at) = (worker.answered_at, worker.last_heartbeat_at);
             let incarnation = worker.incarnation;
-            self.apply_heartbeat(m, heartbeat, Source::Heartbeat);
+            self.apply_heartbeat(m, heartbeat, HeartbeatSource::Worker);
             let worker = &mut self.workers[m];
             // Not now, but when the report came in.
             worker.last_heartbeat_at = last_heartbeat_at;
@@ -449,7 +449,7 @@
                 back.push(worker.number);
             }
         }
-        let calm = self.reconciliation_complete && silent * LOSS_PART <= all;
+        let calm = self.reconciliation.is_complete() && silent * LOSS_PART <= all;
         let now = ms(self.now);
         let sharding = self.sharding.as_mut().expect("looked at");
         for number in back {
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -14,6 +14,7 @@
 use super::failover::FailoverStats;
 use super::messages::Effect;
 use super::model::*;
+use super::reconciliation::Reconciliation;
 use super::sharding::Sharding;
 
 /// The batch window of the design.
@@ -89,8 +90,6 @@
     pub lease_extended_until: Time,
     /// Until when this leader is valid, for what it grants others.
     pub valid_until: Time,
-    /// A page of the worker registry cannot be read: any worker may hold anything.
-    pub(super) unknown_workers: bool,
     pub(super) next_batch: Time,
     pub(super) next_second: Time,
     pub(super) next_watch: Time,
@@ -99,8 +98,8 @@
     pub(super) migrations: Migrations,
     /// Nodes that operators drain, by name; they may be unknown yet.
     pub(super) drains: BTreeMap<String, Drain>,
-    /// No earlier leader's start can be anywhere unknown any more.
-    pub(super) reconciliation_complete: bool,
+    /// What is not known yet of the task instances of earlier leaders.
+    pub(super) reconciliation: Reconciliation,
     /// While it lasts.
     pub(super) failover: Option<FailoverStats>,
     pub(super) chunk_tasks: u32,
