--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -15,6 +15,7 @@
 use crate::storage::{Snapshot, StoredJob, bitmap};
 
 use super::auction::Group;
+use super::failover::FailoverStats;
 pub use super::messages::*;
 use super::model::*;
 use super::reconciliation::Reconciliation;
@@ -122,10 +123,18 @@
         for ix in core.jobs.indices() {
             core.finish_if_done(ix);
         }
-        core.begin_failover_stats();
+        core.failover = FailoverStats::begin(core.awaited_workers());
         core
     }
 
+    /// Workers whose heartbeats this leader waits for.
+    fn awaited_workers(&self) -> usize {
+        self.workers
+            .iter()
+            .filter(|(_, worker)| worker.known_to_predecessor && !worker.fenced)
+            .count()
+    }
+
     pub fn step(&mut self, now: Time, inputs: Vec<Input>) -> Vec<Effect> {
         if now - self.now > LAPSE_S {
             self.valid_since = now;
@@ -166,6 +175,26 @@
         std::mem::take(&mut self.effects)
     }
 
+    fn record_failover_progress(&mut self) {
+        let Some(failover) = &mut self.failover else {
+            return;
+        };
+        let workers = &self.workers;
+        let progress = failover.record_reconciled(self.now - self.elected_at, || {
+            let known = workers.iter().filter(|(_, w)| w.known_to_predecessor);
+            known.filter(|(_, w)| w.reconciled).count()
+        });
+        if progress.most_just_reconciled {
+            // What waited for these need not wait for the window's end as well.
+            self.next_batch = self.now;
+        }
+        if progress.ended {
+            let unresponsive = workers.iter().filter(|(_, w)| w.fenced).count();
+            failover.log(self.token, unresponsive);
+            self.failover = None;
+        }
+    }
+
     /// This process stood still while its clock ran on. Whoever was silent in that
     /// time was not asked: a node that had slept once gave leadership up, and might
     /// have returned good workers. Leases are another matter: they run on.
--- a/src/coordination/instances.rs
+++ b/src/coordination/instances.rs
@@ -248,7 +248,9 @@
             fetches = !self.workers[m].images.contains(&self.jobs[ix].image),
             "start"
         );
-        self.note_start();
+        if let Some(failover) = &mut self.failover {
+            failover.record_start(self.now - self.elected_at);
+        }
         self.add_instance(m, key, instance);
         let command = self.command(key, Verb::Start);
         let worker = &mut self.workers[m];
