--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -4,7 +4,7 @@
 //! something proves it gone; every start is checked against all copies that
 //! may exist at that moment.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
@@ -16,10 +16,12 @@
 
 use super::auction::Group;
 use super::failover::FailoverStats;
+use super::job_table::JobTable;
 pub use super::messages::*;
 use super::model::*;
 use super::reconciliation::Reconciliation;
 pub use super::state::{Config, Core, TeamUsage};
+use super::worker_table::WorkerTable;
 use copperfield_fencing::FencingRecord;
 
 use super::state::{Migrations, Provisioning, WINDOW_S, WorkerRegistry};
@@ -72,18 +74,13 @@
             image_gb: Vec::new(),
             team_names,
             teams,
-            jobs: Slab::default(),
-            job_ids: BTreeMap::new(),
-            workers: Slab::default(),
-            worker_ids: HashMap::new(),
-            gone: BTreeSet::new(),
+            jobs: JobTable::default(),
+            workers: WorkerTable::default(),
             provisioning,
             large_task_profiles: Vec::new(),
             scheduling_class: BTreeMap::new(),
             progress_due: VecDeque::new(),
             next_in_tail: 0,
-            over: HashMap::new(),
-            cancel_early: BTreeSet::new(),
             // Unique across leaders: no two have the same token.
             next_attempt: (token << 24) + 1,
             next_message_id: 1,
@@ -217,10 +214,10 @@
 
     /// What users are told of a job. Only for a leader whose lease is good.
     pub fn lookup(&self, id: JobId) -> Lookup {
-        if let Some(&end) = self.over.get(&id) {
+        if let Some(end) = self.jobs.outcome(id) {
             return Lookup::Terminal(end);
         }
-        match self.job_ids.get(&id).map(|&ix| &self.jobs[ix]) {
+        match self.jobs.index_of(id).map(|ix| &self.jobs[ix]) {
             Some(job) if job.state == JobState::Live => Lookup::Live {
                 phase: if job.running > 0 {
                     Phase::Running
@@ -339,7 +336,7 @@
     pub(super) fn add_job(&mut self, stored: StoredJob) {
         let id = stored.spec.id;
         // The watch may show again what the snapshot held, or a job that is over by now.
-        if self.job_ids.contains_key(&id) || self.over.contains_key(&id) {
+        if self.jobs.index_of(id).is_some() || self.jobs.outcome(id).is_some() {
             return;
         }
         let spec = stored.spec;
@@ -354,7 +351,7 @@
             .as_ref()
             .map(|list| list.iter().map(|t| self.types.intern(t)).collect());
         let chunks = spec.tasks.div_ceil(self.chunk_tasks) as usize;
-        let state = if self.cancel_early.contains(&id) {
+        let state = if self.jobs.is_cancelled_early(id) {
             JobState::Cancelling
         } else {
             JobState::Live
@@ -401,7 +398,6 @@
             spec,
         };
         let ix = self.jobs.insert(job);
-        self.job_ids.insert(id, ix);
         self.jobs[ix].large_task_profile = self.record_large_task_arrival(ix);
         self.jobs[ix].scheduling_class = self.scheduling_class_of(ix);
     }
@@ -437,7 +433,7 @@
     }
 
     pub(super) fn restore_progress(&mut self, id: JobId, chunk: u32, bits: &[u8], version: u64) {
-        let Some(&ix) = self.job_ids.get(&id) else {
+        let Some(ix) = self.jobs.index_of(id) else {
             // Left over from a job that has ended.
             self.drop_progress.push_back((id, chunk, version));
             return;
@@ -459,11 +455,11 @@
     }
 
     pub(super) fn begin_cancellation(&mut self, id: JobId) -> CancelBegin {
-        if let Some(&end) = self.over.get(&id) {
+        if let Some(end) = self.jobs.outcome(id) {
             return CancelBegin::Terminal(end);
         }
-        let Some(&ix) = self.job_ids.get(&id) else {
-            self.cancel_early.insert(id);
+        let Some(ix) = self.jobs.index_of(id) else {
+            self.jobs.record_early_cancellation(id);
             return CancelBegin::Go { done: 0 };
         };
         match self.jobs[ix].state {
@@ -482,12 +478,12 @@
     }
 
     pub(super) fn finish_cancellation(&mut self, id: JobId, end: Option<JobOutcome>) {
-        self.cancel_early.remove(&id);
+        self.jobs.forget_early_cancellation(id);
         match end {
             Some(end) => self.end_job(id, end),
             // It was never accepted, so there is nothing to hold back.
             None => {
-                if let Some(&ix) = self.job_ids.get(&id)
+                if let Some(ix) = self.jobs.index_of(id)
                     && self.jobs[ix].state == JobState::Cancelling
                 {
                     self.jobs[ix].state = JobState::Live;
@@ -499,8 +495,8 @@
 
     /// The stored end of a job: nothing of it runs any more.
     pub(super) fn end_job(&mut self, id: JobId, end: JobOutcome) {
-        self.over.insert(id, end);
-        let Some(&ix) = self.job_ids.get(&id) else {
+        self.jobs.record_outcome(id, end);
+        let Some(ix) = self.jobs.index_of(id) else {
             return;
         };
         let job = &mut self.jobs[ix];
@@ -577,7 +573,6 @@
         if !matches!(job.state, JobState::Terminal(_)) || job.entries > 0 {
             return;
         }
-        self.job_ids.remove(&job.spec.id);
         for (_, m) in self.workers.iter_mut() {
             m.reservations.retain(|c| c.job != ix);
             m.failed.remove(&ix);
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -204,7 +204,7 @@
             return Some(Reason::QuestionToSilent);
         }
         let reason = |c: &Command| match c.verb {
-            Verb::Start => match self.job_ids.get(&c.job).map(|&ix| &self.jobs[ix]) {
+            Verb::Start => match self.jobs.index_of(c.job).map(|ix| &self.jobs[ix]) {
                 Some(job) if job.is_service() => Reason::Replica,
                 Some(job) if job.spec.priority >= Priority::High => Reason::Rush,
                 _ => Reason::Rest,
@@ -229,7 +229,7 @@
             .filter(|c| c.verb == Verb::Start)
             .filter_map(|c| {
                 Some(InstanceId {
-                    job: *self.job_ids.get(&c.job)?,
+                    job: self.jobs.index_of(c.job)?,
                     task: c.task,
                     attempt: c.attempt,
                 })
--- a/src/coordination/drains.rs
+++ b/src/coordination/drains.rs
@@ -23,7 +23,7 @@
 
 impl Core {
     pub(super) fn restore_drain(&mut self, stored: StoredDrain) {
-        if let Some(&m) = self.worker_ids.get(&stored.node) {
+        if let Some(m) = self.workers.index_of(&stored.node) {
             self.workers[m].draining = true;
         }
         let drain = Drain {
@@ -79,7 +79,7 @@
         yes: bool,
         unix_ms: u64,
     ) {
-        let Some(&m) = self.worker_ids.get(&node) else {
+        let Some(m) = self.workers.index_of(&node) else {
             return self.no_such_node(ticket, &node);
         };
         let protected = self.protected_on(m);
@@ -117,7 +117,7 @@
             drain.until = None;
             drain.due = true;
             drain.waiters.push(ticket);
-        } else if self.worker_ids.contains_key(node) {
+        } else if self.workers.contains(node) {
             self.answer_node(ticket, node);
         } else {
             self.no_such_node(ticket, node);
@@ -174,7 +174,7 @@
             return;
         }
         if record.is_none() {
-            if let Some(&m) = self.worker_ids.get(&node) {
+            if let Some(m) = self.workers.index_of(&node) {
                 self.workers[m].draining = false;
             }
             let waiters = self.drains.remove(&node).map(|d| d.waiters);
@@ -203,8 +203,8 @@
 
     /// Also of a node that drains and that this leader has not heard of.
     fn node_named(&self, name: &str) -> views::Node {
-        match self.worker_ids.get(name) {
-            Some(&m) => self.node(m),
+        match self.workers.index_of(name) {
+            Some(m) => self.node(m),
             None => lost(name),
         }
     }
@@ -215,7 +215,7 @@
             .drains
             .iter()
             .filter(|(_, d)| d.record.is_some())
-            .filter_map(|(name, d)| Some((*self.worker_ids.get(name)?, d.until)))
+            .filter_map(|(name, d)| Some((self.workers.index_of(name)?, d.until)))
             .collect();
         for (m, until) in draining {
             if until.is_some_and(|t| t <= self.now) {
@@ -247,9 +247,9 @@
     }
 
     fn nodes(&self, since: &str) -> views::Nodes {
-        let known = self.worker_ids.keys().map(String::as_str);
+        let known = self.workers.names();
         let unknown = self.drains.keys().map(String::as_str);
-        let unknown = unknown.filter(|n| !self.worker_ids.contains_key(*n));
+        let unknown = unknown.filter(|n| !self.workers.contains(*n));
         let mut names: Vec<&str> = known.chain(unknown).filter(|n| *n > since).collect();
         names.sort_unstable();
         let more = names.len() > PAGE;
@@ -319,7 +319,7 @@
             age_s: self.now - r.began,
         };
         let waiting = |(id, reason): (&crate::protocol::JobId, &String)| {
-            let job = &self.jobs[*self.job_ids.get(id)?];
+            let job = &self.jobs[self.jobs.index_of(*id)?];
             (job.waiting() > 0).then(|| views::Waiting {
                 job: format!("{id} ({})", job.spec.class),
                 tasks: job.waiting(),
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -58,7 +58,7 @@
             };
             let entries: Option<Vec<_>> = ages.map(|a| a.into_iter().map(at).collect());
             for (name, at) in entries.iter().flatten() {
-                let Some(&m) = self.worker_ids.get(name) else {
+                let Some(m) = self.workers.index_of(name) else {
                     continue;
                 };
                 self.workers[m].answered_at = Some(*at);
@@ -74,7 +74,7 @@
         }
         self.mark_recorded();
         let names: Vec<String> = self.fencing.names().map(str::to_string).collect();
-        for name in names.iter().filter(|n| !self.worker_ids.contains_key(*n)) {
+        for name in names.iter().filter(|n| !self.workers.contains(*n)) {
             self.fencing.heard(name, ms(now + LATER_S));
         }
         if proved > 0 {
@@ -154,7 +154,7 @@
         let pages = super::persistence::TXN_BYTES / (8 * 1024);
         for write in self.fencing.writes(ms(self.now), limit.min(pages)) {
             for (name, _) in &write.entries {
-                if let Some(&m) = self.worker_ids.get(name) {
+                if let Some(m) = self.workers.index_of(name) {
                     self.workers[m].fenced = true;
                 }
                 *bytes += name.len() + 20;
--- a/src/coordination/migration.rs
+++ b/src/coordination/migration.rs
@@ -480,8 +480,8 @@
     /// Claims all targets, where lower work gives way if need be, and then stops the tasks
     /// in order; or does nothing if a target turns out to have no room.
     fn begin(&mut self, view: &View, moves: &[defrag::Move], wanted_by: Option<JobId>) -> bool {
-        let wanted = wanted_by.and_then(|id| self.job_ids.get(&id));
-        let large_task_profile = wanted.and_then(|&ix| self.jobs[ix].large_task_profile);
+        let wanted = wanted_by.and_then(|id| self.jobs.index_of(id));
+        let large_task_profile = wanted.and_then(|ix| self.jobs[ix].large_task_profile);
         let mut stops = Vec::new();
         let mut held: Vec<(u32, u32)> = Vec::new();
         for mv in moves {
@@ -600,7 +600,7 @@
             return Some(DONE);
         }
         let copy_at = |name: &str, test: &dyn Fn(&InstanceId) -> bool| {
-            let worker = self.worker_ids.get(name).map(|&m| &self.workers[m])?;
+            let worker = self.workers.index_of(name).map(|m| &self.workers[m])?;
             let mut instances = worker.instances.iter();
             instances
                 .find(|(k, c)| c.possible() && test(k))
@@ -627,7 +627,7 @@
 
     /// Room that was held for a move that does not come.
     fn let_go(&mut self, r: &TaskMigration) {
-        let Some(&to) = self.worker_ids.get(&r.to) else {
+        let Some(to) = self.workers.index_of(&r.to) else {
             return;
         };
         self.drop_hold(to, r.key.job);
--- a/src/coordination/persistence.rs
+++ b/src/coordination/persistence.rs
@@ -101,7 +101,7 @@
                     Written::Stored { .. } => self.end_job(job, completed(done)),
                     Written::Ended(end) => self.end_job(job, end),
                     Written::Again { .. } => {
-                        if let Some(&ix) = self.job_ids.get(&job) {
+                        if let Some(ix) = self.jobs.index_of(job) {
                             self.finish.push_back(ix);
                         }
                     }
@@ -134,7 +134,7 @@
             Written::Stored { version } | Written::Again { version } => *version,
             Written::Ended(_) => return,
         };
-        let Some(&ix) = self.job_ids.get(&id) else {
+        let Some(ix) = self.jobs.index_of(id) else {
             if version > 0 {
                 self.drop_progress.push_back((id, chunk, version));
             }
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -92,7 +92,7 @@
     pub(super) fn handle_worker_list(&mut self, list: Vec<ListedWorker>) {
         self.provisioning.listed_once = true;
         for entry in list {
-            if self.gone.contains(&entry.name) {
+            if self.workers.is_scaled_in(&entry.name) {
                 continue;
             }
             let kind = self.types.intern(&entry.machine_type);
@@ -100,8 +100,8 @@
             match entry.phase.as_str() {
                 // It stopped by itself; only its return proves that its tasks are gone.
                 "failed" => {
-                    let m = match self.worker_ids.get(&entry.name) {
-                        Some(&m) => m,
+                    let m = match self.workers.index_of(&entry.name) {
+                        Some(m) => m,
                         None => {
                             self.add_worker(&entry.name, &entry.address, kind, zone, entry.spot)
                         }
@@ -109,7 +109,7 @@
                     self.provisioning.booting.remove(&entry.name);
                     self.workers[m].returning = true;
                 }
-                "starting" if !self.worker_ids.contains_key(&entry.name) => {
+                "starting" if !self.workers.contains(&entry.name) => {
                     let since = self.now - entry.age_s;
                     self.provisioning
                         .booting
@@ -138,7 +138,7 @@
                 }
                 for name in names {
                     tracing::info!(worker = name, "rented");
-                    if !self.worker_ids.contains_key(&name) {
+                    if !self.workers.contains(&name) {
                         self.provisioning.booting.insert(
                             name,
                             BootingWorker {
@@ -167,8 +167,8 @@
         }
         for name in names {
             self.provisioning.booting.remove(&name);
-            self.gone.insert(name.clone());
-            let Some(m) = self.worker_ids.remove(&name) else {
+            self.workers.record_scaled_in(&name);
+            let Some(m) = self.workers.index_of(&name) else {
                 continue;
             };
             tracing::info!(worker = name, "returned: it and all on it are gone");
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -12,7 +12,7 @@
 impl Core {
     /// A direct message to a worker has ended.
     pub(crate) fn handle_command_outcome(&mut self, name: &str, message_id: u64, outcome: Outcome) {
-        let Some(&m) = self.worker_ids.get(name) else {
+        let Some(m) = self.workers.index_of(name) else {
             return;
         };
         let in_flight = &mut self.workers[m].in_flight;
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -24,7 +24,6 @@
         worker.fenced = self.fencing.holds(name);
         worker.draining = self.drains.contains_key(name);
         let index = self.workers.insert(worker);
-        self.worker_ids.insert(name.to_string(), index);
         self.add_worker_to_shards(index);
         index
     }
@@ -105,11 +104,11 @@
             self.effects.push(Effect::Deposed);
             return Err(HeartbeatRefusal::NewerLeader);
         }
-        if self.gone.contains(&heartbeat.worker) {
+        if self.workers.is_scaled_in(&heartbeat.worker) {
             return Err(HeartbeatRefusal::ScaledIn);
         }
-        let m = match self.worker_ids.get(&heartbeat.worker) {
-            Some(&m) => m,
+        let m = match self.workers.index_of(&heartbeat.worker) {
+            Some(m) => m,
             None => self.add_booted_worker(heartbeat),
         };
         if heartbeat.incarnation <= self.workers[m].expired_incarnation {
@@ -237,7 +236,7 @@
 
     /// The job of a listed task, if it is known and has such a task.
     pub(super) fn known_job_of(&self, status: &TaskStatus) -> Option<u32> {
-        let job = *self.job_ids.get(&status.job)?;
+        let job = self.jobs.index_of(status.job)?;
         ((status.task as usize) < self.jobs[job].tasks.len()).then_some(job)
     }
 
--- a/src/coordination/reconciliation/worker_commands.rs
+++ b/src/coordination/reconciliation/worker_commands.rs
@@ -88,7 +88,7 @@
         let later = worker.outbox.split_off(count);
         let commands = std::mem::replace(&mut worker.outbox, later);
         for command in &commands {
-            let Some(&job) = self.job_ids.get(&command.job) else {
+            let Some(job) = self.jobs.index_of(command.job) else {
                 continue;
             };
             let id = InstanceId {
--- a/src/coordination/registry.rs
+++ b/src/coordination/registry.rs
@@ -29,7 +29,7 @@
             return;
         };
         for (name, record) in workers {
-            if self.worker_ids.contains_key(&name) {
+            if self.workers.contains(&name) {
                 continue;
             }
             let kind = self.types.intern(&record.machine_type);
@@ -150,7 +150,7 @@
             Written::Stored { version } => {
                 page.version = *version;
                 for name in value.as_object().into_iter().flat_map(|o| o.keys()) {
-                    if let Some(&m) = self.worker_ids.get(name)
+                    if let Some(m) = self.workers.index_of(name)
                         // Not if it was struck while the page was being written.
                         && self.workers[m].page == Some(ix)
                     {
--- a/src/coordination/sharding.rs
+++ b/src/coordination/sharding.rs
@@ -379,7 +379,7 @@
         let Some((name, _)) = sharding.relayed.remove(&message_id) else {
             return;
         };
-        let Some(&m) = self.worker_ids.get(&name) else {
+        let Some(m) = self.workers.index_of(&name) else {
             return;
         };
         let worker = &self.workers[m];
@@ -490,7 +490,7 @@
     pub(super) fn answer_deferred_heartbeats(&mut self) {
         for (name, (ticket, heartbeat)) in std::mem::take(&mut self.deferred_heartbeats) {
             let fenced = self.fencing.holds(&name) && self.now >= self.lease_extended_until;
-            let m = self.worker_ids.get(&name).copied();
+            let m = self.workers.index_of(&name);
             if let Some(controller) = m.and_then(|m| self.shard_owner_of(m)) {
                 // It has found another way meanwhile.
                 self.effects.push(Effect::SendTo { ticket, controller });
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -1,21 +1,23 @@
 //! All that the leader's core keeps, as plain data: the modules above it each
 //! own a part of what is done with it.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 
 use copperfield_fencing::FencingRecord;
 
 use crate::protocol::JobId;
-use crate::protocol::job::{JobOutcome, Resources};
+use crate::protocol::job::Resources;
 use crate::protocol::worker::Heartbeat;
 use crate::settings::{Cluster, Tuning};
 use crate::storage::DrainRecord;
 
 use super::failover::FailoverStats;
+use super::job_table::JobTable;
 use super::messages::Effect;
 use super::model::*;
 use super::reconciliation::Reconciliation;
 use super::sharding::Sharding;
+use super::worker_table::WorkerTable;
 
 /// The batch window of the design.
 pub const WINDOW_S: f64 = 0.2;
@@ -56,12 +58,8 @@
     pub(super) image_gb: Vec<f64>,
     pub(super) team_names: Interner,
     pub(super) teams: Vec<TeamUsage>,
-    pub(super) jobs: Slab<Job>,
-    pub(super) job_ids: BTreeMap<JobId, u32>,
-    pub(super) workers: Slab<Worker>,
-    pub(super) worker_ids: HashMap<String, u32>,
-    /// Workers that were returned: their late reports mean nothing.
-    pub(super) gone: BTreeSet<String>,
+    pub(super) jobs: JobTable,
+    pub(super) workers: WorkerTable,
     pub(super) provisioning: Provisioning,
     pub(super) large_task_profiles: Vec<LargeTaskProfile>,
     pub(super) scheduling_class: BTreeMap<SchedulingClass, u32>,
@@ -69,10 +67,6 @@
     pub(super) progress_due: VecDeque<(u32, u32)>,
     /// Where the last batch left off among the jobs that it had no time for.
     pub(super) next_in_tail: usize,
-    /// Jobs that ended under this leader, by number.
-    pub(super) over: HashMap<JobId, JobOutcome>,
-    /// Jobs to be cancelled that the watch has not shown yet.
-    pub(super) cancel_early: BTreeSet<JobId>,
     pub(super) next_attempt: u64,
     pub(super) next_message_id: u64,
     pub(super) effects: Vec<Effect>,
--- /dev/null
+++ b/src/coordination/worker_table.rs
@@ -0,0 +1,84 @@
+//! The workers that this leader knows, by index and by name.
+
+use std::collections::{BTreeSet, HashMap};
+
+use super::model::{Slab, Worker};
+
+/// Workers by index, their names, and the names of those that were scaled in.
+#[derive(Debug, Default)]
+pub(super) struct WorkerTable {
+    workers: Slab<Worker>,
+    by_name: HashMap<String, u32>,
+    /// Their late heartbeats mean nothing. Names are never used twice.
+    scaled_in: BTreeSet<String>,
+}
+
+impl WorkerTable {
+    /// Adds a worker and returns its index.
+    pub(super) fn insert(&mut self, worker: Worker) -> u32 {
+        let name = worker.name.clone();
+        let index = self.workers.insert(worker);
+        self.by_name.insert(name, index);
+        index
+    }
+
+    /// Takes out a worker; its index may be another's after that.
+    pub(super) fn remove(&mut self, index: u32) {
+        if let Some(worker) = self.workers.remove(index) {
+            self.by_name.remove(&worker.name);
+        }
+    }
+
+    /// The cloud has taken this worker back; its name stands for nothing any more.
+    pub(super) fn record_scaled_in(&mut self, name: &str) {
+        self.scaled_in.insert(name.to_string());
+    }
+
+    /// Whether the cloud has taken this worker back.
+    pub(super) fn is_scaled_in(&self, name: &str) -> bool {
+        self.scaled_in.contains(name)
+    }
+
+    /// The index of a worker.
+    pub(super) fn index_of(&self, name: &str) -> Option<u32> {
+        self.by_name.get(name).copied()
+    }
+
+    /// Whether a worker of this name is known.
+    pub(super) fn contains(&self, name: &str) -> bool {
+        self.by_name.contains_key(name)
+    }
+
+    /// The names of all workers, in no order.
+    pub(super) fn names(&self) -> impl Iterator<Item = &str> {
+        self.by_name.keys().map(String::as_str)
+    }
+
+    /// All workers with their indices, ascending.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (u32, &Worker)> {
+        self.workers.iter()
+    }
+
+    /// All workers with their indices, ascending, to be changed.
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (u32, &mut Worker)> {
+        self.workers.iter_mut()
+    }
+
+    /// All indices, ascending; for loops that change workers.
+    pub(super) fn indices(&self) -> Vec<u32> {
+        self.workers.indices()
+    }
+}
+
+impl std::ops::Index<u32> for WorkerTable {
+    type Output = Worker;
+    fn index(&self, index: u32) -> &Worker {
+        &self.workers[index]
+    }
+}
+
+impl std::ops::IndexMut<u32> for WorkerTable {
+    fn index_mut(&mut self, index: u32) -> &mut Worker {
+        &mut self.workers[index]
+    }
+}
