--- /dev/null
+++ b/src/coordination/demand_log.rs
@@ -0,0 +1,97 @@
+//! Supply and demand in the debug log, for whoever looks for the cause of a delay.
+
+use std::collections::BTreeMap;
+
+use crate::protocol::job::Resources;
+
+use super::model::*;
+use super::state::Core;
+
+/// Tasks of the jobs of one class.
+#[derive(Default)]
+struct Demand {
+    jobs: u32,
+    waiting: u32,
+    placed: u32,
+    running: u32,
+}
+
+/// Workers of one instance type, zone and price.
+#[derive(Default)]
+struct Supply {
+    all: u32,
+    usable: u32,
+    empty: u32,
+    with_gangs: u32,
+    with_replicas: u32,
+    kept_empty: u32,
+    with_reservations: u32,
+}
+
+impl Core {
+    /// Logs what each class waits for and what the workers have.
+    pub(super) fn log_demand(&self) {
+        if !tracing::enabled!(tracing::Level::DEBUG) {
+            return;
+        }
+        for (class, demand) in self.demand() {
+            tracing::debug!(
+                class,
+                jobs = demand.jobs,
+                waiting = demand.waiting,
+                placed = demand.placed,
+                running = demand.running,
+                "demand"
+            );
+        }
+        for ((kind, zone, spot), supply) in self.supply() {
+            tracing::debug!(
+                kind = self.types.names.name(kind),
+                zone = self.zones.name(zone),
+                spot,
+                all = supply.all,
+                usable = supply.usable,
+                empty = supply.empty,
+                gangs = supply.with_gangs,
+                replicas = supply.with_replicas,
+                kept = supply.kept_empty,
+                reserved = supply.with_reservations,
+                "supply"
+            );
+        }
+    }
+
+    fn demand(&self) -> BTreeMap<&str, Demand> {
+        let mut classes: BTreeMap<&str, Demand> = BTreeMap::new();
+        for (_, job) in self.jobs.iter().filter(|(_, j)| j.state == JobState::Live) {
+            let demand = classes.entry(&job.spec.class).or_default();
+            demand.jobs += 1;
+            demand.waiting += job.waiting();
+            demand.placed += job.active - job.running.min(job.active);
+            demand.running += job.running;
+        }
+        classes
+    }
+
+    fn supply(&self) -> BTreeMap<(u32, u32, bool), Supply> {
+        let mut places: BTreeMap<(u32, u32, bool), Supply> = BTreeMap::new();
+        for (m, worker) in self.workers.iter() {
+            let place = (worker.kind, worker.zone, worker.spot);
+            let supply = places.entry(place).or_default();
+            let usable = self.worker_usable(m);
+            supply.all += 1;
+            supply.usable += u32::from(usable);
+            supply.empty += u32::from(usable && worker.used == Resources::default());
+            supply.with_gangs += u32::from(self.holds_any(worker, Job::is_gang));
+            supply.with_replicas += u32::from(self.holds_any(worker, Job::is_service));
+            supply.kept_empty += u32::from(worker.reserved_for.is_some());
+            supply.with_reservations += u32::from(!worker.reservations.is_empty());
+        }
+        places
+    }
+
+    fn holds_any(&self, worker: &Worker, test: fn(&Job) -> bool) -> bool {
+        let mut instances = worker.instances.iter().filter(|(_, i)| i.possible());
+        instances.any(|(id, _)| test(&self.jobs[id.job]))
+    }
+}
--- a/src/coordination/instances.rs
+++ b/src/coordination/instances.rs
@@ -1,6 +1,5 @@
 //! Copies of tasks: where each may be, and every condition of a start.
 
-use crate::protocol::job::Resources;
 use crate::protocol::worker::{Command, Verb};
 
 use super::model::*;
@@ -68,7 +67,7 @@
         if instance.possible() {
             self.release(m, key);
         }
-        self.free_if_over(key.job);
+        self.free_if_ended(key.job);
     }
 
     /// Everything on a worker is gone.
@@ -121,110 +120,6 @@
         self.next_attempt
     }
 
-    /// Every condition a start must meet, against all copies that may exist.
-    pub(super) fn may_start(&self, ix: u32, task: u32, m: u32) -> bool {
-        let job = &self.jobs[ix];
-        let worker = &self.workers[m];
-        let t = &job.tasks[task as usize];
-        job.state == JobState::Live
-            && !t.done
-            && t.instances == 0
-            && f64::from(t.not_before) <= self.now
-            && !job.blocked
-            && self.worker_usable(m)
-            && self.worker_allowed(ix, m)
-            && job.spec.needs.fits_in(&self.free_room(m))
-            && self.zone_allows(ix, worker.zone)
-            && self.team_allows(job.team, &job.spec.needs)
-    }
-
-    pub(super) fn zone_allows(&self, ix: u32, zone: u32) -> bool {
-        self.zone_allows_more(ix, zone, 0)
-    }
-
-    /// The same with room for `planned` more tasks already spoken for.
-    pub(super) fn zone_allows_more(&self, ix: u32, zone: u32, planned: u32) -> bool {
-        let job = &self.jobs[ix];
-        let here = job.by_zone.get(zone as usize).copied().unwrap_or(0);
-        here + planned < job.zone_cap()
-            && (!job.spec.one_zone || job.by_zone.iter().sum::<u32>() == here)
-    }
-
-    pub(super) fn team_allows(&self, team: u32, needs: &Resources) -> bool {
-        let t = &self.teams[team as usize];
-        let mut all = t.used;
-        all.add(&t.unknown);
-        all.add(needs);
-        (t.limit.cpus == 0 || all.cpus <= t.limit.cpus)
-            && (t.limit.gpus == 0 || all.gpus <= t.limit.gpus)
-    }
-
-    /// Whether the job's own conditions allow the worker at all.
-    pub(super) fn worker_allowed(&self, ix: u32, m: u32) -> bool {
-        let worker = &self.workers[m];
-        self.worker_suits(ix, m) && worker.failed.get(&ix).is_none_or(|&t| t <= self.now)
-    }
-
-    /// The same whatever has happened on it: where any leader may start the job.
-    pub(super) fn worker_suits(&self, ix: u32, m: u32) -> bool {
-        let job = &self.jobs[ix];
-        let worker = &self.workers[m];
-        (!worker.spot || job.spec.spot)
-            && job.zone.is_none_or(|z| z == worker.zone)
-            && job
-                .types
-                .as_ref()
-                .is_none_or(|list| list.contains(&worker.kind))
-    }
-
-    /// How long a worker may be silent before nothing new is sent to it.
-    pub(super) fn unresponsive_after_s(&self) -> f64 {
-        self.config.cluster.workers.report_s * 1.25 + 1.0
-    }
-
-    pub(super) fn is_unresponsive(&self, m: u32) -> bool {
-        self.workers[m]
-            .last_heartbeat_at
-            .is_none_or(|t| self.now - t > self.unresponsive_after_s())
-    }
-
-    /// Whether a worker that may answer orders has not reported for half a lease: nothing renews
-    /// its lease, and what is started there dies with it.
-    fn is_mute(&self, m: u32) -> bool {
-        // While nobody was valid reports were refused, and nobody was mute for that.
-        let listening = self.listening_since.max(self.valid_since);
-        let since = self.workers[m].reported_at;
-        let since = since.map_or(listening, |at| at.max(listening));
-        let patience = self.config.cluster.workers.lease_s / 2.0;
-        self.now - since > patience.max(self.unresponsive_after_s())
-    }
-
-    pub(super) fn worker_usable(&self, m: u32) -> bool {
-        let worker = &self.workers[m];
-        worker.reconciled
-            && !worker.returning
-            && !worker.draining
-            && worker.orphaned_tasks == OrphanedTasks::None
-            && !worker.commands_unanswered
-            && worker.registered
-            && !worker.fenced
-            && worker.reclaim_at.is_none()
-            && worker.quarantined_until <= self.now
-            && worker.incarnation > worker.expired_incarnation
-            && !self.is_unresponsive(m)
-            && !self.is_mute(m)
-    }
-
-    pub(super) fn free_room(&self, m: u32) -> Resources {
-        let worker = &self.workers[m];
-        let Some(kind) = self.types.get(worker.kind) else {
-            return Resources::default();
-        };
-        let mut room = kind.whole;
-        room.sub(&worker.used);
-        room
-    }
-
     /// Decides a start. The caller has checked `may_start`.
     pub(super) fn start(&mut self, ix: u32, task: u32, m: u32, attempt: u64) {
         let key = InstanceId {
@@ -260,4 +155,47 @@
         }
         worker.reservations.retain(|c| c.count > 0);
     }
+
+    pub(super) fn instances_of(&self, m: u32, job: u32) -> Vec<InstanceId> {
+        let from = InstanceId {
+            job,
+            task: 0,
+            attempt: 0,
+        };
+        let to = InstanceId {
+            job,
+            task: u32::MAX,
+            attempt: u64::MAX,
+        };
+        self.workers[m]
+            .instances
+            .range(from..=to)
+            .map(|(k, _)| *k)
+            .collect()
+    }
+
+    pub(super) fn unqueue(&mut self, m: u32, key: InstanceId) {
+        let id = self.jobs[key.job].spec.id;
+        self.workers[m].outbox.retain(|c| {
+            !(c.verb == Verb::Start
+                && c.job == id
+                && c.task == key.task
+                && c.attempt == key.attempt)
+        });
+        self.remove_instance(m, key);
+    }
+
+    /// No start that has not left for a worker leaves for it any more.
+    pub(super) fn unqueue_all(&mut self, m: u32) {
+        let queued: Vec<InstanceId> = self.workers[m]
+            .instances
+            .iter()
+            .filter(|(_, c)| c.sent == Sent::Queued)
+            .map(|(k, _)| *k)
+            .collect();
+        for key in queued {
+            self.unqueue(m, key);
+            self.gang_lost_task(key);
+        }
+    }
 }
--- /dev/null
+++ b/src/coordination/jobs.rs
@@ -0,0 +1,198 @@
+//! The life of a job in the core: from its stored record to its stored end.
+
+use crate::protocol::JobId;
+use crate::protocol::cloud::MachineType;
+use crate::protocol::job::{JobOutcome, Kind};
+use crate::storage::StoredJob;
+
+use super::auction::Group;
+use super::model::*;
+use super::objectives;
+use super::state::{Core, TeamUsage};
+
+/// How long a job's done bits may wait to be stored together.
+const PROGRESS_EVERY_S: Time = 2.0;
+/// Arrays of at most so many tasks bid with those of their scheduling class.
+const FEW_TASKS: u32 = 8;
+/// Steps of memory in a scheduling class to a factor of two.
+const MEMORY_STEPS_PER_DOUBLING: f64 = 2.0;
+
+impl Core {
+    /// Takes in the cloud's descriptions of instance types.
+    pub(super) fn learn_types(&mut self, types: Vec<MachineType>) {
+        self.types.update(types);
+        for ix in self.jobs.indices() {
+            // Jobs that came before their types were known.
+            if self.jobs[ix].large_task_profile.is_none() {
+                self.jobs[ix].large_task_profile = self.record_large_task_arrival(ix);
+            }
+        }
+    }
+
+    /// The index of an image, and its size, if that is known.
+    pub(super) fn intern_image(&mut self, name: &str, gb: f64) -> u32 {
+        let ix = self.images.intern(name);
+        if self.image_gb.len() <= ix as usize {
+            self.image_gb.resize(ix as usize + 1, 0.0);
+        }
+        if gb > 0.0 {
+            self.image_gb[ix as usize] = gb;
+        }
+        ix
+    }
+
+    /// Adds a stored job, unless it is known or has ended.
+    pub(super) fn add_job(&mut self, stored: StoredJob) {
+        let id = stored.spec.id;
+        // The watch may show again what the snapshot held, or a job that has ended by now.
+        if self.jobs.index_of(id).is_some() || self.jobs.outcome(id).is_some() {
+            return;
+        }
+        let spec = stored.spec;
+        let image = self.intern_image(&spec.image, spec.image_gb);
+        let team = self.intern_team(&spec.team);
+        let zone = spec.zone.as_ref().map(|zone| self.zones.intern(zone));
+        let types = spec
+            .machine_types
+            .as_ref()
+            .map(|list| list.iter().map(|t| self.types.intern(t)).collect());
+        let chunks = spec.tasks.div_ceil(self.chunk_tasks) as usize;
+        let fetch_s = spec.image_gb / self.types.fastest_fetch(types.as_deref());
+        let predates_election = stored.version < self.token;
+        let wanted = &self.config.cluster.objectives;
+        let tuning = &self.config.tuning;
+        let mut job = Job::new(spec, team, image);
+        if self.jobs.is_cancelled_early(id) {
+            job.state = JobState::Cancelling;
+        }
+        job.version = stored.version;
+        job.zone = zone;
+        job.types = types;
+        job.by_zone = vec![0; self.zones.len()];
+        job.chunks = vec![0; chunks];
+        job.chunk_due = vec![None; chunks];
+        job.predates_election = predates_election;
+        job.blocked = predates_election && !self.reconciliation.is_complete();
+        job.seen_at = self.now - stored.age_s;
+        job.accepted_ms = stored.accepted_ms;
+        job.worthwhile_s = objectives::worthwhile_s(wanted, &job.spec);
+        job.patience_s = objectives::patience_s(wanted, &job.spec);
+        job.start_by = objectives::start_by(wanted, &job.spec, fetch_s);
+        job.movable = objectives::movable(tuning, &job.spec);
+        job.pinned = objectives::pinned(tuning, &job.spec);
+        job.protected = objectives::protected(tuning, &job.spec);
+        let ix = self.jobs.insert(job);
+        self.jobs[ix].large_task_profile = self.record_large_task_arrival(ix);
+        self.jobs[ix].scheduling_class = self.scheduling_class_of(ix);
+    }
+
+    fn intern_team(&mut self, name: &str) -> u32 {
+        let team = self.team_names.intern(name);
+        if self.teams.len() <= team as usize {
+            self.teams.resize(team as usize + 1, TeamUsage::default());
+        }
+        team
+    }
+
+    /// The scheduling class of a job, if its tasks bid with those of others.
+    fn scheduling_class_of(&mut self, ix: u32) -> Option<u32> {
+        let job = &self.jobs[ix];
+        let spec = &job.spec;
+        let small =
+            spec.kind == Kind::Array && spec.tasks <= FEW_TASKS && job.large_task_profile.is_none();
+        if !small || spec.one_zone || spec.spread {
+            return None;
+        }
+        let (cpu_slots, gpu_slots) = Group::sized(&spec.needs, self.config.tuning.slot_cpus);
+        let class = SchedulingClass {
+            team: job.team,
+            priority: spec.priority,
+            class: spec.class.clone(),
+            image: job.image,
+            zone: job.zone,
+            types: job.types.clone(),
+            spot: spec.spot,
+            cpu_slots,
+            gpu_slots,
+            memory_step: ((spec.needs.memory.max(1) as f64).log2() * MEMORY_STEPS_PER_DOUBLING)
+                .ceil() as u32,
+        };
+        let next = self.scheduling_class.len() as u32;
+        Some(*self.scheduling_class.entry(class).or_insert(next))
+    }
+
+    /// The end of a job is stored: nothing of it runs any more.
+    pub(super) fn end_job(&mut self, id: JobId, outcome: JobOutcome) {
+        self.jobs.record_outcome(id, outcome);
+        let Some(ix) = self.jobs.index_of(id) else {
+            return;
+        };
+        let job = &mut self.jobs[ix];
+        job.state = JobState::Terminal(outcome);
+        let chunks: Vec<(u32, u64)> = (0u32..).zip(job.chunks.iter().copied()).collect();
+        for (chunk, version) in chunks {
+            if version > 0 {
+                self.drop_progress.push_back((id, chunk, version));
+            }
+        }
+        tracing::info!(job = %id, phase = outcome.phase.spelling(), "job finished");
+        if self.jobs[ix].entries == 0 {
+            self.free_if_ended(ix);
+            return;
+        }
+        // The last of its instances to go frees the job.
+        self.stop_all_of(ix);
+    }
+
+    /// Nothing of a job starts any more, and all of it that may be on a worker is stopped.
+    pub(super) fn stop_all_of(&mut self, ix: u32) {
+        for m in self.workers.indices() {
+            for key in self.instances_of(m, ix) {
+                self.stop_instance(m, key, 0.0);
+            }
+        }
+    }
+
+    /// Forgets a job that has ended once no worker holds anything of it.
+    pub(super) fn free_if_ended(&mut self, ix: u32) {
+        let job = &self.jobs[ix];
+        if !matches!(job.state, JobState::Terminal(_)) || job.entries > 0 {
+            return;
+        }
+        for (_, worker) in self.workers.iter_mut() {
+            worker
+                .reservations
+                .retain(|reservation| reservation.job != ix);
+            worker.failed.remove(&ix);
+        }
+        self.jobs.remove(ix);
+    }
+
+    /// A task has ended well.
+    pub(super) fn mark_done(&mut self, ix: u32, task: u32) {
+        let chunk_tasks = self.chunk_tasks;
+        let due = self.now + PROGRESS_EVERY_S;
+        let job = &mut self.jobs[ix];
+        let is_service = job.is_service();
+        let state = &mut job.tasks[task as usize];
+        if state.done || is_service {
+            return;
+        }
+        state.done = true;
+        if state.instances > 0 {
+            job.active -= 1;
+        }
+        job.done += 1;
+        self.progress_due(ix, task / chunk_tasks, due);
+        self.finish_if_done(ix);
+    }
+
+    /// Has the end of a job stored once all of its tasks are done.
+    pub(super) fn finish_if_done(&mut self, ix: u32) {
+        let job = &mut self.jobs[ix];
+        if job.state == JobState::Live && job.done == job.spec.tasks {
+            job.state = JobState::Finishing;
+            self.finish.push_back(ix);
+        }
+    }
+}
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -7,7 +7,9 @@
 //! moves, drains, the fleet and its worker registry.
 
 pub mod auction;
+mod cancellation;
 pub mod core;
+mod demand_log;
 mod dispatch;
 mod drains;
 pub mod election;
@@ -17,9 +19,11 @@
 mod gangs;
 mod instances;
 mod job_table;
+mod jobs;
 mod messages;
 mod migration;
 pub mod model;
+mod objectives;
 mod persistence;
 mod placement;
 mod preemption;
@@ -28,5 +32,6 @@
 mod reconciliation;
 mod registry;
 mod sharding;
+mod start_conditions;
 mod state;
 mod worker_table;
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -116,6 +116,50 @@
 const SERVICE_WORK_S: f64 = 600.0;
 
 impl Job {
+    /// A job that nobody has started. What depends on the cluster, its settings and the stored
+    /// record is left for the caller to set.
+    pub fn new(spec: JobSpec, team: u32, image: u32) -> Self {
+        Self {
+            version: 0,
+            state: JobState::Live,
+            team,
+            image,
+            zone: None,
+            types: None,
+            tasks: vec![Task::default(); spec.tasks as usize],
+            done: 0,
+            active: 0,
+            running: 0,
+            by_zone: Vec::new(),
+            fresh: 0,
+            retry: VecDeque::new(),
+            predates_election: false,
+            blocked: false,
+            seen_at: 0.0,
+            accepted_ms: 0,
+            unplaced_since: None,
+            worthwhile_s: 0.0,
+            patience_s: 0.0,
+            start_by: Vec::new(),
+            scheduling_class: None,
+            large_task_profile: None,
+            attempt: None,
+            proved: false,
+            failed_on: Vec::new(),
+            failures: 0,
+            retry_at: 0.0,
+            chunks: Vec::new(),
+            chunk_due: Vec::new(),
+            entries: 0,
+            within_quota: false,
+            warned_at: 0.0,
+            movable: false,
+            pinned: false,
+            protected: false,
+            spec,
+        }
+    }
+
     /// Tasks that are neither done nor possibly on a worker.
     pub fn waiting(&self) -> u32 {
         self.spec.tasks - self.done - self.active
