--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -1,9 +1,10 @@
-//! Who is written to next: questions of a new leader, orders that cannot wait for a report.
+//! Which worker a direct message is sent to next: probes of a new leader, and commands that cannot
+//! wait for a heartbeat.
 //!
-//! A leader has a part of a core. With everything sent at once, after an election or when the
-//! leases of a zone run out, thousands of messages waited for the processor together: questions
-//! timed out before their answers were read and were asked again, and the renewal of the
-//! leader's own lease came last. So few are out at a time, and the most urgent go first.
+//! A leader has a part of a CPU core. With everything sent at once, after an election or when the
+//! leases of a zone expire, thousands of messages would wait for the processor together: probes
+//! would time out before their answers are read and be sent again, and the renewal of the leader's
+//! own lease would come last. So few are in flight at a time, and the most urgent go first.
 
 use crate::protocol::job::Priority;
 use crate::protocol::worker::{Command, Verb};
@@ -12,56 +13,70 @@
 use super::model::*;
 use super::state::Core;
 
-/// Messages that are out and may be answered any moment.
+/// Messages in flight that may be answered any moment.
 const WINDOW: usize = 256;
-/// What a message of this node's own takes of the window, and one that a shard owner carries.
-const WHOLE: usize = 4;
-const CARRIED: usize = 1;
-/// One that is out for longer waits for a worker, not for this process, and makes way: on
+/// What a message takes of the window that this controller delivers itself.
+const OWN_COST: usize = 4;
+/// What a message takes of the window that a shard owner delivers.
+const RELAYED_COST: usize = 1;
+/// One in flight for longer waits for a worker, not for this process, and leaves the window: on
 /// ordinary days answers come within 20 ms.
-const YOUNG_S: Time = 0.2;
-/// Questions to workers that are late or silent, at once: most wait out their deadline.
-const TO_SILENT: usize = 64;
-/// So many old ones of a zone are not taken for a sign yet.
+const RECENT_S: Time = 0.2;
+/// Messages in flight at once to workers that are late or unresponsive: most of these wait out
+/// their deadline.
+const MAX_TO_UNRESPONSIVE: usize = 64;
+/// So many older messages to a zone are not taken for a sign that it is partitioned.
 const FEW_OLD: usize = 8;
+/// A worker is not probed again for so long.
+const PROBE_INTERVAL_S: Time = 1.0;
+/// Heartbeats are late after this multiple of their interval.
+const LATE_FACTOR: f64 = 1.04;
 
-/// Why a worker is written to, the most urgent first.
+/// Why a message is sent to a worker, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Reason {
-    /// Until it has told what it holds, others wait.
-    PendingLookup,
+    /// Until the worker has reported what it holds, jobs are blocked.
+    Reconcile,
+    /// The start of a service's replica.
     Replica,
-    /// Rush work, and stops, which make room or have a deadline.
-    Rush,
-    Rest,
-    QuestionToSilent,
+    /// High-priority work, and stops, which make room or have a deadline.
+    Urgent,
+    /// Any other command.
+    Other,
+    /// A probe of a worker that is late or unresponsive.
+    ProbeUnresponsive,
 }
 
-/// What is out, and to whom.
+/// What is in flight, and to whom.
 #[derive(Default)]
 struct InFlightLoad {
-    young: usize,
-    to_silent: usize,
-    /// By zone, those that have waited for longer: a zone that does not answer is asked last.
-    predates_election: Vec<usize>,
+    /// What recent messages take of the window.
+    recent: usize,
+    to_unresponsive: usize,
+    /// By zone, messages that are not recent: a zone that does not answer comes last.
+    old_by_zone: Vec<usize>,
 }
 
 /// What a message takes of the window.
-fn cost(message_id: &InFlightMessage) -> usize {
-    if message_id.relayed { CARRIED } else { WHOLE }
+fn cost(message: &InFlightMessage) -> usize {
+    if message.relayed {
+        RELAYED_COST
+    } else {
+        OWN_COST
+    }
 }
 
 impl Core {
-    /// Asks a worker for its report.
+    /// Asks a worker for its heartbeat.
     pub(super) fn ask_worker(&mut self, m: u32) {
         let message_id = self.new_message_id();
-        self.workers[m].next_probe = self.now + 1.0;
+        self.workers[m].next_probe = self.now + PROBE_INTERVAL_S;
         let via = self.record_in_flight(m, message_id, Vec::new(), false);
         let worker = &self.workers[m];
         self.effects.push(Effect::Inspect {
             worker: worker.name.clone(),
             address: worker.address.clone(),
-            // Most have never lost a lease.
+            // The first incarnation is the most likely: few workers ever lose a lease.
             incarnation: worker.incarnation.max(1),
             message_id,
             via,
@@ -74,8 +89,8 @@
         message_id
     }
 
-    /// A message is out to a worker, with these starts in it.
-    /// Through which node, if not from here.
+    /// A message with these starts goes out to a worker. The controller that is to deliver it, if
+    /// it is another one.
     fn record_in_flight(
         &mut self,
         m: u32,
@@ -97,141 +112,150 @@
         via
     }
 
-    /// A worker whose report has not come after this long is late.
+    /// A worker whose heartbeat has not come after this long is late.
     pub(super) fn late_after_s(&self) -> f64 {
-        self.config.cluster.workers.report_s * 1.04
+        self.config.cluster.workers.report_s * LATE_FACTOR
     }
 
-    /// How many more late or silent workers may be asked now.
+    /// How many more late or unresponsive workers may be probed now.
     pub(super) fn questions_left(&self) -> usize {
-        TO_SILENT.saturating_sub(self.out().to_silent)
+        MAX_TO_UNRESPONSIVE.saturating_sub(self.in_flight_load().to_unresponsive)
     }
 
-    /// Sends what cannot wait for the next report.
+    /// Sends what cannot wait for the next heartbeat.
     pub(super) fn flush_commands(&mut self) {
-        let mut due: Vec<(Reason, u32)> = Vec::new();
-        for m in self.workers.indices() {
-            if self.workers[m].in_flight.is_none()
-                && let Some(reason) = self.due(m)
-            {
-                due.push((reason, m));
-            }
-        }
+        let mut due = self.due_messages();
         if due.is_empty() {
             return;
         }
-        let mut out = self.out();
-        let mut window = (WINDOW * WHOLE).saturating_sub(out.young);
-        if due.len() * WHOLE > window {
-            let predates_election =
-                |m: u32| out.predates_election[self.workers[m].zone as usize] / FEW_OLD;
-            due.sort_by_key(|&(reason, m)| (reason, predates_election(m), m));
+        let mut load = self.in_flight_load();
+        let mut window = (WINDOW * OWN_COST).saturating_sub(load.recent);
+        if due.len() * OWN_COST > window {
+            let old_in_zone = |m: u32| load.old_by_zone[self.workers[m].zone as usize] / FEW_OLD;
+            due.sort_by_key(|&(reason, m)| (reason, old_in_zone(m), m));
         }
         for (reason, m) in due {
             if window == 0 {
                 return;
             }
-            if reason == Reason::QuestionToSilent {
-                if out.to_silent >= TO_SILENT {
+            if reason == Reason::ProbeUnresponsive {
+                if load.to_unresponsive >= MAX_TO_UNRESPONSIVE {
                     continue;
                 }
-                out.to_silent += 1;
+                load.to_unresponsive += 1;
             }
-            let worker = &self.workers[m];
-            // Whoever has not learned of this leader is asked first: orders wait three times as
-            // long for an answer, and that a worker is gone was known a second later.
-            if worker.incarnation > worker.expired_incarnation && worker.reconciled {
-                self.send_orders(m);
-            } else {
-                self.ask_worker(m);
+            self.send_to(m);
+            let message = &self.workers[m].in_flight;
+            window = window.saturating_sub(message.as_ref().map_or(OWN_COST, cost));
+        }
+    }
+
+    /// Workers that a message is to be sent to, and why; by index.
+    fn due_messages(&mut self) -> Vec<(Reason, u32)> {
+        let mut due = Vec::new();
+        for m in self.workers.indices() {
+            if self.workers[m].in_flight.is_none()
+                && let Some(reason) = self.reason_to_send(m)
+            {
+                due.push((reason, m));
             }
-            let message_id = &self.workers[m].in_flight;
-            window = window.saturating_sub(message_id.as_ref().map_or(WHOLE, cost));
+        }
+        due
+    }
+
+    /// A worker that has not reported to this leader is probed first: commands wait three times as
+    /// long for an answer, so that an unreachable worker would be known as such a second later.
+    fn send_to(&mut self, m: u32) {
+        let worker = &self.workers[m];
+        if worker.may_be_alive() && worker.reconciled {
+            self.send_commands(m);
+        } else {
+            self.ask_worker(m);
         }
     }
 
-    fn out(&self) -> InFlightLoad {
+    fn in_flight_load(&self) -> InFlightLoad {
         let late_s = self.late_after_s();
-        let mut out = InFlightLoad {
-            predates_election: vec![0; self.zones.len()],
+        let mut load = InFlightLoad {
+            old_by_zone: vec![0; self.zones.len()],
             ..InFlightLoad::default()
         };
         for (_, worker) in self.workers.iter() {
-            let Some(message_id) = &worker.in_flight else {
+            let Some(message) = &worker.in_flight else {
                 continue;
             };
             let late = worker
                 .last_heartbeat_at
-                .is_some_and(|t| self.now - t > late_s);
-            out.to_silent += usize::from(worker.fenced || worker.commands_unanswered || late);
-            if self.now - message_id.since < YOUNG_S {
-                out.young += cost(message_id);
+                .is_some_and(|at| self.now - at > late_s);
+            let unresponsive = worker.fenced || worker.commands_unanswered || late;
+            load.to_unresponsive += usize::from(unresponsive);
+            if self.now - message.since < RECENT_S {
+                load.recent += cost(message);
             } else {
-                out.predates_election[worker.zone as usize] += 1;
+                load.old_by_zone[worker.zone as usize] += 1;
             }
         }
-        out
+        load
     }
 
-    /// Why a worker is to be written to now, if it is.
-    fn due(&mut self, m: u32) -> Option<Reason> {
-        let silent = self.is_unresponsive(m);
+    /// Why a message is to be sent to a worker now, if one is.
+    fn reason_to_send(&mut self, m: u32) -> Option<Reason> {
+        let unresponsive = self.is_unresponsive(m);
         let worker = &self.workers[m];
         let may_probe = worker.next_probe <= self.now;
         let unreconciled =
             worker.known_to_predecessor && !worker.reconciled && !self.reconciliation.is_complete();
-        let never = worker.incarnation <= worker.expired_incarnation;
-        if never || (silent && unreconciled) {
-            // Recorded by an earlier leader, and not heard yet, or heard by a shard owner before this
-            // leader was there: ask it.
-            let asked = unreconciled && may_probe && !self.is_being_told();
-            return asked.then_some(if worker.fenced || !never {
-                Reason::QuestionToSilent
+        if !worker.may_be_alive() || (unresponsive && unreconciled) {
+            // Registered by an earlier leader, and this one has had no heartbeat from it, or a shard
+            // owner had one before this leader was elected.
+            let probed = unreconciled && may_probe && !self.is_being_told();
+            return probed.then_some(if worker.fenced || worker.may_be_alive() {
+                Reason::ProbeUnresponsive
             } else {
-                Reason::PendingLookup
+                Reason::Reconcile
             });
         }
-        let fenced = worker.fenced;
         let commands_unanswered = worker.commands_unanswered;
-        if silent || fenced || commands_unanswered {
+        if unresponsive || worker.fenced || commands_unanswered {
             self.unqueue_all(m);
         }
-        if silent || !may_probe {
+        if unresponsive || !may_probe {
             return None;
         }
         let worker = &self.workers[m];
         if commands_unanswered && worker.outbox.is_empty() {
-            return Some(Reason::QuestionToSilent);
+            return Some(Reason::ProbeUnresponsive);
+        }
+        // One that has not learned of this leader learns of it by a probe.
+        if !worker.reconciled {
+            return Some(Reason::Reconcile);
         }
-        let reason = |c: &Command| match c.verb {
-            Verb::Start => match self.jobs.index_of(c.job).map(|ix| &self.jobs[ix]) {
+        worker.outbox.iter().map(|c| self.reason_of(c)).min()
+    }
+
+    fn reason_of(&self, command: &Command) -> Reason {
+        match command.verb {
+            Verb::Start => match self.jobs.index_of(command.job).map(|ix| &self.jobs[ix]) {
                 Some(job) if job.is_service() => Reason::Replica,
-                Some(job) if job.spec.priority >= Priority::High => Reason::Rush,
-                _ => Reason::Rest,
+                Some(job) if job.spec.priority >= Priority::High => Reason::Urgent,
+                _ => Reason::Other,
             },
-            Verb::Stop { .. } => Reason::Rush,
-            Verb::Forget => Reason::Rest,
-        };
-        let most_urgent = worker.outbox.iter().map(reason).min();
-        // One that has not learned of this leader yet is taught by a question.
-        if worker.reconciled {
-            most_urgent
-        } else {
-            Some(Reason::PendingLookup)
+            Verb::Stop { .. } => Reason::Urgent,
+            Verb::Forget => Reason::Other,
         }
     }
 
-    fn send_orders(&mut self, m: u32) {
+    fn send_commands(&mut self, m: u32) {
         let message_id = self.new_message_id();
         let commands = self.drain_outbox(m, Sent::Direct { message_id });
         let starts = commands
             .iter()
-            .filter(|c| c.verb == Verb::Start)
-            .filter_map(|c| {
+            .filter(|command| command.verb == Verb::Start)
+            .filter_map(|command| {
                 Some(InstanceId {
-                    job: self.jobs.index_of(c.job)?,
-                    task: c.task,
-                    attempt: c.attempt,
+                    job: self.jobs.index_of(command.job)?,
+                    task: command.task,
+                    attempt: command.attempt,
                 })
             })
             .collect();
--- a/src/coordination/instances.rs
+++ b/src/coordination/instances.rs
@@ -1,4 +1,4 @@
-//! Copies of tasks: where each may be, and every condition of a start.
+//! Task instances: where each may be, and the resources that they take.
 
 use crate::protocol::worker::{Command, Verb};
 
@@ -6,115 +6,128 @@
 use super::state::Core;
 
 impl Core {
-    pub(super) fn add_instance(&mut self, m: u32, key: InstanceId, instance: TaskInstance) {
+    /// Adds an instance to a worker, and to what its job and team use there.
+    pub(super) fn add_instance(&mut self, m: u32, id: InstanceId, instance: TaskInstance) {
         let possible = instance.possible();
         let running = instance.is_running();
         let worker = &mut self.workers[m];
-        let zone = worker.zone as usize;
-        let before = worker.instances.insert(key, instance);
-        debug_assert!(before.is_none(), "a copy is added once");
+        let before = worker.instances.insert(id, instance);
+        debug_assert!(before.is_none(), "an instance is added once");
         worker.idle_since = None;
-        let job = &mut self.jobs[key.job];
+        let job = &mut self.jobs[id.job];
         job.entries += 1;
         job.running += u32::from(running);
         if possible {
-            let needs = job.spec.needs;
-            self.workers[m].used.add(&needs);
-            let job = &mut self.jobs[key.job];
-            self.teams[job.team as usize].used.add(&needs);
-            if job.by_zone.len() <= zone {
-                job.by_zone.resize(zone + 1, 0);
-            }
-            job.by_zone[zone] += 1;
-            let t = &mut job.tasks[key.task as usize];
-            t.instances += 1;
-            if t.instances == 1 && !t.done {
-                job.active += 1;
-            }
+            self.occupy(m, id);
+        }
+    }
+
+    /// An instance counts from now on: it may be on the worker.
+    fn occupy(&mut self, m: u32, id: InstanceId) {
+        let job = &mut self.jobs[id.job];
+        let needs = job.spec.needs;
+        let worker = &mut self.workers[m];
+        let zone = worker.zone as usize;
+        worker.used.add(&needs);
+        self.teams[job.team as usize].used.add(&needs);
+        if job.by_zone.len() <= zone {
+            job.by_zone.resize(zone + 1, 0);
+        }
+        job.by_zone[zone] += 1;
+        let task = &mut job.tasks[id.task as usize];
+        task.instances += 1;
+        if task.instances == 1 && !task.done {
+            job.active += 1;
         }
     }
 
-    /// A copy stops counting: it is surely not on the worker, now or later.
-    pub(super) fn release(&mut self, m: u32, key: InstanceId) {
-        let zone = self.workers[m].zone as usize;
-        let job = &mut self.jobs[key.job];
+    /// An instance stops counting: it is surely not on the worker, now or later.
+    pub(super) fn release(&mut self, m: u32, id: InstanceId) {
+        let job = &mut self.jobs[id.job];
         let needs = job.spec.needs;
+        let worker = &mut self.workers[m];
+        let zone = worker.zone as usize;
+        worker.used.sub(&needs);
         self.teams[job.team as usize].used.sub(&needs);
         job.by_zone[zone] -= 1;
-        let t = &mut job.tasks[key.task as usize];
-        t.instances -= 1;
-        if t.instances == 0 {
-            if !t.done {
-                job.active -= 1;
-                if key.task < job.fresh {
-                    job.retry.push_back(key.task);
-                }
-            }
-            if job.is_gang() && job.active == 0 {
-                job.attempt = None;
+        let task = &mut job.tasks[id.task as usize];
+        task.instances -= 1;
+        if task.instances > 0 {
+            return;
+        }
+        if !task.done {
+            job.active -= 1;
+            if id.task < job.fresh {
+                job.retry.push_back(id.task);
             }
         }
-        self.workers[m].used.sub(&needs);
+        if job.is_gang() && job.active == 0 {
+            job.attempt = None;
+        }
     }
 
-    pub(super) fn remove_instance(&mut self, m: u32, key: InstanceId) {
-        let Some(instance) = self.workers[m].instances.remove(&key) else {
+    /// Takes an instance off its worker's list, and with the last one of a job that has ended the
+    /// job itself.
+    pub(super) fn remove_instance(&mut self, m: u32, id: InstanceId) {
+        let Some(instance) = self.workers[m].instances.remove(&id) else {
             return;
         };
-        let job = &mut self.jobs[key.job];
+        let job = &mut self.jobs[id.job];
         job.entries -= 1;
         job.running -= u32::from(instance.is_running());
         if instance.possible() {
-            self.release(m, key);
+            self.release(m, id);
         }
-        self.free_if_ended(key.job);
+        self.free_if_ended(id.job);
     }
 
     /// Everything on a worker is gone.
     pub(super) fn clear_worker(&mut self, m: u32) {
-        let keys: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
-        for key in keys {
-            self.remove_instance(m, key);
-            self.gang_lost_task(key);
+        let ids: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
+        for id in ids {
+            self.remove_instance(m, id);
+            self.gang_lost_task(id);
         }
         let worker = &mut self.workers[m];
         worker.outbox.clear();
         worker.orphaned_tasks = OrphanedTasks::None;
     }
 
-    /// Orders a copy to stop. Repeated with each report until it has an effect.
-    pub(super) fn stop_instance(&mut self, m: u32, key: InstanceId, grace_s: f64) {
-        let Some(instance) = self.workers[m].instances.get_mut(&key) else {
+    /// Orders an instance to stop. Repeated after each heartbeat until it has an effect.
+    pub(super) fn stop_instance(&mut self, m: u32, id: InstanceId, grace_s: f64) {
+        let Some(instance) = self.workers[m].instances.get_mut(&id) else {
             return;
         };
         if instance.exit().is_some() {
             return;
         }
         if instance.sent == Sent::Queued {
-            self.unqueue(m, key);
+            self.unqueue(m, id);
             return;
         }
-        if instance.stop.is_some_and(|s| s.grace_s <= grace_s) {
+        if instance.stop.is_some_and(|stop| stop.grace_s <= grace_s) {
             return;
         }
         instance.stop = Some(Stop {
             grace_s,
-            ordered_at: instance.stop.map_or(self.now, |s| s.ordered_at),
+            ordered_at: instance.stop.map_or(self.now, |stop| stop.ordered_at),
             sent_at: None,
         });
-        let command = self.command(key, Verb::Stop { grace_s });
+        let command = self.command(id, Verb::Stop { grace_s });
         self.workers[m].outbox.push(command);
     }
 
-    pub(super) fn command(&self, key: InstanceId, verb: Verb) -> Command {
+    /// The message that orders this of an instance.
+    pub(super) fn command(&self, id: InstanceId, verb: Verb) -> Command {
         Command {
             verb,
-            job: self.jobs[key.job].spec.id,
-            task: key.task,
-            attempt: key.attempt,
+            job: self.jobs[id.job].spec.id,
+            task: id.task,
+            attempt: id.attempt,
         }
     }
 
+    /// A number that no attempt of any leader has.
     pub(super) fn new_attempt(&mut self) -> u64 {
         self.next_attempt += 1;
         self.next_attempt
@@ -122,40 +135,35 @@
 
     /// Decides a start. The caller has checked `may_start`.
     pub(super) fn start(&mut self, ix: u32, task: u32, m: u32, attempt: u64) {
-        let key = InstanceId {
+        let id = InstanceId {
             job: ix,
             task,
             attempt,
         };
-        let instance = TaskInstance {
-            sent: Sent::Queued,
-            phase: None,
-            unacknowledged: false,
-            stop: None,
-            running_since: None,
-        };
+        let job = &self.jobs[ix];
         tracing::debug!(
-            job = %self.jobs[ix].spec.id,
+            job = %job.spec.id,
             task,
             worker = self.workers[m].name,
-            waited_s = self.now - self.jobs[ix].seen_at,
-            class = self.jobs[ix].spec.class,
-            fetches = !self.workers[m].images.contains(&self.jobs[ix].image),
+            waited_s = self.now - job.seen_at,
+            class = job.spec.class,
+            fetches = !self.workers[m].images.contains(&job.image),
             "start"
         );
         if let Some(failover) = &mut self.failover {
             failover.record_start(self.now - self.elected_at);
         }
-        self.add_instance(m, key, instance);
-        let command = self.command(key, Verb::Start);
+        self.add_instance(m, id, TaskInstance::queued());
+        let command = self.command(id, Verb::Start);
         let worker = &mut self.workers[m];
         worker.outbox.push(command);
-        if let Some(claim) = worker.reservations.iter_mut().find(|c| c.job == ix) {
-            claim.count = claim.count.saturating_sub(1);
+        if let Some(reservation) = worker.reservations.iter_mut().find(|r| r.job == ix) {
+            reservation.count = reservation.count.saturating_sub(1);
         }
-        worker.reservations.retain(|c| c.count > 0);
+        worker.reservations.retain(|r| r.count > 0);
     }
 
+    /// The instances of a job on a worker.
     pub(super) fn instances_of(&self, m: u32, job: u32) -> Vec<InstanceId> {
         let from = InstanceId {
             job,
@@ -170,19 +178,15 @@
         self.workers[m]
             .instances
             .range(from..=to)
-            .map(|(k, _)| *k)
+            .map(|(id, _)| *id)
             .collect()
     }
 
-    pub(super) fn unqueue(&mut self, m: u32, key: InstanceId) {
-        let id = self.jobs[key.job].spec.id;
-        self.workers[m].outbox.retain(|c| {
-            !(c.verb == Verb::Start
-                && c.job == id
-                && c.task == key.task
-                && c.attempt == key.attempt)
-        });
-        self.remove_instance(m, key);
+    /// A start that has not left for its worker does not leave any more.
+    pub(super) fn unqueue(&mut self, m: u32, id: InstanceId) {
+        let start = self.command(id, Verb::Start);
+        self.workers[m].outbox.retain(|command| *command != start);
+        self.remove_instance(m, id);
     }
 
     /// No start that has not left for a worker leaves for it any more.
@@ -190,12 +194,12 @@
         let queued: Vec<InstanceId> = self.workers[m]
             .instances
             .iter()
-            .filter(|(_, c)| c.sent == Sent::Queued)
-            .map(|(k, _)| *k)
+            .filter(|(_, instance)| instance.sent == Sent::Queued)
+            .map(|(id, _)| *id)
             .collect();
-        for key in queued {
-            self.unqueue(m, key);
-            self.gang_lost_task(key);
+        for id in queued {
+            self.unqueue(m, id);
+            self.gang_lost_task(id);
         }
     }
 }
--- a/src/coordination/start_conditions.rs
+++ b/src/coordination/start_conditions.rs
@@ -5,16 +5,21 @@
 use super::model::*;
 use super::state::Core;
 
+/// Heartbeats come up to a quarter of their interval late.
+const LATEST_HEARTBEAT_FACTOR: f64 = 1.25;
+/// How much later than the latest heartbeat a worker is unresponsive.
+const UNRESPONSIVE_MARGIN_S: Time = 1.0;
+
 impl Core {
-    /// Every condition a start must meet, against all copies that may exist.
+    /// Whether a task may be started on a worker now.
     pub(super) fn may_start(&self, ix: u32, task: u32, m: u32) -> bool {
         let job = &self.jobs[ix];
         let worker = &self.workers[m];
-        let t = &job.tasks[task as usize];
+        let state = &job.tasks[task as usize];
         job.state == JobState::Live
-            && !t.done
-            && t.instances == 0
-            && f64::from(t.not_before) <= self.now
+            && !state.done
+            && state.instances == 0
+            && f64::from(state.not_before) <= self.now
             && !job.blocked
             && self.worker_usable(m)
             && self.worker_allowed(ix, m)
@@ -23,11 +28,12 @@
             && self.team_allows(job.team, &job.spec.needs)
     }
 
+    /// Whether the job may have one more instance in this zone.
     pub(super) fn zone_allows(&self, ix: u32, zone: u32) -> bool {
         self.zone_allows_more(ix, zone, 0)
     }
 
-    /// The same with room for `planned` more tasks already spoken for.
+    /// The same where `planned` more of its tasks are to be started there.
     pub(super) fn zone_allows_more(&self, ix: u32, zone: u32, planned: u32) -> bool {
         let job = &self.jobs[ix];
         let here = job.by_zone.get(zone as usize).copied().unwrap_or(0);
@@ -35,55 +41,64 @@
             && (!job.spec.one_zone || job.by_zone.iter().sum::<u32>() == here)
     }
 
+    /// Whether the team's limit allows these resources beside all that may be in use.
     pub(super) fn team_allows(&self, team: u32, needs: &Resources) -> bool {
-        let t = &self.teams[team as usize];
-        let mut all = t.used;
-        all.add(&t.unknown);
-        all.add(needs);
-        (t.limit.cpus == 0 || all.cpus <= t.limit.cpus)
-            && (t.limit.gpus == 0 || all.gpus <= t.limit.gpus)
+        let usage = &self.teams[team as usize];
+        let limit = &usage.limit;
+        let mut total = usage.used;
+        total.add(&usage.unknown);
+        total.add(needs);
+        (limit.cpus == 0 || total.cpus <= limit.cpus)
+            && (limit.gpus == 0 || total.gpus <= limit.gpus)
     }
 
-    /// Whether the job's own conditions allow the worker at all.
+    /// Whether the job may run on the worker, and has not failed there lately.
     pub(super) fn worker_allowed(&self, ix: u32, m: u32) -> bool {
         let worker = &self.workers[m];
-        self.worker_suits(ix, m) && worker.failed.get(&ix).is_none_or(|&t| t <= self.now)
+        self.worker_suits(ix, m)
+            && worker
+                .failed
+                .get(&ix)
+                .is_none_or(|&until| until <= self.now)
     }
 
-    /// The same whatever has happened on it: where any leader may start the job.
+    /// Whether the job's own conditions allow the worker, whatever has happened there: any leader
+    /// may start the job on it.
     pub(super) fn worker_suits(&self, ix: u32, m: u32) -> bool {
         let job = &self.jobs[ix];
         let worker = &self.workers[m];
         (!worker.spot || job.spec.spot)
-            && job.zone.is_none_or(|z| z == worker.zone)
+            && job.zone.is_none_or(|zone| zone == worker.zone)
             && job
                 .types
                 .as_ref()
                 .is_none_or(|list| list.contains(&worker.kind))
     }
 
-    /// How long a worker may be silent before nothing new is sent to it.
+    /// A worker is unresponsive, and nothing new is sent to it, after this long without a heartbeat.
     pub(super) fn unresponsive_after_s(&self) -> f64 {
-        self.config.cluster.workers.report_s * 1.25 + 1.0
+        self.config.cluster.workers.report_s * LATEST_HEARTBEAT_FACTOR + UNRESPONSIVE_MARGIN_S
     }
 
+    /// Whether nothing has come from a worker for longer than workers ever take.
     pub(super) fn is_unresponsive(&self, m: u32) -> bool {
         self.workers[m]
             .last_heartbeat_at
-            .is_none_or(|t| self.now - t > self.unresponsive_after_s())
+            .is_none_or(|at| self.now - at > self.unresponsive_after_s())
     }
 
-    /// Whether a worker that may answer orders has not reported for half a lease: nothing renews
-    /// its lease, and what is started there dies with it.
-    fn is_mute(&self, m: u32) -> bool {
-        // While nobody was valid reports were refused, and nobody was mute for that.
+    /// Whether a worker that may answer direct messages has sent no heartbeat by itself for half a
+    /// lease: nothing renews its lease, and what is started there ends with it.
+    fn sends_no_heartbeats(&self, m: u32) -> bool {
+        // While no leader was valid heartbeats were refused, which is not the worker's fault.
         let listening = self.listening_since.max(self.valid_since);
         let since = self.workers[m].reported_at;
         let since = since.map_or(listening, |at| at.max(listening));
-        let patience = self.config.cluster.workers.lease_s / 2.0;
-        self.now - since > patience.max(self.unresponsive_after_s())
+        let patience_s = self.config.cluster.workers.lease_s / 2.0;
+        self.now - since > patience_s.max(self.unresponsive_after_s())
     }
 
+    /// Whether anything may be started on a worker.
     pub(super) fn worker_usable(&self, m: u32) -> bool {
         let worker = &self.workers[m];
         worker.reconciled
@@ -95,17 +110,19 @@
             && !worker.fenced
             && worker.reclaim_at.is_none()
             && worker.quarantined_until <= self.now
-            && worker.incarnation > worker.expired_incarnation
+            && worker.may_be_alive()
             && !self.is_unresponsive(m)
-            && !self.is_mute(m)
+            && !self.sends_no_heartbeats(m)
     }
 
+    /// What no task instance that may be on a worker takes of it; nothing if its instance type is
+    /// not described.
     pub(super) fn free_room(&self, m: u32) -> Resources {
         let worker = &self.workers[m];
-        let Some(kind) = self.types.get(worker.kind) else {
+        let Some(instance_type) = self.types.get(worker.kind) else {
             return Resources::default();
         };
-        let mut room = kind.whole;
+        let mut room = instance_type.whole;
         room.sub(&worker.used);
         room
     }
