--- a/src/coordination/auction.rs
+++ b/src/coordination/auction.rs
@@ -472,16 +472,16 @@
     let mut market = Market::new(lots, groups, 0.0);
     // Most batches have little rivalry and settle at the finest ε at once; the
     // scaling is for price wars.
-    let mut reconciliation_complete = settle_fully(&mut market, finest, cap / 4);
-    if !reconciliation_complete {
+    let mut converged = settle_fully(&mut market, finest, cap / 4);
+    if !converged {
         let spent = market.bids;
         market = Market::new(lots, groups, 0.0);
         market.bids = spent;
         let mut epsilon = highest / 4.0;
         loop {
             epsilon = epsilon.max(finest);
-            reconciliation_complete = settle_fully(&mut market, epsilon, cap);
-            if !reconciliation_complete || epsilon <= finest {
+            converged = settle_fully(&mut market, epsilon, cap);
+            if !converged || epsilon <= finest {
                 break;
             }
             epsilon /= 5.0;
@@ -490,9 +490,9 @@
     }
     let outcome = Outcome {
         bids: market.bids,
-        capped: !reconciliation_complete,
+        capped: !converged,
     };
-    if reconciliation_complete {
+    if converged {
         (market.awards(), outcome)
     } else {
         (greedy(lots, groups), outcome)
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -9,9 +9,8 @@
 
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::job::{Phase, Resources};
+use crate::protocol::job::Phase;
 use crate::protocol::peer::Lookup;
-use crate::settings::Cluster;
 use crate::storage::{Snapshot, bitmap};
 
 use super::failover::FailoverStats;
@@ -20,6 +19,7 @@
 use super::model::*;
 use super::reconciliation::Reconciliation;
 pub use super::state::{Config, Core, TeamUsage};
+use super::team_table::TeamTable;
 use super::worker_table::WorkerTable;
 use copperfield_fencing::FencingRecord;
 
@@ -44,7 +44,7 @@
         for zone in &config.cluster.zones {
             zones.intern(zone);
         }
-        let (team_names, teams) = configured_teams(&config.cluster);
+        let teams = TeamTable::configured(&config.cluster);
         let value_bytes = (config.cluster.state.value_kb * 1024.0) as usize;
         let provisioning = Provisioning::new(token, now);
         let mut core = Self {
@@ -57,15 +57,13 @@
             now,
             zones,
             types: Types::default(),
-            images: Interner::default(),
-            image_gb: Vec::new(),
-            team_names,
+            images: Images::default(),
             teams,
             jobs: JobTable::default(),
             workers: WorkerTable::default(),
             provisioning,
             large_task_profiles: Vec::new(),
-            scheduling_class: BTreeMap::new(),
+            scheduling_classes: BTreeMap::new(),
             progress_due: VecDeque::new(),
             next_in_tail: 0,
             // Unique across leaders: no two have the same token.
@@ -295,18 +293,3 @@
         }
     }
 }
-
-/// The teams of the settings, in their order, with nothing in use.
-fn configured_teams(cluster: &Cluster) -> (Interner, Vec<TeamUsage>) {
-    let mut names = Interner::default();
-    let mut teams = Vec::new();
-    for team in &cluster.teams {
-        names.intern(&team.name);
-        teams.push(TeamUsage {
-            quota: Resources::new(team.cpus, team.gpus, 0.0),
-            limit: Resources::new(team.cpus_max, team.gpus_max, 0.0),
-            ..TeamUsage::default()
-        });
-    }
-    (names, teams)
-}
--- a/src/coordination/drains.rs
+++ b/src/coordination/drains.rs
@@ -249,7 +249,7 @@
     fn nodes(&self, since: &str) -> views::Nodes {
         let known = self.workers.names();
         let unknown = self.drains.keys().map(String::as_str);
-        let unknown = unknown.filter(|n| !self.workers.contains(*n));
+        let unknown = unknown.filter(|n| !self.workers.contains(n));
         let mut names: Vec<&str> = known.chain(unknown).filter(|n| *n > since).collect();
         names.sort_unstable();
         let more = names.len() > PAGE;
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -74,7 +74,7 @@
         }
         self.mark_recorded();
         let names: Vec<String> = self.fencing.names().map(str::to_string).collect();
-        for name in names.iter().filter(|n| !self.workers.contains(*n)) {
+        for name in names.iter().filter(|n| !self.workers.contains(n)) {
             self.fencing.heard(name, ms(now + LATER_S));
         }
         if proved > 0 {
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -8,7 +8,7 @@
 use super::auction::Group;
 use super::model::*;
 use super::objectives;
-use super::state::{Core, TeamUsage};
+use super::state::Core;
 
 /// How long a job's done bits may wait to be stored together.
 const PROGRESS_EVERY_S: Time = 2.0;
@@ -29,16 +29,9 @@
         }
     }
 
-    /// The index of an image, and its size, if that is known.
-    pub(super) fn intern_image(&mut self, name: &str, gb: f64) -> u32 {
-        let ix = self.images.intern(name);
-        if self.image_gb.len() <= ix as usize {
-            self.image_gb.resize(ix as usize + 1, 0.0);
-        }
-        if gb > 0.0 {
-            self.image_gb[ix as usize] = gb;
-        }
-        ix
+    /// The index of an image, whose size is 0 if it is not stated.
+    pub(super) fn intern_image(&mut self, name: &str, stated_gb: f64) -> u32 {
+        self.images.intern(name, stated_gb)
     }
 
     /// Adds a stored job, unless it is known or has ended.
@@ -50,7 +43,7 @@
         }
         let spec = stored.spec;
         let image = self.intern_image(&spec.image, spec.image_gb);
-        let team = self.intern_team(&spec.team);
+        let team = self.teams.intern(&spec.team);
         let zone = spec.zone.as_ref().map(|zone| self.zones.intern(zone));
         let types = spec
             .machine_types
@@ -86,14 +79,6 @@
         self.jobs[ix].scheduling_class = self.scheduling_class_of(ix);
     }
 
-    fn intern_team(&mut self, name: &str) -> u32 {
-        let team = self.team_names.intern(name);
-        if self.teams.len() <= team as usize {
-            self.teams.resize(team as usize + 1, TeamUsage::default());
-        }
-        team
-    }
-
     /// The scheduling class of a job, if its tasks bid with those of others.
     fn scheduling_class_of(&mut self, ix: u32) -> Option<u32> {
         let job = &self.jobs[ix];
@@ -117,8 +102,8 @@
             memory_step: ((spec.needs.memory.max(1) as f64).log2() * MEMORY_STEPS_PER_DOUBLING)
                 .ceil() as u32,
         };
-        let next = self.scheduling_class.len() as u32;
-        Some(*self.scheduling_class.entry(class).or_insert(next))
+        let next = self.scheduling_classes.len() as u32;
+        Some(*self.scheduling_classes.entry(class).or_insert(next))
     }
 
     /// The end of a job is stored: nothing of it runs any more.
--- a/src/coordination/migration.rs
+++ b/src/coordination/migration.rs
@@ -416,7 +416,7 @@
         let job = &self.jobs[key.job];
         let settings = &self.config.tuning.defragmentation;
         let saves = job.spec.checkpoint_s > 0.0;
-        let reconciliation_complete = instance
+        let settled = instance
             .running_since
             .is_some_and(|t| self.now - t > SETTLED_S);
         let has_aim = !job.start_by.is_empty() && job.patience_s < 120.0;
@@ -430,7 +430,7 @@
             && instance.sent == Sent::Seen
             && !instance.unacknowledged
             && instance.stop.is_none()
-            && (drains || reconciliation_complete || !(has_aim || job.is_service()))
+            && (drains || settled || !(has_aim || job.is_service()))
             && (job.is_service() || saves || lost_s < settings.lost_work_s)
             && again.is_none_or(|t| self.now - t > settings.again_after_s)
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -34,4 +34,5 @@
 mod sharding;
 mod start_conditions;
 mod state;
+mod team_table;
 mod worker_table;
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -1,5 +1,6 @@
 //! What the core keeps: jobs, workers, and every place where a task may be.
 
+mod images;
 mod instance;
 mod instance_types;
 mod interner;
@@ -7,6 +8,7 @@
 mod slab;
 mod worker;
 
+pub use images::Images;
 pub use instance::{InstanceId, Sent, Stop, TaskInstance};
 pub use instance_types::Types;
 pub use interner::Interner;
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -332,7 +332,7 @@
                 // Already on its way.
                 gb *= 0.5;
             } else {
-                gb += self.image_gb[image as usize] * 0.5;
+                gb += self.images.size_gb(image) * 0.5;
             }
         }
         gb / rate
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -100,10 +100,10 @@
             if large_task_profile.needs.fits_in(&room) {
                 break;
             }
-            let reconciliation_complete = instance
+            let settled = instance
                 .running_since
                 .is_some_and(|t| self.now - t > SETTLED_S);
-            if instance.stop.is_some() || !reconciliation_complete || self.jobs[key.job].pinned {
+            if instance.stop.is_some() || !settled || self.jobs[key.job].pinned {
                 return None;
             }
             room.add(&self.jobs[key.job].spec.needs);
--- a/src/coordination/reconciliation/blocked_jobs.rs
+++ b/src/coordination/reconciliation/blocked_jobs.rs
@@ -48,7 +48,7 @@
     fn must_block(&self, ix: u32, unreconciled: &[u32], unknown_workers: bool) -> bool {
         let job = &self.jobs[ix];
         // What else runs of a limited team must be known in full.
-        let limited = is_limited(&self.teams[job.team as usize]);
+        let limited = self.teams[job.team as usize].is_limited();
         job.predates_election
             && (unknown_workers
                 || (limited && !unreconciled.is_empty())
@@ -76,7 +76,7 @@
     /// has read: a job that was cancelled before the election is stored as ended, and its tasks go
     /// on where the order to stop has not arrived. So what is left of the known jobs is no bound.
     fn count_unknown_usage(&mut self, unreconciled: &[u32], unknown_workers: bool) {
-        if !self.teams.iter().any(is_limited) {
+        if !self.teams.iter().any(TeamUsage::is_limited) {
             return;
         }
         let with_orphans = self
@@ -92,13 +92,9 @@
             hidden.cpus += free.cpus.max(0);
             hidden.gpus += free.gpus.max(0);
         }
-        for team in self.teams.iter_mut().filter(|team| is_limited(team)) {
+        for team in self.teams.iter_mut().filter(|team| team.is_limited()) {
             // Where not even the workers are known, the limit may be reached already.
             team.unknown = if unbounded { team.limit } else { hidden };
         }
     }
 }
-
-fn is_limited(team: &TeamUsage) -> bool {
-    team.limit.cpus > 0 || team.limit.gpus > 0
-}
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -90,10 +90,10 @@
         let known = worker.images.contains(&image);
         worker.images.retain(|&i| i != image);
         worker.images.push(image);
-        let image_gb = &self.image_gb;
-        let mut total_gb: f64 = worker.images.iter().map(|&i| image_gb[i as usize]).sum();
+        let images = &self.images;
+        let mut total_gb: f64 = worker.images.iter().map(|&i| images.size_gb(i)).sum();
         while total_gb > cache_gb && worker.images.len() > 1 {
-            total_gb -= image_gb[worker.images.remove(0) as usize];
+            total_gb -= images.size_gb(worker.images.remove(0));
         }
         // The worker registry tells the next leader which images are where.
         if !known {
--- /dev/null
+++ b/src/coordination/state/mod.rs
@@ -0,0 +1,166 @@
+//! All that the leader's core keeps. The modules of [`crate::coordination`] each own a part of it
+//! and of what is done with it.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use copperfield_fencing::FencingRecord;
+
+use crate::protocol::JobId;
+use crate::protocol::worker::Heartbeat;
+use crate::settings::{Cluster, Tuning};
+
+mod drain;
+mod migrations;
+mod provisioning;
+
+pub(super) use drain::Drain;
+pub(super) use migrations::{Migrations, TaskMigration};
+pub(super) use provisioning::{BootingWorker, Provisioning, ProvisioningRequest};
+
+use super::failover::FailoverStats;
+use super::job_table::JobTable;
+use super::messages::Effect;
+use super::model::*;
+use super::reconciliation::Reconciliation;
+use super::sharding::Sharding;
+use super::team_table::TeamTable;
+pub use super::team_table::TeamUsage;
+use super::worker_table::WorkerTable;
+
+/// Tasks that come within this time are placed together.
+pub const WINDOW_S: f64 = 0.2;
+
+/// A task is not moved within this time of its start if that can be avoided: by the
+/// objectives a start counts only if the task then runs for half a minute.
+pub(super) const SETTLED_S: f64 = 35.0;
+
+/// Room in a stored page for one worker with its images.
+const BYTES_PER_WORKER: usize = 512;
+const MAX_PER_PAGE: usize = 32;
+
+/// The settings that the core works by.
+pub struct Config {
+    /// The cluster, as all controllers have it.
+    pub cluster: Cluster,
+    /// How the scheduler decides.
+    pub tuning: Tuning,
+}
+
+/// All that the leader keeps. Each part of [`crate::coordination`] owns some of the fields; the
+/// tables and the types of single parts keep theirs private.
+pub struct Core {
+    /// The settings that it works by.
+    pub config: Config,
+    /// Its fencing token.
+    pub token: u64,
+    /// When it was elected.
+    pub(super) elected_at: Time,
+    /// Its election, later by the pauses of this process since.
+    pub(super) listening_since: Time,
+    /// Since when this leader has been valid without a break, as far as its steps tell.
+    pub(super) valid_since: Time,
+    /// The time of the current step.
+    pub(super) now: Time,
+    /// Zones by index.
+    pub(super) zones: Interner,
+    /// Instance types by index.
+    pub(super) types: Types,
+    /// Images by index.
+    pub(super) images: Images,
+    /// Teams by index, and what they use.
+    pub(super) teams: TeamTable,
+    /// Jobs by index and id.
+    pub(super) jobs: JobTable,
+    /// Workers by index and name.
+    pub(super) workers: WorkerTable,
+    /// What the cloud is asked for.
+    pub(super) provisioning: Provisioning,
+    /// Kinds of tasks that take most of a worker, by index.
+    pub(super) large_task_profiles: Vec<LargeTaskProfile>,
+    /// Scheduling classes and their indices.
+    pub(super) scheduling_classes: BTreeMap<SchedulingClass, u32>,
+    /// Chunks of done bits that wait to be stored, the longest first.
+    pub(super) progress_due: VecDeque<(u32, u32)>,
+    /// Where the last batch left off among the jobs that it had no time for.
+    pub(super) next_in_tail: usize,
+    /// The last attempt number that was used.
+    pub(super) next_attempt: u64,
+    /// The id of the next direct message.
+    pub(super) next_message_id: u64,
+    /// What this step has decided.
+    pub(super) effects: Vec<Effect>,
+    pub(super) writing: bool,
+    pub(super) finish: VecDeque<u32>,
+    pub(super) drop_progress: VecDeque<(JobId, u32, u64)>,
+    pub(super) registry: WorkerRegistry,
+    /// Workers that this leader has promised not to answer.
+    pub(super) fencing: FencingRecord,
+    /// Reports of such workers, answered once their removal from the record is stored.
+    pub(super) deferred_heartbeats: BTreeMap<String, (u64, Heartbeat)>,
+    /// Where other nodes speak with some of the workers.
+    pub(super) sharding: Option<Sharding>,
+    /// Until when the votes of all other controllers extend this leader's lease.
+    pub lease_extended_until: Time,
+    /// Until when this leader is valid, for the shard leases that it grants.
+    pub valid_until: Time,
+    /// When waiting tasks are placed next.
+    pub(super) next_batch: Time,
+    /// When the work of every second is done next.
+    pub(super) next_second: Time,
+    /// When leases and unresponsive workers are looked at next.
+    pub(super) next_watch: Time,
+    /// How long replicas may be away for moves, in seconds.
+    pub(super) move_credit: f64,
+    /// Tasks that are moved.
+    pub(super) migrations: Migrations,
+    /// Workers that operators drain, by name; they may be unknown yet.
+    pub(super) drains: BTreeMap<String, Drain>,
+    /// What is not known yet of the task instances of earlier leaders.
+    pub(super) reconciliation: Reconciliation,
+    /// Statistics of the failover, while it lasts.
+    pub(super) failover: Option<FailoverStats>,
+    pub(super) chunk_tasks: u32,
+}
+
+#[derive(Debug, Default)]
+pub(super) struct Page {
+    pub(super) workers: Vec<u32>,
+    pub(super) version: u64,
+    /// When what is stored must say what it does not say yet.
+    pub(super) due: Option<Time>,
+    pub(super) writing: bool,
+    /// Holds a value that does not parse, which is never overwritten.
+    pub(super) unreadable: bool,
+}
+
+impl Page {
+    pub(super) fn due_by(&mut self, at: Time) {
+        self.due = Some(self.due.map_or(at, |d| d.min(at)));
+    }
+}
+
+#[derive(Debug)]
+pub(super) struct WorkerRegistry {
+    pub(super) pages: Vec<Page>,
+    pub(super) per_page: usize,
+    pub(super) bytes_per_worker: usize,
+}
+
+impl WorkerRegistry {
+    pub fn new(value_bytes: usize) -> Self {
+        let per_page = (value_bytes / BYTES_PER_WORKER).clamp(1, MAX_PER_PAGE);
+        Self {
+            pages: Vec::new(),
+            per_page,
+            bytes_per_worker: value_bytes * 9 / 10 / per_page,
+        }
+    }
+
+    pub(super) fn page(&mut self, ix: u32) -> &mut Page {
+        let ix = ix as usize;
+        if self.pages.len() <= ix {
+            self.pages.resize_with(ix + 1, Page::default);
+        }
+        &mut self.pages[ix]
+    }
+}
