--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -1,4 +1,8 @@
 //! What goes into the core and what comes out of it.
+//!
+//! A `ticket` stands for somebody who waits for an answer: the caller keeps the open request, and
+//! the core names the ticket in the effect that answers it. A `message_id` stands for a direct
+//! message to a worker, whose outcome the caller reports.
 
 use crate::protocol::JobId;
 use crate::protocol::cloud::{ListedWorker, MachineType};
@@ -9,120 +13,120 @@
 use crate::storage::StoredJob;
 use crate::storage::writer::{Write, Written};
 
+/// Something that has happened outside the core.
 #[derive(Debug)]
 pub enum Input {
-    Heartbeat {
-        ticket: u64,
-        heartbeat: Heartbeat,
-    },
-    /// The end of a direct message.
+    /// A worker has sent a heartbeat to this controller.
+    Heartbeat { ticket: u64, heartbeat: Heartbeat },
+    /// A direct message to a worker has ended.
     Direct {
         worker: String,
         message_id: u64,
         outcome: Outcome,
     },
-    /// What a shard owner of some of the workers tells.
-    ShardStatus {
-        ticket: u64,
-        word: ShardStatus,
-    },
-    /// What this node had heard before it was elected.
+    /// A shard owner reports what its workers have sent and how its messages ended.
+    ShardStatus { ticket: u64, word: ShardStatus },
+    /// Heartbeats that came to this controller before it was elected.
     BufferedHeartbeats(Vec<ForwardedHeartbeat>),
-    /// Messages that another node was to carry and did not take; `surely`: it carries none.
+    /// Another controller was to deliver these messages and has not accepted them.
     RelayFailed {
         controller: u32,
         message_ids: Vec<u64>,
+        /// It surely delivers none of them.
         surely: bool,
     },
+    /// The watch has shown a stored job.
     Job(StoredJob),
-    CancelBegin {
-        ticket: u64,
-        job: JobId,
-    },
-    CancelSettled {
-        job: JobId,
-        end: Option<JobOutcome>,
-    },
+    /// A user asks to cancel a job.
+    CancelBegin { ticket: u64, job: JobId },
+    /// The cancellation of a job is settled; `end` is what is stored of it, if anything.
+    CancelSettled { job: JobId, end: Option<JobOutcome> },
+    /// An operator's request.
     Admin {
         ticket: u64,
         order: AdminRequest,
         /// The time of day, for what is stored.
         unix_ms: u64,
     },
+    /// The results of an [`Effect::Write`].
     Written(Vec<(Write, Written)>),
+    /// The cloud has described its instance types.
     Types(Vec<MachineType>),
+    /// The cloud has listed its workers.
     ListedWorker(Vec<ListedWorker>),
+    /// A request to scale out has ended.
     ScaledOut {
         request: String,
         outcome: ScaleOutOutcome,
     },
-    ScaledIn {
-        workers: Vec<String>,
-        ok: bool,
-    },
+    /// A request to scale in has ended; `ok`: the cloud has taken all of these back.
+    ScaledIn { workers: Vec<String>, ok: bool },
 }
 
+/// How a request to scale out ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScaleOutOutcome {
+    /// The names of the new workers, perhaps fewer than were asked for.
     Workers(Vec<String>),
+    /// The cloud has no such worker now.
     NoCapacity,
     /// Not carried out; worth trying later.
     Refused,
+    /// It may have been carried out.
     Unknown,
 }
 
+/// What a cancellation comes to when it is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelBegin {
+    /// The job has ended already.
     Terminal(JobOutcome),
-    /// Its end is just being stored.
+    /// The job's end is just being stored.
     Busy,
-    /// Nothing of it is started any more; store the cancellation, and how many of its
-    /// tasks were done.
+    /// Nothing of the job is started any more; the caller stores the cancellation.
     Go {
+        /// How many of its tasks were done.
         done: u32,
     },
 }
 
+/// Something that is to be done outside the core.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Answer a report: 200 with commands.
-    Answer {
-        ticket: u64,
-        body: Vec<u8>,
-    },
-    /// Answer a report without renewing anything.
-    Refuse {
-        ticket: u64,
-        why: HeartbeatRefusal,
-    },
-    /// Answer a report without renewing anything: this node is to be reported to.
-    SendTo {
-        ticket: u64,
-        controller: u32,
-    },
-    /// Answer a shard owner; `None`: it was overtaken by another word of the same.
+    /// Answer a heartbeat: 200 with commands.
+    Answer { ticket: u64, body: Vec<u8> },
+    /// Answer a heartbeat without renewing a lease.
+    Refuse { ticket: u64, why: HeartbeatRefusal },
+    /// Redirect a worker to this controller, without renewing its lease.
+    SendTo { ticket: u64, controller: u32 },
+    /// Answer a shard owner; `None`: a newer status of the same owner has come before.
     Granted {
         ticket: u64,
         down: Option<ShardUpdate>,
     },
+    /// Send commands to a worker.
     Direct {
         worker: String,
         address: String,
         incarnation: u64,
         message_id: u64,
         commands: Vec<Command>,
-        /// Through this node.
+        /// The controller that is to deliver it, if it is another one.
         via: Option<u32>,
     },
+    /// Ask a worker for its heartbeat.
     Inspect {
         worker: String,
         address: String,
         /// As far as is known, or as it most likely is.
         incarnation: u64,
         message_id: u64,
+        /// The controller that is to deliver it, if it is another one.
         via: Option<u32>,
     },
+    /// Store these in one transaction, and report with [`Input::Written`].
     Write(Vec<Write>),
+    /// Ask the cloud for workers.
     ScaleOut {
         request: String,
         machine_type: String,
@@ -130,20 +134,21 @@
         spot: bool,
         count: u32,
     },
+    /// Ask the cloud to take these workers back.
     ScaleIn(Vec<String>),
+    /// Ask the cloud for the list of its workers.
     List,
+    /// Ask the cloud to describe its instance types.
     ReadTypes,
-    Cancel {
-        ticket: u64,
-        begin: CancelBegin,
-    },
+    /// Answer a user who asked to cancel a job, or store that first.
+    Cancel { ticket: u64, begin: CancelBegin },
     /// Answer an operator.
     AdminAnswered {
         ticket: u64,
         status: u16,
         body: Vec<u8>,
     },
-    /// A worker has seen a higher token than ours.
+    /// A worker has seen a higher fencing token than ours: this leader steps down.
     Deposed,
 }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,10 +1,16 @@
 //! Who leads, and what runs where.
 //!
-//! `election` holds the leader key; `core` is the leader's sans-IO state
-//! worker. `messages` are what goes into it and comes out, `model` and `state`
-//! what it keeps; the other modules each own a part of what it does: copies,
-//! reports, who is written to next, what is stored, the market, gangs, preemption,
-//! moves, drains, the fleet and its worker registry.
+//! `election` holds the leader key; `core` is the leader's state machine, which does no I/O.
+//! `messages` are what goes into it and comes out of it. What it keeps is in the lowest layer:
+//! `model`, the tables of jobs, workers and teams, and `state`. Above these, each module decides one
+//! thing:
+//!
+//! - task instances and workers: `instances`, `start_conditions`, `reconciliation`, `dispatch`,
+//!   `failover`;
+//! - jobs: `jobs`, `cancellation`, `objectives`, `demand_log`;
+//! - placement: `placement`, `auction`, `gangs`, `preemption`, `forecast`, `rebalancing`, `migration`;
+//! - the set of workers: `provisioning`, `drains`, `sharding`, `fencing`;
+//! - what is stored: `registry`, `persistence`.
 
 pub mod auction;
 mod cancellation;
