--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,85 +1,47 @@
-//! Who a leader writes to first when it cannot write to all. Guards against what was seen on
-//! 3,000 workers: with everything sent at once, questions timed out before their answers were
-//! read and were asked again, and the renewal of the leader's lease waited behind them.
+//! Which worker a leader writes to first when it cannot write to all. Guards against what was seen
+//! on 3,000 workers: with everything sent at once, probes timed out before their answers were read
+//! and were sent again, and the renewal of the leader's lease waited behind them.
+
+mod bare_core;
 
 use std::collections::BTreeSet;
 
-use copperfield::coordination::core::{Config, Core, Effect, Input, Outcome};
-use copperfield::protocol::cloud::parse_machine_types;
+use copperfield::coordination::core::{Core, Effect, Input, Outcome};
 use copperfield::protocol::worker::Heartbeat;
-use copperfield::settings::{Cluster, Tuning};
-use copperfield::storage::{Snapshot, StoredRegistryPage, WorkerRecord};
 use copperfield_simulation::core_harness::stored;
 use serde_json::{Value, json};
 
-const TYPES: &str = r#"{"flavors":[
- {"name":"small","cpus":4,"memory_gb":16,"local_gb":50,"pull_gb_per_s":1,"price":0.2,"ready_s":10,"regions":["a","b"]}]}"#;
-const TOKEN: u64 = 50;
+use bare_core::{TOKEN, elected_leader};
+
 const WINDOW: usize = 256;
 
 /// A new leader of so many workers in each of two zones, a and b.
 fn leader(each: usize, jobs: &[Value]) -> Core {
-    let cluster = json!({"zones": ["a", "b"], "teams": [{"name": "team"}], "objectives": [],
-        "workers": {"report_s": 5.0, "lease_s": 25.0, "gang_wait_s": 30.0, "gang_peer_s": 4.0, "cancel_s": 40.0},
-        "state": {"rps": 200, "write_rps": 50, "value_kb": 8, "txn_ops": 12}, "cloud": {"rps": 5},
-        "limits": {"max_sockets": 3000}});
-    let cluster: Cluster = serde_json::from_value(cluster).expect("valid");
-    let record = |zone: &str, i| {
-        let record = WorkerRecord {
-            address: "10.1.0.1:9000".into(),
-            machine_type: "small".into(),
-            zone: zone.into(),
-            spot: false,
-            images: Vec::new(),
-        };
-        (format!("{zone}-{i:04}"), record)
-    };
     let workers = ["b", "a"]
         .iter()
-        .flat_map(|z| (0..each).map(move |i| record(z, i)));
-    let snapshot = Snapshot {
-        jobs: jobs.iter().map(|j| stored(j, TOKEN - 1)).collect(),
-        registry: vec![StoredRegistryPage {
-            page: 0,
-            version: 5,
-            workers: Some(workers.collect()),
-        }],
-        ..Snapshot::default()
-    };
-    let tuning = Tuning::default();
-    let types = parse_machine_types(TYPES.as_bytes()).expect("valid");
-    Core::new(Config { cluster, tuning }, TOKEN, 0.0, types, snapshot)
+        .flat_map(|zone| (0..each).map(move |i| (format!("{zone}-{i:04}"), zone.to_string())));
+    let jobs = jobs.iter().map(|job| stored(job, TOKEN - 1)).collect();
+    elected_leader(&["a", "b"], json!({"name": "team"}), workers, jobs)
 }
 
 fn heartbeat(name: &str) -> Heartbeat {
-    Heartbeat {
-        worker: name.into(),
-        address: "10.1.0.1:9000".into(),
-        machine_type: "small".into(),
-        zone: name[..1].into(),
-        spot: false,
-        incarnation: 1,
-        counter: 1,
-        token: TOKEN,
-        notice_s: None,
-        tasks: Vec::new(),
-    }
+    bare_core::heartbeat(name, &name[..1], 1, Vec::new())
 }
 
-/// Asks of the workers of zone b time out. Seconds until all of zone a have been asked, and
-/// the most questions that were out and younger than 150 ms.
-fn ask_all(each: usize) -> (f64, usize) {
+/// Probes of the workers of zone b time out. Seconds until all of zone a have been probed, and the
+/// most probes that were in flight and younger than 150 ms.
+fn probe_all(each: usize) -> (f64, usize) {
     let mut core = leader(each, &[]);
-    let (mut asked, mut out) = (BTreeSet::new(), Vec::<(f64, String, u64)>::new());
+    let (mut probed, mut in_flight) = (BTreeSet::new(), Vec::<(f64, String, u64)>::new());
     let (mut now, mut limit) = (0.0, 0);
-    while asked.len() < each {
+    while probed.len() < each {
         now += 0.01;
-        assert!(now < 10.0, "{} of zone a asked", asked.len());
+        assert!(now < 10.0, "{} of zone a probed", probed.len());
         let deadline = |name: &str| if name.starts_with('a') { 0.02 } else { 0.5 };
-        let (due, rest) = out
+        let (due, rest) = in_flight
             .into_iter()
             .partition(|(since, name, _)| now - since >= deadline(name));
-        out = rest;
+        in_flight = rest;
         let answer = |(_, worker, message_id): (f64, String, u64)| Input::Direct {
             outcome: if worker.starts_with('a') {
                 Outcome::Executed(heartbeat(&worker))
@@ -91,33 +53,39 @@
         };
         for effect in core.step(now, due.into_iter().map(answer).collect()) {
             let again = matches!(&effect, Effect::Direct { .. });
-            assert!(!again, "the question has taught the token: {effect:?}");
+            assert!(
+                !again,
+                "the probe has carried the fencing token: {effect:?}"
+            );
             if let Effect::Inspect {
                 worker, message_id, ..
             } = effect
             {
                 if worker.starts_with('a') {
-                    asked.insert(worker.clone());
+                    probed.insert(worker.clone());
                 }
-                out.push((now, worker, message_id));
+                in_flight.push((now, worker, message_id));
             }
         }
-        let young = out.iter().filter(|(since, ..)| now - since < 0.14).count();
-        limit = limit.max(young);
+        let recent = in_flight
+            .iter()
+            .filter(|(since, ..)| now - since < 0.14)
+            .count();
+        limit = limit.max(recent);
     }
     (now, limit)
 }
 
-/// A third of a second for 1,000 that answer in 20 ms each, though as many never do.
+/// A third of a second for 1,000 workers that answer in 20 ms each, though as many never do.
 #[test]
-fn a_silent_zone_does_not_hold_up_the_questions_to_the_others() {
-    let (seconds, limit) = ask_all(1000);
+fn unresponsive_zone_does_not_delay_probes_of_the_others() {
+    let (seconds, limit) = probe_all(1000);
     assert!(seconds < 0.75, "{seconds} s");
     assert!(limit <= WINDOW, "{limit} at once");
 }
 
 #[test]
-fn replicas_are_ordered_before_rush_work_and_that_before_the_rest() {
+fn starts_leave_replicas_first_then_high_priority_then_the_rest() {
     let jobs = [
         json!({"uid": "wk-000001", "shards": 250, "cpus": 2.0}),
         json!({"uid": "wk-000002", "rank": "urgent", "shards": 250, "cpus": 2.0}),
@@ -126,12 +94,12 @@
     ];
     let mut core = leader(200, &jobs);
     let names = ["a", "b"].map(|z| (0..200).map(move |i| format!("{z}-{i:04}")));
-    let hellos = names.into_iter().flatten().enumerate();
-    let hellos = hellos.map(|(ticket, name)| Input::Heartbeat {
+    let heartbeats = names.into_iter().flatten().enumerate();
+    let heartbeats = heartbeats.map(|(ticket, name)| Input::Heartbeat {
         ticket: ticket as u64,
         heartbeat: heartbeat(&name),
     });
-    let mut inputs: Vec<Input> = hellos.collect();
+    let mut inputs: Vec<Input> = heartbeats.collect();
     let (mut urgency, mut at_once) = (Vec::new(), 0);
     for step in 0..100 {
         let effects = core.step(f64::from(step) * 0.05, std::mem::take(&mut inputs));
--- a/tests/reconciliation.rs
+++ b/tests/reconciliation.rs
@@ -1,21 +1,21 @@
-//! What a new leader finds of an earlier one that ended between two orders.
+//! What a new leader concludes from the heartbeats of workers that an earlier leader used, and what
+//! it blocks until they have come.
 
-use copperfield::coordination::core::{Config, Core, Effect, Input, Outcome};
+mod bare_core;
+
+use copperfield::coordination::core::{Core, Effect, Input, Outcome};
 use copperfield::protocol::JobId;
-use copperfield::protocol::cloud::parse_machine_types;
 use copperfield::protocol::worker::{Heartbeat, TaskPhase, TaskStatus, Verb};
-use copperfield::settings::{Cluster, Tuning};
-use copperfield::storage::{Snapshot, StoredJob, StoredRegistryPage, WorkerRecord};
+use copperfield::storage::StoredJob;
 use copperfield_simulation::core_harness::stored;
 use serde_json::json;
 
-const TYPES: &str = r#"{"flavors":[
- {"name":"small","cpus":4,"memory_gb":16,"local_gb":50,"pull_gb_per_s":1,"price":0.2,"ready_s":10,"regions":["a"]}]}"#;
-const TOKEN: u64 = 50;
+use bare_core::{TOKEN, elected_leader, heartbeat};
+
 const WORKERS: [&str; 2] = ["vm-000001", "vm-000002"];
 
 /// A leader that was elected at 0, of one gang of three, on two workers.
-fn elected() -> Core {
+fn elected_with_gang() -> Core {
     let body = json!({"uid": "wk-000001", "shape": "group", "shards": 3, "cpus": 1.0,
         "one_zone": true, "runtime_s": 60.0});
     elected_with(json!({"name": "team"}), vec![stored(&body, TOKEN - 1)])
@@ -23,68 +23,28 @@
 
 /// A leader that was elected at 0, of one team, on two workers.
 fn elected_with(team: serde_json::Value, jobs: Vec<StoredJob>) -> Core {
-    let cluster = json!({"zones": ["a"], "teams": [team], "objectives": [],
-            "workers": {"report_s": 5.0, "lease_s": 25.0, "gang_wait_s": 30.0, "gang_peer_s": 4.0, "cancel_s": 40.0},
-            "state": {"rps": 200, "write_rps": 50, "value_kb": 8, "txn_ops": 12}, "cloud": {"rps": 5},
-            "limits": {"max_sockets": 3000}});
-    let cluster: Cluster = serde_json::from_value(cluster).expect("valid");
-    let record = |name: &&str| {
-        let record = WorkerRecord {
-            address: "10.1.0.1:9000".into(),
-            machine_type: "small".into(),
-            zone: "a".into(),
-            spot: false,
-            images: Vec::new(),
-        };
-        (name.to_string(), record)
-    };
-    let snapshot = Snapshot {
-        jobs,
-        registry: vec![StoredRegistryPage {
-            page: 0,
-            version: 5,
-            workers: Some(WORKERS.iter().map(record).collect()),
-        }],
-        ..Snapshot::default()
-    };
-    let types = parse_machine_types(TYPES.as_bytes()).expect("valid");
-    let tuning = Tuning::default();
-    Core::new(Config { cluster, tuning }, TOKEN, 0.0, types, snapshot)
+    let workers = WORKERS.map(|name| (name.to_string(), "a".to_string()));
+    elected_leader(&["a"], team, workers, jobs)
 }
 
-/// What a worker says that has learned of the new leader: the gang's tasks on it, by attempt.
-fn heartbeat(worker: &str, counter: u64, tasks: &[(u32, u64)]) -> Heartbeat {
-    report_of(JobId(1), worker, counter, tasks)
-}
-
-fn report_of(job: JobId, worker: &str, counter: u64, tasks: &[(u32, u64)]) -> Heartbeat {
-    let task = |&(task, attempt): &(u32, u64)| TaskStatus {
+/// The heartbeat of a worker that lists these tasks of a job, as (task, attempt).
+fn heartbeat_with(job: JobId, worker: &str, counter: u64, tasks: &[(u32, u64)]) -> Heartbeat {
+    let status = |&(task, attempt): &(u32, u64)| TaskStatus {
         job,
         task,
         attempt,
         phase: TaskPhase::Waiting,
     };
-    Heartbeat {
-        worker: worker.into(),
-        address: "10.1.0.1:9000".into(),
-        machine_type: "small".into(),
-        zone: "a".into(),
-        spot: false,
-        incarnation: 1,
-        counter,
-        token: TOKEN,
-        notice_s: None,
-        tasks: tasks.iter().map(task).collect(),
-    }
+    heartbeat(worker, "a", counter, tasks.iter().map(status).collect())
 }
 
-/// Tasks that are stopped, by attempt, within a second of both workers' first reports.
+/// Tasks that are stopped, by attempt, within a second of both workers' first heartbeats.
 fn stopped(first: &[(u32, u64)], second: &[(u32, u64)]) -> Vec<(u32, u64)> {
-    let mut core = elected();
+    let mut core = elected_with_gang();
     let mut stopped = Vec::new();
     let mut inputs = Vec::new();
     for (worker, tasks) in WORKERS.iter().zip([first, second]) {
-        let heartbeat = heartbeat(worker, 10, tasks);
+        let heartbeat = heartbeat_with(JobId(1), worker, 10, tasks);
         inputs.push(Input::Heartbeat {
             ticket: 1,
             heartbeat,
@@ -118,10 +78,11 @@
     stopped
 }
 
-/// An attempt of which the last leader's order for one task never left was once waited for until
-/// it gave up by itself, 45 s later on the operators' sites; 42 of 4,000 drawn days showed it.
+/// Where the last leader's start of one task of a gang never left, the others would wait for their
+/// peers until they end by themselves: 45 s with the operators' settings; 42 of 4,000 random
+/// simulated days showed it.
 #[test]
-fn what_is_there_of_an_attempt_that_is_not_whole_is_stopped() {
+fn gang_attempt_with_a_missing_task_is_stopped() {
     assert_eq!(stopped(&[(0, 7), (1, 7)], &[]), [(0, 7), (1, 7)]);
     assert_eq!(stopped(&[(0, 7)], &[(2, 7)]), [(0, 7), (2, 7)]);
     // Of two attempts neither is whole, though each task is somewhere.
@@ -132,18 +93,18 @@
 }
 
 #[test]
-fn a_whole_attempt_is_left_alone() {
+fn complete_gang_attempt_is_left_alone() {
     assert_eq!(stopped(&[(0, 7), (1, 7)], &[(2, 7)]), []);
 }
 
-/// Of the one worker, in the second `at`: `None` while it hangs.
-type Says = fn(at: u32) -> Option<&'static [(u32, u64)]>;
+/// The tasks that a worker lists in the second `at`; `None` while it hangs.
+type Listed = fn(at: u32) -> Option<&'static [(u32, u64)]>;
 
 /// A team may use 4 CPUs. The last leader had 4 tasks of a job on the first worker, cancelled the
-/// job, told its user, and ended before the worker had heard of it; the state knows no such job
-/// any more. Users go on submitting: when the first start leaves for the second worker, which
-/// could hold it all.
-fn first_start(first: Says) -> Option<f64> {
+/// job, answered its user, and ended before the order to stop reached the worker; the stored state
+/// has no such job any more. Users go on submitting. Returns when the first start leaves for the
+/// second worker, which could hold it all.
+fn first_start(first: Listed) -> Option<f64> {
     let mut core = elected_with(json!({"name": "team", "cpus_max": 4.0}), Vec::new());
     let body = json!({"uid": "wk-000002", "shards": 4, "cpus": 1.0, "runtime_s": 60.0});
     let mut inputs = vec![Input::Job(stored(&body, TOKEN + 1))];
@@ -151,10 +112,10 @@
         let now = f64::from(step) * 0.05;
         if step % 20 == 1 {
             let at = step / 20;
-            let says = [(0, first(at)), (1, Some(&[][..]))];
-            for (m, tasks) in says {
+            let listed = [(0, first(at)), (1, Some(&[][..]))];
+            for (m, tasks) in listed {
                 let Some(tasks) = tasks else { continue };
-                let heartbeat = report_of(JobId(9), WORKERS[m], 10 + u64::from(at), tasks);
+                let heartbeat = heartbeat_with(JobId(9), WORKERS[m], 10 + u64::from(at), tasks);
                 let ticket = u64::from(step) * 2 + m as u64;
                 inputs.push(Input::Heartbeat { ticket, heartbeat });
             }
@@ -200,24 +161,24 @@
     None
 }
 
-/// What a silent worker may hold was bounded by what is left of the jobs that are stored as live:
-/// beside a worker that hung with a cancelled job on it the team went over its limit.
+/// What an unresponsive worker may hold is not bounded by what is left of the jobs that are stored
+/// as live: beside a worker that hung with a cancelled job on it the team would exceed its limit.
 #[test]
-fn a_cancelled_job_on_a_silent_worker_counts_until_its_lease_is_over() {
+fn cancelled_job_on_an_unresponsive_worker_counts_until_its_lease_expires() {
     let at = first_start(|_| None).expect("starts");
     assert!((25.0..27.5).contains(&at), "{at} s");
 }
 
-/// It reports what it has, and the order to stop takes its time.
+/// The worker lists the job's tasks until they have stopped.
 #[test]
-fn a_cancelled_job_that_is_reported_counts_until_it_is_gone() {
+fn cancelled_job_that_a_worker_lists_counts_until_it_is_gone() {
     let at = first_start(|at| Some(if at < 10 { &[(0, 7), (1, 7)] } else { &[] }));
     let at = at.expect("starts");
     assert!((10.0..11.5).contains(&at), "{at} s");
 }
 
 #[test]
-fn nothing_is_held_back_where_all_is_known() {
+fn no_job_is_blocked_where_all_workers_are_reconciled() {
     let at = first_start(|_| Some(&[])).expect("starts");
     assert!(at < 1.5, "{at} s");
 }
