--- a/tests/one_way_partitions.rs
+++ b/tests/one_way_partitions.rs
@@ -1,5 +1,6 @@
-//! Workers whose reports arrive and that hear nothing: neither answers nor orders. Their leases
-//! run out all the same, so they get no work, and what they had goes elsewhere.
+//! One-way partitions: workers whose heartbeats arrive and that receive neither answers nor commands,
+//! and the reverse. Their leases expire all the same, so they get no tasks, and what they had starts
+//! elsewhere.
 
 mod simulated_cluster;
 
@@ -12,25 +13,25 @@
 
 use simulated_cluster::*;
 
-const DEAF_AT: f64 = 8.0;
-/// Small jobs, one a second, from when the workers are deaf.
+const PARTITION_AT_S: f64 = 8.0;
+/// Small jobs, one a second, from when the partition begins.
 const JOBS: usize = 10;
 
-/// Two workers hear nothing for so long; perhaps the leader ends 2 s
-/// after they went deaf. How long each job takes, the longest first.
-fn times(seed: u64, deaf_s: f64, leader_ends: bool) -> Vec<f64> {
+/// Two workers receive nothing for so long; if `leader_crashes`, it does so 2 s after the partition
+/// began. How long each job takes in seconds, the longest first.
+fn job_durations(seed: u64, partition_s: f64, leader_crashes: bool) -> Vec<f64> {
     simulate(async move {
         let world = site(seed, 0.0);
         // Nothing else can be had.
         world.lock().unwrap().site.capacity = 6;
         tokio::spawn(workers(world.clone()));
-        for deaf in [1, 2] {
-            let fault = Fault::Deafen(deaf, deaf_s);
-            tokio::spawn(inflict(world.clone(), DEAF_AT, fault, seed));
+        for worker in [1, 2] {
+            let fault = Fault::Deafen(worker, partition_s);
+            tokio::spawn(inflict(world.clone(), PARTITION_AT_S, fault, seed));
         }
-        if leader_ends {
+        if leader_crashes {
             let fault = Fault::RestartLeaders(1, 3.0);
-            tokio::spawn(inflict(world.clone(), DEAF_AT + 2.0, fault, seed));
+            tokio::spawn(inflict(world.clone(), PARTITION_AT_S + 2.0, fault, seed));
         }
         for i in 1..=JOBS {
             let body = job(
@@ -39,11 +40,11 @@
                 4,
                 json!({"cpus": 1.0, "bundle": "img-0", "pull_gb": 0.1}),
             );
-            let at = DEAF_AT + i as f64;
+            let at = PARTITION_AT_S + i as f64;
             let id = format!("wk-{i:06}");
             tokio::spawn(user(world.clone(), id, body, 2.0, at, None));
         }
-        sleep(Duration::from_secs_f64(DEAF_AT + deaf_s + 40.0)).await;
+        sleep(Duration::from_secs_f64(PARTITION_AT_S + partition_s + 40.0)).await;
         let w = world.lock().unwrap();
         assert!(w.site.broken.is_empty(), "{:#?}", w.site.broken);
         let mut times: Vec<f64> = w
@@ -57,35 +58,35 @@
     })
 }
 
-/// An order without an answer once stayed possible until the worker's lease ran out, and then
-/// the next was sent there: it had the most room.
+/// A start without an answer stayed possible until the worker's lease expired, and then the next was
+/// sent there: the worker had the most room.
 #[test]
-fn workers_that_hear_nothing_get_no_work() {
+fn workers_that_receive_nothing_get_no_tasks() {
     for seed in 0..4 {
-        let times = times(seed, 4.0 * LEASE_S, false);
+        let times = job_durations(seed, 4.0 * LEASE_S, false);
         let (longest, rest) = (times[0], &times[times.len() / 2..]);
         println!("{times:?}");
-        // Who was sent there first waits for a lease, but only once.
+        // The job that was sent there first waits for a lease, but only once.
         assert!(longest < LEASE_S + 8.0, "seed {seed}: {times:?}");
         assert!(rest[0] < 6.0, "seed {seed}: {times:?}");
     }
 }
 
-/// Workers whose reports reach nobody, while direct orders reach them, lose their leases, though
-/// they answer whatever they are asked. Starts on them, later than half a lease after they fell
-/// mute and until they report again.
+/// Workers whose heartbeats reach no controller, while direct messages reach them, lose their leases
+/// although they answer every probe. Nothing may start on them from half a lease after the partition
+/// began until it ends.
 #[test]
-fn workers_that_reach_nobody_get_no_work() {
+fn workers_whose_heartbeats_are_lost_get_no_tasks() {
     for seed in 0..4 {
         let late = simulate(async move {
             let world = site(seed, 0.0);
             tokio::spawn(workers(world.clone()));
-            let mute_s = 4.0 * LEASE_S;
-            for mute in [1, 2] {
+            let partition_s = 4.0 * LEASE_S;
+            for worker in [1, 2] {
                 tokio::spawn(inflict(
                     world.clone(),
-                    DEAF_AT,
-                    Fault::Mute(mute, mute_s),
+                    PARTITION_AT_S,
+                    Fault::Mute(worker, partition_s),
                     seed,
                 ));
             }
@@ -94,16 +95,16 @@
             tokio::spawn(user(world.clone(), id, service, 2.0, 1.0, None));
             for i in 1..=40 {
                 let body = job(i, "sweep", 4, json!({"cpus": 1.0, "pull_gb": 0.0}));
-                let at = DEAF_AT - 2.0 + i as f64 * 0.5;
+                let at = PARTITION_AT_S - 2.0 + i as f64 * 0.5;
                 let id = format!("wk-{i:06}");
                 tokio::spawn(user(world.clone(), id, body, 2.0, at, None));
             }
-            sleep(Duration::from_secs_f64(DEAF_AT + mute_s + 30.0)).await;
+            sleep(Duration::from_secs_f64(PARTITION_AT_S + partition_s + 30.0)).await;
             let w = world.lock().unwrap();
             assert!(w.site.broken.is_empty(), "{:#?}", w.site.broken);
-            let mute = DEAF_AT + LEASE_S / 2.0 + 1.0..DEAF_AT + mute_s;
+            let unusable = PARTITION_AT_S + LEASE_S / 2.0 + 1.0..PARTITION_AT_S + partition_s;
             let events = w.site.history.events().iter();
-            let on_them = events.filter(|e| mute.contains(&e.at) && e.what == What::Starts);
+            let on_them = events.filter(|e| unusable.contains(&e.at) && e.what == What::Starts);
             let on_them =
                 on_them.filter(|e| ["vm-000001", "vm-000002"].contains(&e.worker.as_str()));
             on_them.map(|e| (e.at, e.task.clone())).collect::<Vec<_>>()
@@ -112,11 +113,11 @@
     }
 }
 
-/// What a new leader knows of them is what they report, in sessions that end again and again.
+/// What a new leader knows of them is what they report, in incarnations that end again and again.
 #[test]
-fn workers_that_hear_nothing_of_a_new_leader_hold_nobody_up_for_longer_than_a_lease() {
+fn workers_that_never_learn_of_a_new_leader_delay_jobs_by_at_most_one_lease() {
     for seed in 0..4 {
-        let times = times(seed, 6.0 * LEASE_S, true);
+        let times = job_durations(seed, 6.0 * LEASE_S, true);
         println!("{times:?}");
         assert!(times[0] < LEASE_S + 12.0, "seed {seed}: {times:?}");
     }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Kept traces of the core: what goes in and what comes out, for people to read.
+//! Golden traces of the core: what goes in and what comes out, for people to read.
 //!
 //! `KEEP_TRACES=1 cargo test --test traces` writes them anew; read the diff.
 
@@ -17,7 +17,7 @@
 
 const TOKEN: u64 = 50;
 
-struct Play {
+struct Trace {
     core: Core,
     now: f64,
     text: String,
@@ -70,7 +70,7 @@
     (name.into(), record)
 }
 
-impl Play {
+impl Trace {
     fn new(snapshot: Snapshot) -> Self {
         let types = parse_machine_types(
             br#"{"flavors":[{"name":"m4","cpus":4,"memory_gb":16,"local_gb":50,"pull_gb_per_s":1,"price":0.4,"ready_s":10,"regions":["a","b"]}]}"#,
@@ -199,7 +199,7 @@
             std::fs::write(&path, &self.text).expect("writable");
         }
         let kept = std::fs::read_to_string(&path).unwrap_or_default();
-        assert_eq!(self.text, kept, "{path} tells another story");
+        assert_eq!(self.text, kept, "{path} differs");
     }
 }
 
@@ -217,56 +217,56 @@
 }
 
 #[test]
-fn a_task_starts_at_once_and_is_forgotten_only_after_its_end_is_stored() {
-    let mut p = Play::new(Snapshot::default());
-    p.note("a new machine is recorded before it is given anything");
-    p.send_heartbeat("vm-000001", 1, json!([]));
-    p.wait(0.4);
-    p.note("a job comes; its start does not wait for the next report");
-    p.step(
+fn finished_task_is_forgotten_only_after_its_end_is_stored() {
+    let mut trace = Trace::new(Snapshot::default());
+    trace.note("a new machine is recorded before it is given anything");
+    trace.send_heartbeat("vm-000001", 1, json!([]));
+    trace.wait(0.4);
+    trace.note("a job comes; its start does not wait for the next report");
+    trace.step(
         "job wk-000001",
         vec![Input::Job(stored(1, 55, json!({"shards": 2})))],
     );
-    p.wait(0.3);
-    let a = started(&p.text);
+    trace.wait(0.3);
+    let a = started(&trace.text);
     let tasks = |phase: &str| json!([{"shard": "wk-000001/0", "try": a - 1, "phase": phase, "exit_reason": "done"}, {"shard": "wk-000001/1", "try": a, "phase": "running"}]);
-    let heartbeat = p.heartbeat("vm-000001", 1, TOKEN, tasks("running"));
-    p.direct(
+    let heartbeat = trace.heartbeat("vm-000001", 1, TOKEN, tasks("running"));
+    trace.direct(
         "vm-000001",
         1,
         "executes the commands",
         Outcome::Executed(heartbeat),
     );
-    p.note("one task is done: it is not cleared before its bit is stored");
-    p.send_heartbeat("vm-000001", 1, tasks("ended"));
-    p.wait(2.2);
-    p.send_heartbeat("vm-000001", 1, tasks("ended"));
-    p.keep("start_and_clear");
+    trace.note("one task is done: it is not cleared before its bit is stored");
+    trace.send_heartbeat("vm-000001", 1, tasks("ended"));
+    trace.wait(2.2);
+    trace.send_heartbeat("vm-000001", 1, tasks("ended"));
+    trace.keep("start_and_clear");
 }
 
 #[test]
-fn an_unanswered_start_stays_possible_and_is_sent_again_with_the_same_attempt() {
-    let mut p = Play::new(Snapshot::default());
-    p.send_heartbeat("vm-000001", 1, json!([]));
-    p.send_heartbeat("vm-000002", 1, json!([]));
-    p.wait(0.3);
-    p.step("job wk-000001", vec![Input::Job(stored(1, 55, json!({})))]);
-    p.wait(0.3);
-    let a = started(&p.text);
-    p.note("no answer: the message may be held for minutes, so the task starts nowhere else");
-    p.direct("vm-000001", 1, "gives no answer", Outcome::Unknown);
-    p.wait(1.0);
-    p.send_heartbeat("vm-000002", 1, json!([]));
-    p.send_heartbeat("vm-000001", 1, json!([]));
-    p.note("its user cancels: held as an exited attempt that is never forgotten, the late start does nothing");
-    p.step(
+fn unanswered_start_stays_possible_and_is_sent_again_with_the_same_attempt() {
+    let mut trace = Trace::new(Snapshot::default());
+    trace.send_heartbeat("vm-000001", 1, json!([]));
+    trace.send_heartbeat("vm-000002", 1, json!([]));
+    trace.wait(0.3);
+    trace.step("job wk-000001", vec![Input::Job(stored(1, 55, json!({})))]);
+    trace.wait(0.3);
+    let a = started(&trace.text);
+    trace.note("no answer: the message may be held for minutes, so the task starts nowhere else");
+    trace.direct("vm-000001", 1, "gives no answer", Outcome::Unknown);
+    trace.wait(1.0);
+    trace.send_heartbeat("vm-000002", 1, json!([]));
+    trace.send_heartbeat("vm-000001", 1, json!([]));
+    trace.note("its user cancels: held as an exited attempt that is never forgotten, the late start does nothing");
+    trace.step(
         "cancel wk-000001",
         vec![Input::CancelBegin {
             ticket: 1,
             job: JobId(1),
         }],
     );
-    p.step(
+    trace.step(
         "cancelled, stored",
         vec![Input::CancelSettled {
             job: JobId(1),
@@ -276,64 +276,64 @@
             }),
         }],
     );
-    p.send_heartbeat("vm-000001", 1, json!([]));
-    p.send_heartbeat(
+    trace.send_heartbeat("vm-000001", 1, json!([]));
+    trace.send_heartbeat(
         "vm-000001",
         1,
         json!([{"shard": "wk-000001/0", "try": a, "phase": "ended", "exit_reason": "stopped"}]),
     );
-    p.keep("unanswered_start");
+    trace.keep("unanswered_start");
 }
 
 #[test]
-fn a_silent_worker_is_returned_for_its_replicas_and_they_start_elsewhere() {
-    let mut p = Play::new(Snapshot::default());
+fn unresponsive_worker_is_scaled_in_and_its_replicas_start_elsewhere() {
+    let mut trace = Trace::new(Snapshot::default());
     let service = json!({"shape": "service", "rank": "production", "runtime_s": 0.0});
-    p.send_heartbeat("vm-000001", 1, json!([]));
-    p.wait(0.2);
-    p.step(
+    trace.send_heartbeat("vm-000001", 1, json!([]));
+    trace.wait(0.2);
+    trace.step(
         "service wk-000001",
         vec![Input::Job(stored(1, 55, service))],
     );
-    p.wait(0.3);
-    let a = started(&p.text);
+    trace.wait(0.3);
+    let a = started(&trace.text);
     let running = json!([{"shard": "wk-000001/0", "try": a, "phase": "running"}]);
-    let heartbeat = p.heartbeat("vm-000001", 1, TOKEN, running.clone());
-    p.direct(
+    let heartbeat = trace.heartbeat("vm-000001", 1, TOKEN, running.clone());
+    trace.direct(
         "vm-000001",
         1,
         "executes the commands",
         Outcome::Executed(heartbeat),
     );
     for _ in 0..2 {
-        p.wait(0.5);
+        trace.wait(0.5);
         for name in ["vm-000002", "vm-000003", "vm-000004"] {
-            p.send_heartbeat(name, 1, json!([]));
+            trace.send_heartbeat(name, 1, json!([]));
         }
     }
-    p.note("vm-000001 falls silent; the others go on");
-    p.wait(1.1);
-    p.direct("vm-000001", 2, "cannot be reached", Outcome::Unsent);
-    p.wait(0.2);
+    trace.note("vm-000001 falls silent; the others go on");
+    trace.wait(1.1);
+    trace.direct("vm-000001", 2, "cannot be reached", Outcome::Unsent);
+    trace.wait(0.2);
     for name in ["vm-000002", "vm-000003", "vm-000004"] {
-        p.send_heartbeat(name, 1, json!([]));
+        trace.send_heartbeat(name, 1, json!([]));
     }
-    p.wait(0.5);
-    p.note("only the cloud's answer proves that the replica is gone");
+    trace.wait(0.5);
+    trace.note("only the cloud's answer proves that the replica is gone");
     let names = vec!["vm-000001".to_string()];
-    p.step(
+    trace.step(
         "the cloud has taken it back",
         vec![Input::ScaledIn {
             workers: names,
             ok: true,
         }],
     );
-    p.wait(0.3);
-    p.keep("silent_machine");
+    trace.wait(0.3);
+    trace.keep("silent_machine");
 }
 
 #[test]
-fn a_new_leader_blocks_only_what_a_silent_worker_may_hold() {
+fn new_leader_blocks_only_jobs_that_an_unresponsive_worker_may_hold() {
     let snapshot = Snapshot {
         jobs: vec![
             stored(1, 40, json!({})),
@@ -346,73 +346,74 @@
         ]),
         ..Snapshot::default()
     };
-    let mut p = Play::new(snapshot);
-    p.note("elected with token 50; the recorded machines are asked what they hold");
-    p.wait(0.1);
-    p.note("one answers: it runs wk-000001 and is taught the token");
+    let mut trace = Trace::new(snapshot);
+    trace.note("elected with token 50; the recorded machines are asked what they hold");
+    trace.wait(0.1);
+    trace.note("one answers: it runs wk-000001 and is taught the token");
     let running = json!([{"shard": "wk-000001/0", "try": 3, "phase": "running"}]);
-    let heartbeat = p.heartbeat("vm-000001", 4, 30, running.clone());
-    p.direct(
+    let heartbeat = trace.heartbeat("vm-000001", 4, 30, running.clone());
+    trace.direct(
         "vm-000001",
         1,
         "answers",
         Outcome::Rejected(Some(heartbeat)),
     );
-    let heartbeat = p.heartbeat("vm-000001", 4, TOKEN, running.clone());
-    p.direct(
+    let heartbeat = trace.heartbeat("vm-000001", 4, TOKEN, running.clone());
+    trace.direct(
         "vm-000001",
         3,
         "has seen the token",
         Outcome::Executed(heartbeat),
     );
-    p.note("wk-000002 may run on the silent one and waits; wk-000003 came after the election and starts");
-    p.direct("vm-000002", 2, "cannot be reached", Outcome::Unsent);
-    p.step(
+    trace.note("wk-000002 may run on the silent one and waits; wk-000003 came after the election and starts");
+    trace.direct("vm-000002", 2, "cannot be reached", Outcome::Unsent);
+    trace.step(
         "job wk-000003",
         vec![Input::Job(stored(3, 55, json!({"cpus": 1.0})))],
     );
-    p.wait(0.3);
-    let a = started(&p.text);
-    p.direct("vm-000001", 4, "cannot be reached", Outcome::Unsent);
-    p.now = 109.0;
-    p.note("it reports; before it gets the start once more it has to answer");
-    p.send_heartbeat("vm-000001", 4, running.clone());
-    let heartbeat = p.heartbeat("vm-000001", 4, TOKEN, running.clone());
-    p.direct("vm-000001", 5, "answers", Outcome::Executed(heartbeat));
-    p.wait(0.3);
+    trace.wait(0.3);
+    let a = started(&trace.text);
+    trace.direct("vm-000001", 4, "cannot be reached", Outcome::Unsent);
+    trace.now = 109.0;
+    trace.note("it reports; before it gets the start once more it has to answer");
+    trace.send_heartbeat("vm-000001", 4, running.clone());
+    let heartbeat = trace.heartbeat("vm-000001", 4, TOKEN, running.clone());
+    trace.direct("vm-000001", 5, "answers", Outcome::Executed(heartbeat));
+    trace.wait(0.3);
     let both = json!([{"shard": "wk-000001/0", "try": 3, "phase": "running"}, {"shard": "wk-000003/0", "try": a + 1, "phase": "running"}]);
-    let heartbeat = p.heartbeat("vm-000001", 4, TOKEN, both);
-    p.direct(
+    let heartbeat = trace.heartbeat("vm-000001", 4, TOKEN, both);
+    trace.direct(
         "vm-000001",
         7,
         "executes the commands",
         Outcome::Executed(heartbeat),
     );
-    p.now = 110.0;
-    p.note("the silent machine's lease has surely run out 10 s and a margin after the election");
-    p.wait(0.6);
+    trace.now = 110.0;
+    trace
+        .note("the silent machine's lease has surely run out 10 s and a margin after the election");
+    trace.wait(0.6);
     assert!(a > TOKEN << 24, "attempts are unique across leaders");
-    assert!(p.text.contains("wk-000002/0"), "it starts in the end");
-    p.keep("new_leader");
+    assert!(trace.text.contains("wk-000002/0"), "it starts in the end");
+    trace.keep("new_leader");
 }
 
 /// Found in an incident: a leader that lost the network returned good workers.
 #[test]
-fn a_leader_that_is_cut_off_returns_nobody_and_gives_way() {
-    let mut p = Play::new(Snapshot::default());
+fn partitioned_leader_scales_in_no_worker_and_resigns() {
+    let mut trace = Trace::new(Snapshot::default());
     let service = json!({"shape": "service", "rank": "production", "runtime_s": 0.0, "shards": 6});
-    p.step(
+    trace.step(
         "service wk-000001",
         vec![Input::Job(stored(1, 55, service))],
     );
     let names = ["vm-000001", "vm-000002", "vm-000003"];
     for name in names {
-        p.send_heartbeat(name, 1, json!([]));
-        p.wait(0.6);
+        trace.send_heartbeat(name, 1, json!([]));
+        trace.wait(0.6);
     }
-    p.note("from here on nothing arrives and every question goes unanswered");
+    trace.note("from here on nothing arrives and every question goes unanswered");
     for _ in 0..45 {
-        p.wait(0.1);
+        trace.wait(0.1);
         for message_id in 1..40 {
             for name in names {
                 let input = Input::Direct {
@@ -420,27 +421,27 @@
                     message_id,
                     outcome: Outcome::Unsent,
                 };
-                p.step("", vec![input]);
+                trace.step("", vec![input]);
             }
         }
     }
-    assert!(!p.text.contains("return"), "{}", p.text);
-    assert!(p.core.has_lost_all_workers());
+    assert!(!trace.text.contains("return"), "{}", trace.text);
+    assert!(trace.core.has_lost_all_workers());
 }
 
 #[test]
-fn a_drain_is_answered_once_stored_and_stops_what_is_left_at_its_deadline() {
-    let mut p = Play::new(Snapshot::default());
-    p.send_heartbeat("vm-000001", 1, json!([]));
-    p.wait(0.3);
-    p.step("job wk-000001", vec![Input::Job(stored(1, 55, json!({})))]);
-    p.wait(0.3);
-    let a = started(&p.text);
+fn drain_is_answered_once_stored_and_stops_tasks_at_its_deadline() {
+    let mut trace = Trace::new(Snapshot::default());
+    trace.send_heartbeat("vm-000001", 1, json!([]));
+    trace.wait(0.3);
+    trace.step("job wk-000001", vec![Input::Job(stored(1, 55, json!({})))]);
+    trace.wait(0.3);
+    let a = started(&trace.text);
     let task = json!([{"shard": "wk-000001/0", "try": a, "phase": "running"}]);
-    let heartbeat = p.heartbeat("vm-000001", 1, TOKEN, task.clone());
+    let heartbeat = trace.heartbeat("vm-000001", 1, TOKEN, task.clone());
     let executed = Outcome::Executed(heartbeat);
-    p.direct("vm-000001", 1, "executes the commands", executed);
-    p.note("an operator drains the machine: the answer comes after the record");
+    trace.direct("vm-000001", 1, "executes the commands", executed);
+    trace.note("an operator drains the machine: the answer comes after the record");
     let order = AdminRequest::Drain {
         node: "vm-000001".into(),
         deadline_s: Some(3.0),
@@ -451,20 +452,20 @@
         order,
         unix_ms: 1_000_000,
     };
-    p.step("drain vm-000001, 3 s", vec![input]);
-    p.note("nothing new starts there");
+    trace.step("drain vm-000001, 3 s", vec![input]);
+    trace.note("nothing new starts there");
     let extra = json!({"cpus": 1.0});
-    p.step("job wk-000002", vec![Input::Job(stored(2, 56, extra))]);
-    p.wait(1.0);
-    p.send_heartbeat("vm-000001", 1, task.clone());
-    p.note("what cannot move runs on until the deadline, and is then stopped");
-    p.wait(1.5);
-    p.send_heartbeat("vm-000001", 1, task);
-    p.wait(1.5);
+    trace.step("job wk-000002", vec![Input::Job(stored(2, 56, extra))]);
+    trace.wait(1.0);
+    trace.send_heartbeat("vm-000001", 1, task.clone());
+    trace.note("what cannot move runs on until the deadline, and is then stopped");
+    trace.wait(1.5);
+    trace.send_heartbeat("vm-000001", 1, task);
+    trace.wait(1.5);
     let stopped =
         json!([{"shard": "wk-000001/0", "try": a, "phase": "ended", "exit_reason": "stopped"}]);
-    p.send_heartbeat("vm-000001", 1, stopped);
-    p.note("taken back: the record goes first, then work comes again");
+    trace.send_heartbeat("vm-000001", 1, stopped);
+    trace.note("taken back: the record goes first, then work comes again");
     let order = AdminRequest::Undrain {
         node: "vm-000001".into(),
     };
@@ -473,7 +474,7 @@
         order,
         unix_ms: 1_004_000,
     };
-    p.step("undrain vm-000001", vec![input]);
-    p.wait(0.4);
-    p.keep("drain");
+    trace.step("undrain vm-000001", vec![input]);
+    trace.wait(0.4);
+    trace.keep("drain");
 }
