--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -100,7 +100,7 @@
     ) -> Option<u32> {
         let via = self.relay_for(m);
         if via.is_some() {
-            self.note_carried(m, message_id);
+            self.record_relayed_message(m, message_id);
         }
         self.workers[m].in_flight = Some(InFlightMessage {
             id: message_id,
@@ -208,7 +208,7 @@
         if !worker.may_be_alive() || (unresponsive && unreconciled) {
             // Registered by an earlier leader, and this one has had no heartbeat from it, or a shard
             // owner had one before this leader was elected.
-            let probed = unreconciled && may_probe && !self.is_being_told();
+            let probed = unreconciled && may_probe && !self.awaits_forwarded_heartbeats();
             return probed.then_some(if worker.fenced || worker.may_be_alive() {
                 Reason::ProbeUnresponsive
             } else {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -41,4 +41,5 @@
 mod start_conditions;
 mod state;
 mod team_table;
+mod time;
 mod worker_table;
--- a/src/coordination/reconciliation/leases.rs
+++ b/src/coordination/reconciliation/leases.rs
@@ -29,7 +29,7 @@
 
     /// When a worker's lease has surely expired; infinite while a shard owner may renew it.
     pub(super) fn lease_expires_at(&self, worker: &Worker) -> Time {
-        let answered = self.answered_by_all(worker);
+        let answered = self.last_answer_by_any(worker);
         answered.map_or(f64::INFINITY, |at| at + self.lease_upper_bound_s())
     }
 
