--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -13,7 +13,8 @@
 use copperfield::settings::{Cluster, Tuning};
 use copperfield::storage::writer::{Write, Written};
 use copperfield::storage::{
-    DrainRecord, Snapshot, StoredDrain, StoredFencingPage, StoredJob, StoredRegistryPage, bitmap,
+    DrainRecord, FencedWorker, Snapshot, StoredDrain, StoredFencingPage, StoredJob, StoredProgress,
+    StoredRegistryPage, bitmap::TaskBitmap,
 };
 use copperfield_fencing::stamp;
 use copperfield_protocol::cloud::parse_machine_types;
@@ -290,23 +291,31 @@
             })
             .collect();
         let progress = self.progress.iter().filter_map(|(&(job, chunk), value)| {
-            Some((job, chunk, bitmap::from_record(value)?, self.revision))
+            Some(StoredProgress {
+                job,
+                chunk,
+                bitmap: TaskBitmap::from_record(value).ok()?,
+                version: self.revision,
+            })
         });
         let drains = self.drains.iter().map(|(node, record)| StoredDrain {
-            node: node.clone(),
+            worker: node.clone(),
             record: Some(*record),
             left_s: record.until_ms.map(|at| at as f64 / 1000.0 - self.now),
             version: self.revision,
         });
         let now_ms = (self.now * 1000.0) as u64;
-        let age = |(name, at): &(String, u64)| (name.clone(), stamp::age(*at, now_ms, 0));
+        let age = |(name, at): &(String, u64)| FencedWorker {
+            name: name.clone(),
+            age_ms: stamp::age(*at, now_ms, 0),
+        };
         let fencing = self
             .fencing
             .iter()
             .map(|(&page, stored)| StoredFencingPage {
                 page,
                 version: self.revision,
-                ages: Some(stored.iter().map(age).collect()),
+                workers: Some(stored.iter().map(age).collect()),
             });
         let snapshot = Snapshot {
             jobs,
@@ -671,15 +680,15 @@
                 Write::Finish { job, .. } => {
                     self.over.insert(*job);
                 }
-                Write::FencingRecord { page, ages, .. } => {
+                Write::FencingRecord { page, workers, .. } => {
                     let now_ms = (self.now * 1000.0) as u64;
-                    let at = |(n, age): &(String, u64)| (n.clone(), stamp::of_age(*age, now_ms));
-                    self.fencing.insert(*page, ages.iter().map(at).collect());
+                    let at = |w: &FencedWorker| (w.name.clone(), stamp::of_age(w.age_ms, now_ms));
+                    self.fencing.insert(*page, workers.iter().map(at).collect());
                 }
-                Write::Drain { node, record, .. } => {
+                Write::Drain { worker, record, .. } => {
                     match record {
-                        Some(record) => self.drains.insert(node.clone(), *record),
-                        None => self.drains.remove(node),
+                        Some(record) => self.drains.insert(worker.clone(), *record),
+                        None => self.drains.remove(worker),
                     };
                 }
             }
--- a/src/api.rs
+++ b/src/api.rs
@@ -140,7 +140,7 @@
     }
 
     fn health(&self) -> Outgoing {
-        let cut_off = self.context.store.unserved_s() > CUT_OFF_S
+        let cut_off = self.context.store.unanswered_s() > CUT_OFF_S
             && !self.context.settings.others.is_empty()
             && self.context.peers_silent_s() > CUT_OFF_S;
         if cut_off {
@@ -584,7 +584,7 @@
                     .unwrap_or(Lookup::AskState),
             ),
             PeerRequest::State { method, path, body } => {
-                self.context.store.pass_on(&method, &path, body).await
+                self.context.store.relay(&method, &path, body).await
             }
             PeerRequest::VoteToExtendLease { token } => {
                 let reply = election::answer_to_leader(&self.context, token).await;
@@ -642,7 +642,7 @@
     pub async fn watch_peers(self) {
         loop {
             sleep(Duration::from_secs(2)).await;
-            if self.context.store.unserved_s() < 1.5 {
+            if self.context.store.unanswered_s() < 1.5 {
                 continue;
             }
             for peer in &self.context.settings.others {
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -187,7 +187,7 @@
     }
 
     pub fn vote_to_extend_lease(&self, token: u64) -> bool {
-        let refused = self.store.is_refused();
+        let refused = self.store.is_unreachable();
         self.leadership(|l, now| l.vote_to_extend_lease(now, refused, token))
     }
 
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -12,7 +12,8 @@
 use crate::protocol::peer::Lookup;
 use crate::protocol::worker::Verb;
 use crate::settings::{Objective, Tuning};
-use crate::storage::{Snapshot, StoredJob, bitmap};
+use crate::storage::bitmap::{self, TaskBitmap};
+use crate::storage::{Snapshot, StoredJob};
 
 use super::auction::Group;
 pub use super::messages::*;
@@ -112,8 +113,8 @@
         for job in snapshot.jobs {
             core.add_job(job);
         }
-        for (id, chunk, bits, version) in snapshot.progress {
-            core.restore_progress(id, chunk, &bits, version);
+        for stored in snapshot.progress {
+            core.restore_progress(stored.job, stored.chunk, &stored.bitmap, stored.version);
         }
         for page in snapshot.registry {
             core.restore_registry(page);
@@ -407,7 +408,13 @@
         )
     }
 
-    pub(super) fn restore_progress(&mut self, id: JobId, chunk: u32, bits: &[u8], version: u64) {
+    pub(super) fn restore_progress(
+        &mut self,
+        id: JobId,
+        chunk: u32,
+        bitmap: &TaskBitmap,
+        version: u64,
+    ) {
         let Some(&ix) = self.job_ids.get(&id) else {
             // Left over from a job that has ended.
             self.drop_progress.push_back((id, chunk, version));
@@ -419,9 +426,7 @@
             *v = version;
         }
         for (i, task) in job.tasks.iter_mut().enumerate().skip(from as usize) {
-            let bit = i - from as usize;
-            let Some(byte) = bits.get(bit / 8) else { break };
-            if byte & (1 << (bit % 8)) != 0 && !task.done {
+            if bitmap.contains(i - from as usize) && !task.done {
                 task.done = true;
                 task.stored = true;
                 job.done += 1;
--- a/src/coordination/drains.rs
+++ b/src/coordination/drains.rs
@@ -23,7 +23,7 @@
 
 impl Core {
     pub(super) fn restore_drain(&mut self, stored: StoredDrain) {
-        if let Some(&m) = self.worker_ids.get(&stored.node) {
+        if let Some(&m) = self.worker_ids.get(&stored.worker) {
             self.workers[m].draining = true;
         }
         let drain = Drain {
@@ -36,7 +36,7 @@
             version: stored.version,
             ..Drain::default()
         };
-        self.drains.insert(stored.node, drain);
+        self.drains.insert(stored.worker, drain);
     }
 
     pub(super) fn operate(&mut self, ticket: u64, order: AdminRequest, unix_ms: u64) {
@@ -143,7 +143,7 @@
                 drain.writing = true;
                 *ops += 1;
                 batch.push(Write::Drain {
-                    node: node.clone(),
+                    worker: node.clone(),
                     record: drain.record,
                     version: drain.version,
                 });
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -9,8 +9,8 @@
 use copperfield_fencing::StoredPage;
 
 use crate::protocol::worker::Heartbeat;
-use crate::storage::StoredFencingPage;
 use crate::storage::writer::{Write, Written};
+use crate::storage::{FencedWorker, StoredFencingPage};
 
 use super::messages::Effect;
 use super::model::*;
@@ -45,18 +45,18 @@
         for StoredFencingPage {
             page,
             version,
-            ages,
+            workers,
         } in stored
         {
-            let at = |(name, age): (String, u64)| {
+            let at = |FencedWorker { name, age_ms }| {
                 let at = if bounded {
-                    (now - age as f64 / 1000.0).max(vote_binding_until)
+                    (now - age_ms as f64 / 1000.0).max(vote_binding_until)
                 } else {
                     now
                 };
                 (name, at)
             };
-            let entries: Option<Vec<_>> = ages.map(|a| a.into_iter().map(at).collect());
+            let entries: Option<Vec<_>> = workers.map(|a| a.into_iter().map(at).collect());
             for (name, at) in entries.iter().flatten() {
                 let Some(&m) = self.worker_ids.get(name) else {
                     continue;
@@ -160,10 +160,13 @@
                 *bytes += name.len() + 20;
             }
             let now = ms(self.now);
-            let age = |(name, at): (String, u64)| (name, now.saturating_sub(at));
+            let age = |(name, at): (String, u64)| FencedWorker {
+                name,
+                age_ms: now.saturating_sub(at),
+            };
             batch.push(Write::FencingRecord {
                 page: write.page,
-                ages: write.entries.into_iter().map(age).collect(),
+                workers: write.entries.into_iter().map(age).collect(),
                 version: write.version,
             });
         }
--- a/src/coordination/persistence.rs
+++ b/src/coordination/persistence.rs
@@ -2,7 +2,7 @@
 //! transaction at a time.
 
 use crate::protocol::JobId;
-use crate::storage::bitmap;
+use crate::storage::bitmap::TaskBitmap;
 use crate::storage::writer::{Write, Written, completed};
 
 use super::messages::Effect;
@@ -62,18 +62,18 @@
             job.chunk_due[chunk as usize] = None;
             let from = chunk as usize * chunk_tasks;
             let to = (from + chunk_tasks).min(job.tasks.len());
-            let mut bits = vec![0u8; (to - from).div_ceil(8)];
+            let mut bitmap = TaskBitmap::new(to - from);
             for (i, t) in job.tasks[from..to].iter().enumerate() {
                 if t.done {
-                    bits[i / 8] |= 1 << (i % 8);
+                    bitmap.insert(i);
                 }
             }
             ops += 1;
-            bytes += bits.len() * 2 + 200;
+            bytes += bitmap.digits() + 200;
             batch.push(Write::Progress {
                 job: job.spec.id,
                 chunk,
-                value: bitmap::to_record(&bits),
+                value: bitmap.to_record(),
                 version: job.chunks[chunk as usize],
             });
         }
@@ -113,7 +113,7 @@
                     self.registry_written(page, &value, &written)
                 }
                 Write::FencingRecord { page, .. } => self.fencing_written(page, &written),
-                Write::Drain { node, record, .. } => self.drain_written(node, record, &written),
+                Write::Drain { worker, record, .. } => self.drain_written(worker, record, &written),
                 Write::DropProgress { job, chunk, .. } => {
                     if let Written::Again { version } = written {
                         self.drop_progress.push_back((job, chunk, version));
@@ -151,11 +151,9 @@
             return;
         }
         if let Written::Stored { .. } = written {
-            let bits = bitmap::from_record(value).unwrap_or_default();
+            let bitmap = TaskBitmap::from_record(value).unwrap_or_default();
             for (i, t) in job.tasks.iter_mut().enumerate().skip(from) {
-                let bit = i - from;
-                let Some(byte) = bits.get(bit / 8) else { break };
-                if byte & (1 << (bit % 8)) != 0 {
+                if bitmap.contains(i - from) {
                     t.stored = true;
                 }
             }
--- /dev/null
+++ b/src/storage/store/watch.rs
@@ -0,0 +1,83 @@
+//! Reading everything below a prefix, and following what changes there.
+
+use std::time::Duration;
+
+use hyper::Method;
+
+use super::{Request, Store, StoreError, parse};
+use crate::protocol::state::{Changes, Item, Page};
+use crate::transport::rate_limiter::Urgency;
+
+/// Items that are asked for at once.
+const PAGE_ITEMS: usize = 500;
+/// What a watch may take beyond the time that the service may hold it open.
+const WATCH_MARGIN: Duration = Duration::from_millis(1500);
+
+impl Store {
+    /// Every item below a prefix, with the revision before the first page was read.
+    pub async fn list(&self, prefix: &str) -> Result<(Vec<Item>, u64), StoreError> {
+        let mut items: Vec<Item> = Vec::new();
+        let mut revision = None;
+        loop {
+            let page = self.list_page(prefix, items.last()).await?;
+            revision.get_or_insert(page.revision);
+            let more = page.more && !page.items.is_empty();
+            items.extend(page.items);
+            if !more {
+                return Ok((items, revision.unwrap_or(0)));
+            }
+        }
+    }
+
+    async fn list_page(&self, prefix: &str, last: Option<&Item>) -> Result<Page, StoreError> {
+        let since = last.map(|item| format!("&since={}", item.key));
+        let since = since.unwrap_or_default();
+        let path = format!("/kv?prefix={prefix}{since}&page={PAGE_ITEMS}");
+        let answer = self
+            .call(Request {
+                method: Method::GET,
+                path: &path,
+                body: &[],
+                changes: 0,
+                urgency: Urgency::High,
+                may_relay: false,
+            })
+            .await?;
+        match answer.status {
+            200 => parse(&answer),
+            other => Err(StoreError::Refused(other)),
+        }
+    }
+
+    /// What has changed below a prefix since a revision; waits up to `block` for a change.
+    pub async fn watch(
+        &self,
+        prefix: &str,
+        since: u64,
+        block: Duration,
+    ) -> Result<Changes, StoreError> {
+        self.requests.spend(1.0, Urgency::High).await;
+        let path = format!(
+            "/watch?prefix={prefix}&since={since}&block_ms={}",
+            block.as_millis()
+        );
+        // Not through `direct`: an open watch that outlasts an outage is no evidence about other
+        // requests.
+        let answer = self
+            .http
+            .call(
+                Method::GET,
+                self.address,
+                &path,
+                Vec::new(),
+                block + WATCH_MARGIN,
+            )
+            .await
+            .map_err(StoreError::from_watch)?;
+        match answer.status {
+            200 => parse(&answer),
+            410 => Err(StoreError::TooOld),
+            other => Err(StoreError::Refused(other)),
+        }
+    }
+}
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -10,9 +10,10 @@
 use copperfield::protocol::JobId;
 use copperfield::protocol::job::{JobOutcome, Phase};
 use copperfield::settings::{LogFormat, Settings, Switch, Tuning};
+use copperfield::storage::bitmap::{TaskBitmap, tasks_per_chunk};
 use copperfield::storage::store::Store;
 use copperfield::storage::writer::{Write, completed, write};
-use copperfield::storage::{self, DrainRecord, WorkerRecord, bitmap};
+use copperfield::storage::{self, DrainRecord, FencedWorker, JobRecord, WorkerRecord};
 use copperfield::transport::client::{Answer, Exchange, Network};
 use copperfield_fencing::stamp;
 use hyper::Method;
@@ -105,9 +106,9 @@
     let jobs = check_records(
         "records/jobs.txt",
         |v| storage::parse_job_record(&v).expect("a job"),
-        |(spec, at)| storage::job_record(spec, *at),
+        |job| storage::job_record(&job.spec, job.accepted_ms),
     );
-    let made: Vec<String> = jobs.iter().map(|(_, at)| at.to_string()).collect();
+    let made: Vec<String> = jobs.iter().map(|job| job.accepted_ms.to_string()).collect();
     check_lines("records/jobs_at.txt", &made);
 
     let ends = check_records(
@@ -123,13 +124,16 @@
 
     let bits = check_records(
         "records/progress.txt",
-        |v| bitmap::from_record(&v).expect("a bitmap"),
-        |bits| bitmap::to_record(bits),
+        |v| TaskBitmap::from_record(&v).expect("a bitmap"),
+        TaskBitmap::to_record,
     );
-    let numbers = |bits: &Vec<u8>| bits.iter().map(u8::to_string).collect::<Vec<_>>().join(" ");
+    let numbers = |bitmap: &TaskBitmap| {
+        let bytes = bitmap.as_bytes().iter().map(u8::to_string);
+        bytes.collect::<Vec<_>>().join(" ")
+    };
     let made: Vec<String> = bits.iter().map(numbers).collect();
     check_lines("records/progress_read.txt", &made);
-    let made = [1024, 8 * 1024, 64 * 1024].map(|b| bitmap::tasks_per_chunk(b).to_string());
+    let made = [1024, 8 * 1024, 64 * 1024].map(|b| tasks_per_chunk(b).to_string());
     check_lines("records/progress_chunks.txt", &made);
 
     let drains: Vec<DrainRecord> = check_serde("records/drains.txt");
@@ -164,14 +168,14 @@
     };
     let made: Vec<String> = value("records/lacking_ends.txt")
         .iter()
-        .map(|v| or_dash(storage::parse_terminal(v).map(|e| e.done)))
+        .map(|v| or_dash(storage::parse_terminal(v).ok().map(|e| e.done)))
         .collect();
     check_lines("records/lacking_ends_read.txt", &made);
     let made: Vec<String> = value("records/lacking_jobs.txt")
         .iter()
         .map(|v| match storage::parse_job_record(v) {
-            Ok((spec, at)) => format!("{at} {}", spec.to_json()),
-            Err(why) => why,
+            Ok(JobRecord { spec, accepted_ms }) => format!("{accepted_ms} {}", spec.to_json()),
+            Err(error) => error.to_string(),
         })
         .collect();
     check_lines("records/lacking_jobs_read.txt", &made);
@@ -180,7 +184,7 @@
         .map(|v| {
             let drain = serde_json::from_value::<DrainRecord>(v.clone()).is_ok();
             let worker = serde_json::from_value::<WorkerRecord>(v.clone()).is_ok();
-            format!("{drain} {worker} {}", bitmap::from_record(&v).is_some())
+            format!("{drain} {worker} {}", TaskBitmap::from_record(&v).is_ok())
         })
         .collect();
     check_lines("records/lacking_others_read.txt", &made);
@@ -229,6 +233,13 @@
     }
 }
 
+fn fenced(name: &str, age_ms: u64) -> FencedWorker {
+    FencedWorker {
+        name: name.into(),
+        age_ms,
+    }
+}
+
 fn writes() -> Vec<Write> {
     let value: Value = serde_json::from_str(&pinned("records/value.json")).expect("JSON");
     let until = [
@@ -246,7 +257,7 @@
         .into_iter()
         .zip(20..)
         .map(|(record, version)| Write::Drain {
-            node: format!("vm-{version}"),
+            worker: format!("vm-{version}"),
             record,
             version,
         });
@@ -274,7 +285,7 @@
         },
         Write::FencingRecord {
             page: 18,
-            ages: vec![("vm-1".into(), 0), ("vm-2".into(), 4321)],
+            workers: vec![fenced("vm-1", 0), fenced("vm-2", 4321)],
             version: 19,
         },
     ];
