--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -685,10 +685,10 @@
                     let at = |w: &FencedWorker| (w.name.clone(), stamp::of_age(w.age_ms, now_ms));
                     self.fencing.insert(*page, workers.iter().map(at).collect());
                 }
-                Write::Drain { worker, record, .. } => {
+                Write::Drain { node, record, .. } => {
                     match record {
-                        Some(record) => self.drains.insert(worker.clone(), *record),
-                        None => self.drains.remove(worker),
+                        Some(record) => self.drains.insert(node.clone(), *record),
+                        None => self.drains.remove(node),
                     };
                 }
             }
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -12,7 +12,7 @@
 use crate::protocol::peer::Lookup;
 use crate::protocol::worker::Verb;
 use crate::settings::{Objective, Tuning};
-use crate::storage::bitmap::{self, TaskBitmap};
+use crate::storage::bitmap;
 use crate::storage::{Snapshot, StoredJob};
 
 use super::auction::Group;
@@ -21,7 +21,9 @@
 pub use super::state::{Config, Core, TeamUsage};
 use copperfield_fencing::FencingRecord;
 
-use super::state::{Migrations, Provisioning, WINDOW_S, WorkerRegistry};
+use super::persistence::WriteQueue;
+use super::registry::WorkerRegistry;
+use super::state::{Migrations, Provisioning, WINDOW_S};
 
 /// Silence and ends of leases are looked for so often, and before every batch.
 const WATCH_S: f64 = 0.05;
@@ -79,7 +81,6 @@
             provisioning,
             large_task_profiles: Vec::new(),
             scheduling_class: BTreeMap::new(),
-            progress_due: VecDeque::new(),
             next_in_tail: 0,
             over: HashMap::new(),
             cancel_early: BTreeSet::new(),
@@ -87,9 +88,7 @@
             next_attempt: (token << 24) + 1,
             next_message_id: 1,
             effects: Vec::new(),
-            writing: false,
-            finish: VecDeque::new(),
-            drop_progress: VecDeque::new(),
+            write_queue: WriteQueue::default(),
             registry: WorkerRegistry::new(value_bytes),
             fencing: FencingRecord::new(value_bytes),
             deferred_heartbeats: BTreeMap::new(),
@@ -114,7 +113,7 @@
             core.add_job(job);
         }
         for stored in snapshot.progress {
-            core.restore_progress(stored.job, stored.chunk, &stored.bitmap, stored.version);
+            core.restore_progress(&stored);
         }
         for page in snapshot.registry {
             core.restore_registry(page);
@@ -408,32 +407,6 @@
         )
     }
 
-    pub(super) fn restore_progress(
-        &mut self,
-        id: JobId,
-        chunk: u32,
-        bitmap: &TaskBitmap,
-        version: u64,
-    ) {
-        let Some(&ix) = self.job_ids.get(&id) else {
-            // Left over from a job that has ended.
-            self.drop_progress.push_back((id, chunk, version));
-            return;
-        };
-        let from = chunk * self.chunk_tasks;
-        let job = &mut self.jobs[ix];
-        if let Some(v) = job.chunks.get_mut(chunk as usize) {
-            *v = version;
-        }
-        for (i, task) in job.tasks.iter_mut().enumerate().skip(from as usize) {
-            if bitmap.contains(i - from as usize) && !task.done {
-                task.done = true;
-                task.stored = true;
-                job.done += 1;
-            }
-        }
-    }
-
     pub(super) fn begin_cancellation(&mut self, id: JobId) -> CancelBegin {
         if let Some(&end) = self.over.get(&id) {
             return CancelBegin::Terminal(end);
@@ -483,9 +456,7 @@
         job.state = JobState::Terminal(end);
         let chunks: Vec<(u32, u64)> = (0u32..).zip(job.chunks.iter().copied()).collect();
         for (chunk, version) in chunks {
-            if version > 0 {
-                self.drop_progress.push_back((id, chunk, version));
-            }
+            self.drop_chunk(id, chunk, version);
         }
         tracing::info!(job = %id, phase = end.phase.spelling(), "job over");
         if self.jobs[ix].entries == 0 {
@@ -576,23 +547,15 @@
             job.active -= 1;
         }
         job.done += 1;
-        self.progress_due(ix, task / chunk_tasks, due);
+        self.schedule_progress_write(ix, task / chunk_tasks, due);
         self.finish_if_done(ix);
     }
 
-    pub(super) fn progress_due(&mut self, ix: u32, chunk: u32, at: Time) {
-        let due = &mut self.jobs[ix].chunk_due[chunk as usize];
-        if due.is_none() {
-            *due = Some(at);
-            self.progress_due.push_back((ix, chunk));
-        }
-    }
-
     pub(super) fn finish_if_done(&mut self, ix: u32) {
         let job = &mut self.jobs[ix];
         if job.state == JobState::Live && job.done == job.spec.tasks {
             job.state = JobState::Finishing;
-            self.finish.push_back(ix);
+            self.write_queue.push_finished_job(ix);
         }
     }
 }
--- a/src/coordination/drains.rs
+++ b/src/coordination/drains.rs
@@ -16,6 +16,7 @@
 use super::messages::Effect;
 use super::migration::amounts;
 use super::model::*;
+use super::persistence::WriteBatch;
 use super::state::{Core, Drain};
 
 /// Nodes, moves or jobs in one answer, which stays well under 64 KiB.
@@ -133,20 +134,20 @@
         }
     }
 
-    pub(super) fn drain_writes(&mut self, batch: &mut Vec<Write>, limit: usize, ops: &mut usize) {
+    pub(super) fn add_drain_writes(&mut self, batch: &mut WriteBatch) {
         for (node, drain) in &mut self.drains {
-            if *ops >= limit {
+            if !batch.has_room_for(1) {
                 return;
             }
             if drain.due && !drain.writing {
                 drain.due = false;
                 drain.writing = true;
-                *ops += 1;
-                batch.push(Write::Drain {
-                    worker: node.clone(),
+                let write = Write::Drain {
+                    node: node.clone(),
                     record: drain.record,
                     version: drain.version,
-                });
+                };
+                batch.push(write, 0);
             }
         }
     }
--- a/src/coordination/fencing.rs
+++ b/src/coordination/fencing.rs
@@ -14,6 +14,7 @@
 
 use super::messages::Effect;
 use super::model::*;
+use super::persistence::WriteBatch;
 use super::state::Core;
 
 /// Many fall silent together: they share a change of the state service.
@@ -145,34 +146,31 @@
         self.fencing.heard(&self.workers[m].name, due);
     }
 
-    pub(super) fn fencing_writes(
-        &mut self,
-        batch: &mut Vec<Write>,
-        limit: usize,
-        bytes: &mut usize,
-    ) {
-        let pages = super::persistence::TXN_BYTES / (8 * 1024);
-        for write in self.fencing.writes(ms(self.now), limit.min(pages)) {
+    pub(super) fn add_fencing_writes(&mut self, batch: &mut WriteBatch) {
+        let limit = batch.room_for_values_of(8 * 1024);
+        for write in self.fencing.writes(ms(self.now), limit) {
+            let mut bytes = 0;
             for (name, _) in &write.entries {
                 if let Some(&m) = self.worker_ids.get(name) {
                     self.workers[m].fenced = true;
                 }
-                *bytes += name.len() + 20;
+                bytes += name.len() + 20;
             }
             let now = ms(self.now);
             let age = |(name, at): (String, u64)| FencedWorker {
                 name,
                 age_ms: now.saturating_sub(at),
             };
-            batch.push(Write::FencingRecord {
+            let fencing_write = Write::FencingRecord {
                 page: write.page,
                 workers: write.entries.into_iter().map(age).collect(),
                 version: write.version,
-            });
+            };
+            batch.push(fencing_write, bytes);
         }
     }
 
-    pub(super) fn fencing_written(&mut self, page: u32, written: &Written) {
+    pub(super) fn handle_fencing_result(&mut self, page: u32, written: &Written) {
         match written {
             Written::Stored { version } => self.fencing.stored(page, *version),
             Written::Again { version } => {
--- /dev/null
+++ b/src/coordination/persistence/mod.rs
@@ -0,0 +1,253 @@
+//! What the leader stores: ends of jobs, done tasks, drains, the worker registry and the fencing
+//! record, one transaction at a time.
+
+mod write_batch;
+mod write_queue;
+
+use std::ops::Range;
+
+use serde_json::Value;
+
+use crate::protocol::JobId;
+use crate::storage::StoredProgress;
+use crate::storage::bitmap::TaskBitmap;
+use crate::storage::writer::{Write, Written, completed};
+
+use super::messages::Effect;
+use super::model::*;
+use super::state::Core;
+
+pub(super) use write_batch::WriteBatch;
+pub(super) use write_queue::{JobChunk, ObsoleteChunk, WriteQueue};
+
+/// Changes that the end of a job takes: its terminal state appears, its description goes.
+const CHANGES_PER_FINISHED_JOB: usize = 2;
+/// Of a write of done tasks, besides the bitmap itself.
+const PROGRESS_OVERHEAD_BYTES: usize = 200;
+
+impl Core {
+    /// Sends what waits to be written, if no transaction is in flight.
+    pub(super) fn flush_writes(&mut self) {
+        if self.write_queue.is_in_flight() {
+            return;
+        }
+        let mut batch = WriteBatch::new(self.config.cluster.state.txn_ops);
+        // First, as workers wait for their answers until their removal is stored.
+        self.add_fencing_writes(&mut batch);
+        self.add_finished_jobs(&mut batch);
+        self.add_drain_writes(&mut batch);
+        self.add_registry_writes(&mut batch);
+        self.add_progress_writes(&mut batch);
+        self.add_obsolete_chunks(&mut batch);
+        if !batch.is_empty() {
+            self.write_queue.begin_transaction();
+            self.effects.push(Effect::Write(batch.into_writes()));
+        }
+    }
+
+    fn add_finished_jobs(&mut self, batch: &mut WriteBatch) {
+        while batch.has_room_for(CHANGES_PER_FINISHED_JOB)
+            && let Some(ix) = self.write_queue.pop_finished_job()
+        {
+            let job = &self.jobs[ix];
+            let write = Write::Finish {
+                job: job.spec.id,
+                version: job.version,
+                done: job.spec.tasks,
+            };
+            batch.push(write, 0);
+        }
+    }
+
+    fn add_progress_writes(&mut self, batch: &mut WriteBatch) {
+        while batch.has_room_for_value()
+            && let Some(chunk) = self.write_queue.first_changed_chunk()
+        {
+            let due = self.chunk_due_at(chunk);
+            if due.is_some_and(|at| at > self.now) {
+                break;
+            }
+            self.write_queue.pop_changed_chunk();
+            if due.is_some() {
+                self.add_progress_write(chunk, batch);
+            }
+        }
+    }
+
+    /// When a chunk is to be written; `None` if the job has ended since: its index may be
+    /// another's by now.
+    fn chunk_due_at(&self, chunk: JobChunk) -> Option<Time> {
+        let job = self.jobs.get(chunk.job)?;
+        if job.state != JobState::Live {
+            return None;
+        }
+        *job.chunk_due.get(chunk.chunk as usize)?
+    }
+
+    fn add_progress_write(&mut self, JobChunk { job, chunk }: JobChunk, batch: &mut WriteBatch) {
+        let tasks = self.tasks_of_chunk(job, chunk);
+        let job = &mut self.jobs[job];
+        job.chunk_due[chunk as usize] = None;
+        let mut bitmap = TaskBitmap::new(tasks.len());
+        for (position, task) in job.tasks[tasks].iter().enumerate() {
+            if task.done {
+                bitmap.insert(position);
+            }
+        }
+        let write = Write::Progress {
+            job: job.spec.id,
+            chunk,
+            value: bitmap.to_record(),
+            version: job.chunks[chunk as usize],
+        };
+        batch.push(write, bitmap.digits() + PROGRESS_OVERHEAD_BYTES);
+    }
+
+    fn add_obsolete_chunks(&mut self, batch: &mut WriteBatch) {
+        while batch.has_room_for(1)
+            && let Some(obsolete) = self.write_queue.pop_obsolete_chunk()
+        {
+            let write = Write::DropProgress {
+                job: obsolete.job,
+                chunk: obsolete.chunk,
+                version: obsolete.version,
+            };
+            batch.push(write, 0);
+        }
+    }
+
+    /// The transaction in flight has ended.
+    pub(super) fn handle_write_results(&mut self, results: Vec<(Write, Written)>) {
+        self.write_queue.end_transaction();
+        for (write, written) in results {
+            match write {
+                Write::Finish { job, done, .. } => self.handle_finish_result(job, done, &written),
+                Write::Progress {
+                    job, chunk, value, ..
+                } => self.handle_progress_result(job, chunk, &value, &written),
+                Write::WorkerRegistry { page, value, .. } => {
+                    self.handle_registry_result(page, &value, &written)
+                }
+                Write::FencingRecord { page, .. } => self.handle_fencing_result(page, &written),
+                Write::Drain { node, record, .. } => self.drain_written(node, record, &written),
+                Write::DropProgress { job, chunk, .. } => {
+                    if let Written::Again { version } = written {
+                        self.write_queue.push_obsolete_chunk(ObsoleteChunk {
+                            job,
+                            chunk,
+                            version,
+                        });
+                    }
+                }
+            }
+        }
+    }
+
+    fn handle_finish_result(&mut self, job: JobId, done: u32, written: &Written) {
+        match written {
+            Written::Stored { .. } => self.end_job(job, completed(done)),
+            Written::Ended(outcome) => self.end_job(job, *outcome),
+            Written::Again { .. } => {
+                if let Some(&ix) = self.job_ids.get(&job) {
+                    self.write_queue.push_finished_job(ix);
+                }
+            }
+        }
+    }
+
+    fn handle_progress_result(&mut self, id: JobId, chunk: u32, value: &Value, written: &Written) {
+        let version = match written {
+            Written::Stored { version } | Written::Again { version } => *version,
+            Written::Ended(_) => return,
+        };
+        let Some(&ix) = self.job_ids.get(&id) else {
+            return self.drop_chunk(id, chunk, version);
+        };
+        let job = &mut self.jobs[ix];
+        job.chunks[chunk as usize] = version;
+        if matches!(job.state, JobState::Terminal(_)) {
+            return self.drop_chunk(id, chunk, version);
+        }
+        if let Written::Stored { .. } = written {
+            self.mark_stored(ix, chunk, value);
+        } else {
+            self.schedule_progress_write(ix, chunk, self.now);
+        }
+    }
+
+    /// Notes which tasks are stored as done.
+    fn mark_stored(&mut self, ix: u32, chunk: u32, value: &Value) {
+        let bitmap = TaskBitmap::from_record(value).unwrap_or_default();
+        let first = self.first_task_of_chunk(chunk);
+        let tasks = self.jobs[ix].tasks.iter_mut().skip(first);
+        for (position, task) in tasks.take(bitmap.capacity()).enumerate() {
+            if bitmap.contains(position) {
+                task.stored = true;
+            }
+        }
+    }
+
+    /// Takes over a chunk that an earlier leader has stored. It may be longer than a chunk is
+    /// now, if the state service took larger values then.
+    pub(super) fn restore_progress(&mut self, stored: &StoredProgress) {
+        let StoredProgress {
+            job: id,
+            chunk,
+            version,
+            ..
+        } = *stored;
+        let Some(&ix) = self.job_ids.get(&id) else {
+            // Left over from a job that has ended.
+            return self.write_queue.push_obsolete_chunk(ObsoleteChunk {
+                job: id,
+                chunk,
+                version,
+            });
+        };
+        let first = self.first_task_of_chunk(chunk);
+        let job = &mut self.jobs[ix];
+        if let Some(of_chunk) = job.chunks.get_mut(chunk as usize) {
+            *of_chunk = version;
+        }
+        let tasks = job.tasks.iter_mut().skip(first);
+        for (position, task) in tasks.take(stored.bitmap.capacity()).enumerate() {
+            if stored.bitmap.contains(position) && !task.done {
+                task.done = true;
+                task.stored = true;
+                job.done += 1;
+            }
+        }
+    }
+
+    /// The tasks of a job that a chunk is about.
+    fn tasks_of_chunk(&self, ix: u32, chunk: u32) -> Range<usize> {
+        let first = self.first_task_of_chunk(chunk);
+        let end = first + self.chunk_tasks as usize;
+        first..end.min(self.jobs[ix].tasks.len())
+    }
+
+    fn first_task_of_chunk(&self, chunk: u32) -> usize {
+        chunk as usize * self.chunk_tasks as usize
+    }
+
+    /// Has a chunk written at `at`, unless it is to be written already.
+    pub(super) fn schedule_progress_write(&mut self, ix: u32, chunk: u32, at: Time) {
+        let due = &mut self.jobs[ix].chunk_due[chunk as usize];
+        if due.is_none() {
+            *due = Some(at);
+            let chunk = JobChunk { job: ix, chunk };
+            self.write_queue.push_changed_chunk(chunk);
+        }
+    }
+
+    /// Has a chunk of a job that has ended removed, if it is stored.
+    pub(super) fn drop_chunk(&mut self, job: JobId, chunk: u32, version: u64) {
+        if version > 0 {
+            self.write_queue.push_obsolete_chunk(ObsoleteChunk {
+                job,
+                chunk,
+                version,
+            });
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/registry/mod.rs
@@ -0,0 +1,169 @@
+//! The worker registry: which workers may have been given tasks, as the state service keeps it,
+//! so that the next leader can ask each at once which task instances it holds.
+//!
+//! A worker is on a stored page before its first start. Many workers share a page: with a record
+//! for each, the first minute of a site of a thousand workers, and every change of the images
+//! they have, would use up the changes per second that submissions need.
+
+mod pages;
+
+use serde_json::{Map, Value};
+
+use crate::storage::writer::{Write, Written};
+use crate::storage::{StoredRegistryPage, WorkerRecord};
+
+use super::model::*;
+use super::persistence::WriteBatch;
+use super::state::Core;
+
+pub(super) use pages::WorkerRegistry;
+
+/// How long a change of a worker's images, which are only a hint, may wait to be written.
+const IMAGES_DELAY_S: Time = 10.0;
+/// How long a removal may: a worker too many only costs the next leader a question.
+const REMOVAL_DELAY_S: Time = 0.3;
+/// Of a write, besides its value.
+const WRITE_OVERHEAD_BYTES: usize = 100;
+/// Of a worker's record, besides its name, its address and its images.
+const RECORD_OVERHEAD_BYTES: usize = 120;
+/// Of an image in a record: quotes and a comma.
+const IMAGE_OVERHEAD_BYTES: usize = 3;
+
+impl Core {
+    /// Takes over a page that an earlier leader has stored.
+    pub(super) fn restore_registry(&mut self, stored: StoredRegistryPage) {
+        self.registry.restore_page(stored.page, stored.version);
+        let Some(workers) = stored.workers else {
+            self.registry.mark_unreadable(stored.page);
+            self.unknown_workers = true;
+            return;
+        };
+        for (name, record) in workers {
+            if !self.worker_ids.contains_key(&name) {
+                self.restore_worker(stored.page, &name, &record);
+            }
+        }
+    }
+
+    fn restore_worker(&mut self, page: u32, name: &str, record: &WorkerRecord) {
+        let kind = self.types.intern(&record.machine_type);
+        let zone = self.zones.intern(&record.zone);
+        let images: Vec<u32> = record
+            .images
+            .iter()
+            .map(|image| self.intern_image(image, 0.0))
+            .collect();
+        let m = self.add_worker(name, &record.address, kind, zone, record.spot);
+        let worker = &mut self.workers[m];
+        worker.page = Some(page);
+        worker.registered = true;
+        worker.known_to_predecessor = true;
+        worker.images = images;
+        self.registry.restore_worker(page, m);
+    }
+
+    /// Puts a worker on a page; it may be given tasks once that is stored.
+    pub(super) fn register_worker(&mut self, m: u32) {
+        if self.workers[m].page.is_none() {
+            let page = self.registry.add(m, self.now);
+            self.workers[m].page = Some(page);
+        }
+    }
+
+    /// A worker that surely holds nothing, and gets nothing until its next heartbeat.
+    pub(super) fn unregister_worker(&mut self, m: u32) {
+        self.unfence_worker(m);
+        self.workers[m].registered = false;
+        if let Some(page) = self.workers[m].page.take() {
+            self.registry.remove(page, m, self.now + REMOVAL_DELAY_S);
+        }
+    }
+
+    /// The images of a worker have changed.
+    pub(super) fn images_changed(&mut self, m: u32) {
+        if let Some(page) = self.workers[m].page {
+            let due = self.now + IMAGES_DELAY_S;
+            self.registry.schedule_write(page, due);
+        }
+    }
+
+    /// Adds the pages that are to be written now, as long as there is room for them.
+    pub(super) fn add_registry_writes(&mut self, batch: &mut WriteBatch) {
+        for page in self.registry.due_pages(self.now) {
+            if !batch.has_room_for_value() {
+                break;
+            }
+            let value = self.registry_page_value(page);
+            let bytes = value.to_string().len() + WRITE_OVERHEAD_BYTES;
+            let version = self.registry.begin_write(page);
+            let write = Write::WorkerRegistry {
+                page,
+                value,
+                version,
+            };
+            batch.push(write, bytes);
+        }
+    }
+
+    fn registry_page_value(&self, page: u32) -> Value {
+        let mut value = Map::new();
+        for &m in self.registry.workers(page) {
+            let record = serde_json::to_value(self.worker_record(m))
+                .expect("a struct of texts is valid JSON");
+            value.insert(self.workers[m].name.clone(), record);
+        }
+        Value::Object(value)
+    }
+
+    /// A worker's record, with the most recently used images: as many as there is room for.
+    fn worker_record(&self, m: u32) -> WorkerRecord {
+        let worker = &self.workers[m];
+        let mut record = WorkerRecord {
+            address: worker.address.clone(),
+            machine_type: self.types.names.name(worker.kind).to_string(),
+            zone: self.zones.name(worker.zone).to_string(),
+            spot: worker.spot,
+            images: Vec::new(),
+        };
+        let fixed = worker.name.len() + 2 * record.address.len() + RECORD_OVERHEAD_BYTES;
+        let mut left = self.registry.bytes_per_worker().saturating_sub(fixed);
+        for &image in worker.images.iter().rev() {
+            let name = self.images.name(image);
+            let bytes = name.len() + IMAGE_OVERHEAD_BYTES;
+            if bytes > left {
+                break;
+            }
+            left -= bytes;
+            record.images.insert(0, name.to_string());
+        }
+        record
+    }
+
+    /// The write of a page has ended.
+    pub(super) fn handle_registry_result(&mut self, page: u32, value: &Value, written: &Written) {
+        self.registry.end_write(page);
+        match written {
+            Written::Stored { version } => {
+                self.registry.set_version(page, *version);
+                self.mark_registered(page, value);
+            }
+            Written::Again { version } => {
+                self.registry.set_version(page, *version);
+                self.registry.schedule_write(page, self.now);
+            }
+            Written::Ended(_) => {}
+        }
+    }
+
+    /// The workers that a stored page names may be given tasks, but for those that were taken off
+    /// it while it was written.
+    fn mark_registered(&mut self, page: u32, value: &Value) {
+        for name in value.as_object().into_iter().flat_map(|names| names.keys()) {
+            if let Some(&m) = self.worker_ids.get(name)
+                && self.workers[m].page == Some(page)
+            {
+                self.workers[m].registered = true;
+            }
+        }
+    }
+}
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -14,6 +14,8 @@
 use super::failover::FailoverStats;
 use super::messages::Effect;
 use super::model::*;
+use super::persistence::WriteQueue;
+use super::registry::WorkerRegistry;
 use super::sharding::Sharding;
 
 /// The batch window of the design.
@@ -22,10 +24,6 @@
 /// A start counts as one only if the task is left alone for half a minute.
 pub(super) const SETTLED_S: f64 = 35.0;
 
-/// Room in a stored page for one worker with its images.
-const BYTES_PER_WORKER: usize = 512;
-const MAX_PER_PAGE: usize = 32;
-
 pub struct Config {
     pub cluster: Cluster,
     pub tuning: Tuning,
@@ -64,8 +62,6 @@
     pub(super) provisioning: Provisioning,
     pub(super) large_task_profiles: Vec<LargeTaskProfile>,
     pub(super) scheduling_class: BTreeMap<SchedulingClass, u32>,
-    /// Chunks of done bits that wait to be stored, the longest first.
-    pub(super) progress_due: VecDeque<(u32, u32)>,
     /// Where the last batch left off among the jobs that it had no time for.
     pub(super) next_in_tail: usize,
     /// Jobs that ended under this leader, by number.
@@ -75,9 +71,8 @@
     pub(super) next_attempt: u64,
     pub(super) next_message_id: u64,
     pub(super) effects: Vec<Effect>,
-    pub(super) writing: bool,
-    pub(super) finish: VecDeque<u32>,
-    pub(super) drop_progress: VecDeque<(JobId, u32, u64)>,
+    /// What waits to be written to the state service.
+    pub(super) write_queue: WriteQueue,
     pub(super) registry: WorkerRegistry,
     /// Workers that this leader has promised not to answer.
     pub(super) fencing: FencingRecord,
@@ -154,49 +149,6 @@
     }
 }
 
-#[derive(Debug, Default)]
-pub(super) struct Page {
-    pub(super) workers: Vec<u32>,
-    pub(super) version: u64,
-    /// When what is stored must say what it does not say yet.
-    pub(super) due: Option<Time>,
-    pub(super) writing: bool,
-    /// Holds a value that does not parse, which is never overwritten.
-    pub(super) unreadable: bool,
-}
-
-impl Page {
-    pub(super) fn due_by(&mut self, at: Time) {
-        self.due = Some(self.due.map_or(at, |d| d.min(at)));
-    }
-}
-
-#[derive(Debug)]
-pub(super) struct WorkerRegistry {
-    pub(super) pages: Vec<Page>,
-    pub(super) per_page: usize,
-    pub(super) bytes_per_worker: usize,
-}
-
-impl WorkerRegistry {
-    pub fn new(value_bytes: usize) -> Self {
-        let per_page = (value_bytes / BYTES_PER_WORKER).clamp(1, MAX_PER_PAGE);
-        Self {
-            pages: Vec::new(),
-            per_page,
-            bytes_per_worker: value_bytes * 9 / 10 / per_page,
-        }
-    }
-
-    pub(super) fn page(&mut self, ix: u32) -> &mut Page {
-        let ix = ix as usize;
-        if self.pages.len() <= ix {
-            self.pages.resize_with(ix + 1, Page::default);
-        }
-        &mut self.pages[ix]
-    }
-}
-
 /// One task on its way to another worker. Names, as indices may be another's by the
 /// time that it ends.
 #[derive(Debug, Clone)]
--- a/src/storage/bitmap.rs
+++ b/src/storage/bitmap.rs
@@ -53,6 +53,11 @@
         byte & (1 << (task % 8)) != 0
     }
 
+    /// For how many tasks there is a bit.
+    pub fn capacity(&self) -> usize {
+        self.bytes.len() * 8
+    }
+
     /// The number of hexadecimal digits of the record.
     pub fn digits(&self) -> usize {
         self.bytes.len() * 2
--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -78,8 +78,8 @@
     },
     /// A drain that begins or changes (`Some`), or ends.
     Drain {
-        /// The worker's name.
-        worker: String,
+        /// The worker's name, by which operators call it a node.
+        node: String,
         /// The drain's record; `None` removes it.
         record: Option<DrainRecord>,
         /// Version of the drain's key.
@@ -160,7 +160,7 @@
             }
             Self::WorkerRegistry { page, .. } => registry_key(*page),
             Self::FencingRecord { page, .. } => fencing_key(*page),
-            Self::Drain { worker, .. } => drain_key(worker),
+            Self::Drain { node, .. } => drain_key(node),
         }
     }
 
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -257,7 +257,7 @@
         .into_iter()
         .zip(20..)
         .map(|(record, version)| Write::Drain {
-            worker: format!("vm-{version}"),
+            node: format!("vm-{version}"),
             record,
             version,
         });
