--- a/crates/fencing/src/lib.rs
+++ b/crates/fencing/src/lib.rs
@@ -1,6 +1,7 @@
 #![doc = include_str!("../README.md")]
 
+mod page;
 mod record;
-pub mod stamp;
+pub mod timestamp;
 
-pub use record::{FencingRecord, PageWrite, StoredPage};
+pub use record::{FencedEntry, FencingRecord, PageWrite, StoredPage};
--- a/crates/fencing/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -1,29 +1,34 @@
 //! Every interleaving of a small world, with the record's own code in it.
 //!
 //! Two controllers, one worker, one state service, the time of day. Any of these may happen at
-//! any moment: a report, an answer that leaves late or is lost, a write that is carried out
-//! late or never, or whose acknowledgement is lost, a crash and a restart, an outage in which
-//! the other node vouches, a failover of the failover. Clocks of the two nodes are off by as
-//! much as the bound allows, in opposite directions.
+//! any moment: a heartbeat, an answer that leaves late or is lost, a write that is carried out
+//! late or never, or whose acknowledgement is lost, a crash and a restart, an outage in which the
+//! other controller votes for a lease extension, a failover during a failover. Clocks of the two
+//! controllers are off by as much as the bound allows, in opposite directions.
 //!
-//! The property: when a leader takes the lease of a worker that holds tasks for over, it is
-//! over. All short histories are explored, breadth first; the world has too many states for all
+//! The property: when a leader takes the lease of a worker that holds tasks for expired, it is
+//! expired. All short histories are explored, breadth first; the world has too many states for all
 //! long ones, so those are walked at random, seeded. Planted mistakes must each be found.
 
-use copperfield_fencing::{FencingRecord, PageWrite, StoredPage, stamp};
+use copperfield_fencing::{FencedEntry, FencingRecord, PageWrite, StoredPage, timestamp};
 use copperfield_model_checker::{after, effort, explore, walk};
 
-/// Milliseconds a step; everything below is a multiple of it, but for what `stamp` adds.
+/// Milliseconds a step; everything below is a multiple of it, but for what `timestamp` adds.
 const STEP: u64 = 1000;
+/// Of a worker.
 const LEASE: u64 = 3 * STEP;
+/// Of the leader key.
 const TTL: u64 = 2 * STEP;
 /// Bounds the time of day. A whole step, so that disregarding it shows.
-const ERROR: u64 = STEP;
+const CLOCK_ERROR: u64 = STEP;
 /// Of a process between two readings of its clocks.
 const PAUSE: u64 = 2 * STEP;
 const HORIZON: u64 = 9 * STEP;
 const DAY: u64 = 1_000_000;
-const NAME: &str = "m";
+const WORKER: &str = "m";
+/// The record's only page.
+const PAGE: u32 = 0;
+const PAGE_BYTES: usize = 1000;
 
 /// What may be done wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -31,36 +36,60 @@
     None,
     /// A worker is answered when its removal has been sent, not when it is acknowledged.
     AnswersBeforeTheAcknowledgement,
-    /// Only what is known to be stored is held back, not a write without an answer.
+    /// Only what is known to be stored fences, not a write without an answer.
     ForgetsALostWrite,
-    /// The reader takes all clocks for true.
+    /// The reader disregards the error of all clocks.
     DisregardsTheClocks,
-    /// A node that has vouched counts on the record all the same.
-    DisregardsItsWord,
-    /// One that led on the other's word, and leads again, remembers only words it gave.
-    /// This program did so until this model found it.
-    ForgetsWhatItDidOnTheWord,
-    /// One that restarts takes it that it had not vouched.
-    ForgetsItsWordInARestart,
-    /// The next leader does not take the promise over.
-    DropsThePromise,
+    /// A controller that has voted for a lease extension counts on the record all the same.
+    DisregardsItsVote,
+    /// One that led by the other's vote, and leads again, remembers only votes of its own. This
+    /// program did so until this model found it.
+    ForgetsItsExtendedLease,
+    /// One that restarts takes it that it had not voted.
+    ForgetsItsVoteInARestart,
+    /// The next leader does not take over whom the record fences.
+    DropsFencedWorkers,
     /// A write of an earlier leader is carried out after the next has read the record.
     DoesNotGuardByTheLeaderKey,
     /// The writer reads the time of day first and the age after a pause.
-    StampsBeforeThePause,
+    ReadsTheClockBeforeThePause,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Leader {
-    node: usize,
-    /// Valid until then; renewed or on the other node's word.
+    controller: usize,
+    /// Valid until then; renewed or extended by the other controller's vote.
     valid_until: u64,
     lease_extended_until: u64,
     record: FencingRecord,
     /// Last answer to the worker, the election if there was none.
-    answered: u64,
-    /// Taken for over, and given to somebody else.
-    over: bool,
+    answered_at: u64,
+    /// The worker's lease was taken for expired, and its tasks were given to somebody else.
+    expired_worker: bool,
+}
+
+/// The stored page.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct Stored {
+    version: u64,
+    /// Of the worker, if it is named.
+    timestamp: Option<u64>,
+}
+
+/// A write that waits for its end, with the worker's timestamp if it names it.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct InFlight {
+    page: PageWrite,
+    timestamp: Option<u64>,
+}
+
+/// A write whose sender waits for it no more, and that may still be carried out.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct Abandoned {
+    /// Of the leader key when it was sent.
+    token: u8,
+    version: u64,
+    timestamp: Option<u64>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -69,39 +98,43 @@
     now: u64,
     /// The worker counts its lease from here.
     leased_from: u64,
-    /// Whether its session holds tasks: a new one holds none until it is answered.
+    /// Whether its incarnation holds tasks: a new one holds none until it is answered.
     holds_tasks: bool,
-    /// An answer that was decided and has not left yet, or is under way: the report's time.
+    /// An answer that was decided and has not left yet, or is under way: the heartbeat's time.
     answer: Option<u64>,
     leader: Option<Leader>,
-    /// Since when there is none; the key has ended.
+    /// When the leader key ends, if nobody renews it.
     key_ends: u64,
-    /// Until when each node's word may be acted on, as far as it knows.
-    word: [u64; 2],
+    /// Until when each controller's vote may be acted on, as far as it knows.
+    vote_binding_until: [u64; 2],
     outage: bool,
-    /// What is stored: version, and the stamp of the worker if it is named.
-    stored: (u64, Option<u64>),
-    /// The write that is out, with its stamp; its leader waits for the end of it.
-    out: Option<(PageWrite, Option<u64>)>,
-    /// One that was given up and may still be carried out.
-    late: Option<(u8, u64, Option<u64>)>,
+    stored: Stored,
+    in_flight: Option<InFlight>,
+    abandoned: Option<Abandoned>,
     /// Of the leader key: what was sent under an earlier one fails.
     token: u8,
-    /// An acknowledgement that has not arrived yet.
-    ack: Option<u64>,
-    left: ReleasedWorker,
+    /// The version in an acknowledgement that has not arrived yet.
+    acknowledgement: Option<u64>,
+    remaining: Remaining,
 }
 
-/// How often what costs many states may happen.
+/// How often what costs many states may still happen.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct ReleasedWorker {
+struct Remaining {
     crashes: u8,
     outages: u8,
     losses: u8,
-    reports: u8,
+    heartbeats: u8,
     writes: u8,
 }
 
+/// Takes one away; false if there was none.
+fn spend(remaining: &mut u8) -> bool {
+    let any = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
+    any
+}
+
 impl World {
     fn new(mistake: Mistake) -> Self {
         Self {
@@ -112,322 +145,411 @@
             answer: None,
             leader: None,
             key_ends: 0,
-            word: [0; 2],
+            vote_binding_until: [0; 2],
             outage: false,
-            stored: (0, None),
-            out: None,
-            late: None,
+            stored: Stored {
+                version: 0,
+                timestamp: None,
+            },
+            in_flight: None,
+            abandoned: None,
             token: 0,
-            ack: None,
-            left: ReleasedWorker {
+            acknowledgement: None,
+            remaining: Remaining {
                 crashes: 2,
                 outages: 1,
                 losses: 2,
-                reports: 3,
+                heartbeats: 3,
                 writes: 6,
             },
         }
     }
 
-    /// A node's time of day: one is ahead, the other behind.
-    fn day(&self, node: usize) -> u64 {
-        DAY + self.now + if node == 0 { ERROR } else { 0 } - if node == 1 { ERROR } else { 0 }
+    /// A controller's time of day: one is ahead, the other behind.
+    fn time_of_day(&self, controller: usize) -> u64 {
+        match controller {
+            0 => DAY + self.now + CLOCK_ERROR,
+            _ => DAY + self.now - CLOCK_ERROR,
+        }
+    }
+
+    fn valid_leader(&mut self) -> Option<&mut Leader> {
+        let now = self.now;
+        self.leader.as_mut().filter(|l| now < l.valid_until)
     }
 
-    fn elect(&mut self, node: usize, mistake: Mistake) {
-        let (version, stamped) = self.stored;
-        let error = match mistake {
-            Mistake::DisregardsTheClocks => 0,
-            _ => ERROR,
+    // ---- time and leaders ----
+
+    fn pass_time(&mut self) -> bool {
+        self.now += STEP;
+        self.now <= HORIZON
+    }
+
+    fn renew(&mut self) -> bool {
+        let now = self.now;
+        let Some(leader) = self.leader.as_mut().filter(|_| !self.outage) else {
+            return false;
         };
-        let mut record = FencingRecord::new(1000);
-        let mut answered = self.now;
-        if let Some(at) = stamped {
-            let age = stamp::age(at, self.day(node), error);
-            answered = self.now.saturating_sub(age);
-            if mistake != Mistake::DisregardsItsWord {
-                answered = answered.max(self.word[node]);
+        let useful = now < self.key_ends && leader.valid_until < now + TTL;
+        leader.valid_until = now + TTL;
+        self.key_ends = now + TTL;
+        useful
+    }
+
+    fn campaign(&mut self, controller: usize) -> bool {
+        let free = self.now >= self.key_ends && self.now >= self.vote_binding_until[controller];
+        let follows = self
+            .leader
+            .as_ref()
+            .is_none_or(|l| l.controller != controller);
+        if self.outage || !free || !follows {
+            return false;
+        }
+        self.key_ends = self.now + TTL;
+        self.elect(controller);
+        true
+    }
+
+    fn elect(&mut self, controller: usize) {
+        let (record, answered_at) = self.read_record(controller);
+        self.leader = Some(Leader {
+            controller,
+            valid_until: self.now + TTL,
+            lease_extended_until: 0,
+            record,
+            answered_at,
+            expired_worker: false,
+        });
+        if self.in_flight.is_some() {
+            self.abandon_write();
+        }
+        self.token += 1;
+        self.acknowledgement = None;
+    }
+
+    /// What a new leader starts from: the record, and when the worker was last answered.
+    fn read_record(&self, controller: usize) -> (FencingRecord, u64) {
+        let Stored { version, timestamp } = self.stored;
+        let mut answered_at = self.now;
+        if let Some(timestamp) = timestamp {
+            let error = match self.mistake {
+                Mistake::DisregardsTheClocks => 0,
+                _ => CLOCK_ERROR,
+            };
+            let age = timestamp::min_age(timestamp, self.time_of_day(controller), error);
+            answered_at = self.now.saturating_sub(age);
+            if self.mistake != Mistake::DisregardsItsVote {
+                answered_at = answered_at.max(self.vote_binding_until[controller]);
             }
         }
+        let mut record = FencingRecord::new(PAGE_BYTES);
         if version > 0 {
-            let named = stamped.filter(|_| mistake != Mistake::DropsThePromise);
-            let entries = named.map(|_| (NAME.to_string(), answered));
+            let named = timestamp.filter(|_| self.mistake != Mistake::DropsFencedWorkers);
+            let entry = named.map(|_| FencedEntry {
+                worker: WORKER.to_string(),
+                answered_at_ms: answered_at,
+            });
             let page = StoredPage {
-                page: 0,
+                page: PAGE,
                 version,
-                entries: Some(entries.into_iter().collect()),
+                entries: Some(entry.into_iter().collect()),
             };
             record.restore(page, 0);
         }
-        self.leader = Some(Leader {
-            node,
-            valid_until: self.now + TTL,
-            lease_extended_until: 0,
-            record,
-            answered,
-            over: false,
-        });
-        if let Some((page, at)) = self.out.take() {
-            self.late = Some((self.token, page.version, at));
+        (record, answered_at)
+    }
+
+    fn crash_leader(&mut self) -> bool {
+        let Some(leader) = self.leader.take() else {
+            return false;
+        };
+        if self.in_flight.is_some() {
+            self.abandon_write();
         }
-        self.token += 1;
-        self.ack = None;
+        self.acknowledgement = None;
+        // It starts anew, and may have voted just before.
+        self.vote_binding_until[leader.controller] = self.now + TTL;
+        spend(&mut self.remaining.crashes)
     }
 
-    /// Stored if nothing has come between, as the guard has it.
-    fn apply(&mut self, version: u64, at: Option<u64>) -> bool {
-        let fits = self.stored.0 == version;
-        if fits {
-            self.stored = (version + 1, at);
+    fn resign(&mut self) -> bool {
+        self.key_ends = self.now;
+        self.acknowledgement = None;
+        if self.in_flight.is_some() {
+            self.abandon_write();
         }
-        fits
+        self.leader.take().is_some() && spend(&mut self.remaining.crashes)
     }
 
-    /// Read back, and tried again under the version found.
-    fn lose(&mut self) -> bool {
-        let version = self.stored.0;
-        let l = self.leader.as_mut().expect("looked at");
-        l.record.again(0, version, 0);
-        self.left.losses = self.left.losses.wrapping_sub(1);
-        self.left.losses < 9
+    fn restart_follower(&mut self) -> bool {
+        let Some(leader) = &self.leader else {
+            return false;
+        };
+        let binding_until = match self.mistake {
+            Mistake::ForgetsItsVoteInARestart => self.now,
+            _ => self.now + TTL,
+        };
+        self.vote_binding_until[1 - leader.controller] = binding_until;
+        spend(&mut self.remaining.crashes)
     }
 
-    fn send(&mut self, pause: u64, mistake: Mistake) -> bool {
-        if self.out.is_some() || self.ack.is_some() || self.late.is_some() {
+    fn begin_outage(&mut self) -> bool {
+        self.outage = true;
+        spend(&mut self.remaining.outages)
+    }
+
+    fn end_outage(&mut self) -> bool {
+        // Every lease has its full time again.
+        self.key_ends = self.now + TTL;
+        std::mem::take(&mut self.outage)
+    }
+
+    fn extend_lease(&mut self) -> bool {
+        let now = self.now;
+        let Some(leader) = self.leader.as_mut().filter(|_| self.outage) else {
             return false;
+        };
+        let possible = now < leader.valid_until && leader.lease_extended_until < now + TTL;
+        leader.valid_until = leader.valid_until.max(now + TTL);
+        leader.lease_extended_until = now + TTL;
+        self.vote_binding_until[1 - leader.controller] = now + TTL;
+        if self.mistake != Mistake::ForgetsItsExtendedLease {
+            self.vote_binding_until[leader.controller] = now + TTL;
         }
-        let before = self.now;
-        let Some(l) = &mut self.leader else {
+        possible
+    }
+
+    // ---- the worker ----
+
+    fn receive_heartbeat(&mut self) -> bool {
+        let (now, mistake, stored) = (self.now, self.mistake, self.stored);
+        if self.valid_leader().is_none() || !spend(&mut self.remaining.heartbeats) {
             return false;
+        }
+        if now >= self.leased_from + LEASE {
+            self.leased_from = now;
+            self.holds_tasks = false;
+            self.answer = None;
+        }
+        let holds_tasks = self.holds_tasks;
+        let leader = self.valid_leader().expect("checked above");
+        if leader.expired_worker && holds_tasks {
+            // Of an incarnation whose lease was taken for expired: refused.
+            return true;
+        }
+        // What is due is due at once, so that moments past make no states of their own.
+        leader.record.release(WORKER, 0);
+        let fenced = match mistake {
+            Mistake::AnswersBeforeTheAcknowledgement => {
+                leader.record.wanted_workers().next().is_some()
+            }
+            Mistake::ForgetsALostWrite => stored.timestamp.is_some(),
+            _ => leader.record.is_fenced(WORKER),
         };
-        if self.now >= l.valid_until || self.left.writes == 0 {
+        if !fenced || now < leader.lease_extended_until {
+            leader.answered_at = now;
+            leader.expired_worker = false;
+            self.answer = Some(now);
+            self.holds_tasks = true;
+        }
+        true
+    }
+
+    fn receive_answer(&mut self) -> bool {
+        let Some(sent_at) = self.answer.take() else {
             return false;
+        };
+        // The worker counts from when it sent the heartbeat, and drops what comes too late.
+        if self.now < self.leased_from + LEASE {
+            self.leased_from = sent_at.max(self.leased_from);
         }
-        self.left.writes -= 1;
-        let Some(write) = l.record.writes(before, 1).pop() else {
+        true
+    }
+
+    fn fence_worker(&mut self) -> bool {
+        let before = self.clone();
+        let Some(leader) = self.valid_leader() else {
             return false;
         };
-        let node = l.node;
-        let early = self.day(node);
+        leader.record.fence(WORKER, leader.answered_at, 0);
+        *self != before
+    }
+
+    fn expire_lease(&mut self) -> bool {
+        let now = self.now;
+        let Some(leader) = self.valid_leader() else {
+            return false;
+        };
+        let newly = now >= leader.answered_at + LEASE && !leader.expired_worker;
+        leader.expired_worker = newly;
+        newly
+    }
+
+    // ---- writes ----
+
+    /// Sends what is due; the process is paused between the two readings of its clocks.
+    fn send_write(&mut self, pause: u64) -> bool {
+        let waits = self.in_flight.is_some() || self.acknowledgement.is_some();
+        if waits || self.abandoned.is_some() {
+            return false;
+        }
+        let before = self.now;
+        if self.valid_leader().is_none() || !spend(&mut self.remaining.writes) {
+            return false;
+        }
+        let leader = self.valid_leader().expect("checked above");
+        let controller = leader.controller;
+        let Some(page) = leader.record.begin_due_writes(before, 1).pop() else {
+            return false;
+        };
+        let day_before = self.time_of_day(controller);
         self.now += pause;
-        let (aged, day) = match mistake {
-            Mistake::StampsBeforeThePause => (self.now, early),
-            _ => (before, self.day(node)),
+        let (aged_at, day) = match self.mistake {
+            Mistake::ReadsTheClockBeforeThePause => (self.now, day_before),
+            _ => (before, self.time_of_day(controller)),
+        };
+        let timestamp = page.entries.first().map(|entry| {
+            let age = aged_at.saturating_sub(entry.answered_at_ms);
+            timestamp::from_age(age, day)
+        });
+        self.in_flight = Some(InFlight { page, timestamp });
+        true
+    }
+
+    fn send_write_after_a_pause(&mut self) -> bool {
+        self.now + PAUSE <= HORIZON && self.send_write(PAUSE)
+    }
+
+    /// Stored if nothing has come between, as the guard has it.
+    fn apply(&mut self, version: u64, timestamp: Option<u64>) -> bool {
+        let fits = self.stored.version == version;
+        if fits {
+            let version = version + 1;
+            self.stored = Stored { version, timestamp };
+        }
+        fits
+    }
+
+    fn carry_out_write(&mut self) -> bool {
+        let Some(InFlight { page, timestamp }) = self.in_flight.take().filter(|_| !self.outage)
+        else {
+            return false;
+        };
+        if self.apply(page.version, timestamp) {
+            self.acknowledgement = Some(self.stored.version);
+        } else if let Some(leader) = &mut self.leader {
+            // The guard fails, which the leader learns at once.
+            leader.record.retry_write(PAGE, self.stored.version, 0);
+        }
+        true
+    }
+
+    fn receive_acknowledgement(&mut self) -> bool {
+        let (Some(leader), Some(version)) = (&mut self.leader, self.acknowledgement.take()) else {
+            return false;
         };
-        let age = |at: &u64| aged.saturating_sub(*at);
-        let at = write
-            .entries
-            .first()
-            .map(|(_, at)| stamp::of_age(age(at), day));
-        self.out = Some((write, at));
+        leader.record.confirm_write(PAGE, version);
+        true
+    }
+
+    /// The write in flight has no sender any more that waits for it.
+    fn abandon_write(&mut self) {
+        let token = self.token;
+        self.abandoned = self.in_flight.take().map(|write| Abandoned {
+            token,
+            version: write.page.version,
+            timestamp: write.timestamp,
+        });
+    }
+
+    fn time_out_write(&mut self) -> bool {
+        if self.leader.is_none() || self.in_flight.is_none() {
+            return false;
+        }
+        self.abandon_write();
+        self.read_back()
+    }
+
+    fn lose_acknowledgement(&mut self) -> bool {
+        self.acknowledgement.take().is_some() && self.read_back()
+    }
+
+    /// Without an answer the page is read back, and written again under the version found.
+    fn read_back(&mut self) -> bool {
+        let version = self.stored.version;
+        let leader = self
+            .leader
+            .as_mut()
+            .expect("only a leader waits for a write");
+        leader.record.retry_write(PAGE, version, 0);
+        spend(&mut self.remaining.losses)
+    }
+
+    fn carry_out_abandoned_write(&mut self) -> bool {
+        let Some(write) = self.abandoned.take().filter(|_| !self.outage) else {
+            return false;
+        };
+        if write.token == self.token || self.mistake == Mistake::DoesNotGuardByTheLeaderKey {
+            self.apply(write.version, write.timestamp);
+        }
         true
     }
 }
 
+/// What may happen, by what it is called. False if it cannot happen now.
+type Step = (&'static str, fn(&mut World) -> bool);
+
+/// Random walks choose by position, so the order decides what a seed finds.
+const STEPS: [Step; 21] = [
+    ("time passes", World::pass_time),
+    ("the leader renews", World::renew),
+    ("controller 0 is elected", |w| w.campaign(0)),
+    ("controller 1 is elected", |w| w.campaign(1)),
+    ("the leader crashes", World::crash_leader),
+    ("the leader resigns", World::resign),
+    ("the follower restarts", World::restart_follower),
+    ("an outage begins", World::begin_outage),
+    ("the outage ends", World::end_outage),
+    ("the follower votes for an extension", World::extend_lease),
+    ("a heartbeat comes", World::receive_heartbeat),
+    ("the answer arrives", World::receive_answer),
+    ("the worker is put on the record", World::fence_worker),
+    ("a write leaves", |w| w.send_write(0)),
+    (
+        "a write leaves after a pause",
+        World::send_write_after_a_pause,
+    ),
+    ("the write is carried out", World::carry_out_write),
+    (
+        "the acknowledgement arrives",
+        World::receive_acknowledgement,
+    ),
+    ("the write times out", World::time_out_write),
+    ("the acknowledgement is lost", World::lose_acknowledgement),
+    (
+        "an abandoned write is carried out",
+        World::carry_out_abandoned_write,
+    ),
+    ("the lease is taken for expired", World::expire_lease),
+];
+
 impl copperfield_model_checker::World for World {
     fn next(&self) -> Vec<(&'static str, World)> {
-        let mistake = self.mistake;
-        let mut all = Vec::new();
-        let mut then = |what, f: &dyn Fn(&mut World) -> bool| {
-            let mut w = self.clone();
-            if f(&mut w) {
-                all.push((what, w));
-            }
+        let after_step = |&(name, step): &Step| {
+            let mut world = self.clone();
+            step(&mut world).then_some((name, world))
         };
-        let valid = |w: &World| w.leader.as_ref().is_some_and(|l| w.now < l.valid_until);
-        then("time passes", &|w| {
-            w.now += STEP;
-            w.now <= HORIZON
-        });
-        then("the leader renews", &|w| {
-            let now = w.now;
-            let Some(l) = w.leader.as_mut().filter(|_| !w.outage) else {
-                return false;
-            };
-            let fresh = now < w.key_ends && l.valid_until < now + TTL;
-            l.valid_until = now + TTL;
-            w.key_ends = now + TTL;
-            fresh
-        });
-        for node in 0..2 {
-            then(["node 0 is elected", "node 1 is elected"][node], &|w| {
-                let free = !w.outage && w.now >= w.key_ends && w.now >= w.word[node];
-                let other = w.leader.as_ref().is_none_or(|l| l.node != node);
-                if free && other {
-                    w.key_ends = w.now + TTL;
-                    w.elect(node, mistake);
-                }
-                free && other
-            });
-        }
-        then("the leader crashes", &|w| {
-            let Some(l) = w.leader.take() else {
-                return false;
-            };
-            let token = w.token;
-            let out = w.out.take().map(|(p, at)| (token, p.version, at));
-            w.late = out.or(w.late);
-            w.ack = None;
-            w.left.crashes = w.left.crashes.wrapping_sub(1);
-            // It starts anew, and may have vouched just before.
-            w.word[l.node] = w.now + TTL;
-            w.left.crashes < 9
-        });
-        then("the leader gives the lead up", &|w| {
-            w.key_ends = w.now;
-            w.ack = None;
-            let token = w.token;
-            let out = w.out.take().map(|(p, at)| (token, p.version, at));
-            w.late = out.or(w.late);
-            w.left.crashes = w.left.crashes.wrapping_sub(1);
-            w.leader.take().is_some() && w.left.crashes < 9
-        });
-        then("the follower restarts", &|w| {
-            let Some(l) = &w.leader else { return false };
-            let forgotten = match mistake {
-                Mistake::ForgetsItsWordInARestart => w.now,
-                _ => w.now + TTL,
-            };
-            w.word[1 - l.node] = forgotten;
-            w.left.crashes = w.left.crashes.wrapping_sub(1);
-            w.left.crashes < 9
-        });
-        then("an outage begins", &|w| {
-            w.outage = true;
-            w.left.outages = w.left.outages.wrapping_sub(1);
-            w.left.outages < 9
-        });
-        then("the outage ends", &|w| {
-            // Every lease has its full time again.
-            w.key_ends = w.now + TTL;
-            std::mem::take(&mut w.outage)
-        });
-        then("the follower vouches", &|w| {
-            let now = w.now;
-            let Some(l) = w.leader.as_mut().filter(|_| w.outage) else {
-                return false;
-            };
-            let may = now < l.valid_until && l.lease_extended_until < now + TTL;
-            l.valid_until = l.valid_until.max(now + TTL);
-            l.lease_extended_until = now + TTL;
-            w.word[1 - l.node] = now + TTL;
-            if mistake != Mistake::ForgetsWhatItDidOnTheWord {
-                w.word[l.node] = now + TTL;
-            }
-            may
-        });
-        then("a report comes", &|w| {
-            let now = w.now;
-            if !valid(w) || w.left.reports == 0 {
-                return false;
-            }
-            w.left.reports -= 1;
-            let l = w.leader.as_mut().expect("valid");
-            if now >= w.leased_from + LEASE {
-                w.leased_from = now;
-                w.holds_tasks = false;
-                w.answer = None;
-            }
-            if l.over && w.holds_tasks {
-                // Of a session that was taken for over: refused.
-                return true;
-            }
-            // What is due is due at once, so that moments past make no states of their own.
-            l.record.heard(NAME, 0);
-            let free = match mistake {
-                Mistake::AnswersBeforeTheAcknowledgement => l.record.names().next().is_none(),
-                Mistake::ForgetsALostWrite => w.stored.1.is_none(),
-                _ => !l.record.holds(NAME),
-            };
-            if free || now < l.lease_extended_until {
-                l.answered = now;
-                w.answer = Some(now);
-                l.over = false;
-                w.holds_tasks = true;
-            }
-            true
-        });
-        then("the answer arrives", &|w| {
-            let Some(sent) = w.answer.take() else {
-                return false;
-            };
-            // The worker counts from when it sent the report, and drops what comes too late.
-            if w.now < w.leased_from + LEASE {
-                w.leased_from = sent.max(w.leased_from);
-            }
-            true
-        });
-        then("the worker is put on the record", &|w| {
-            if !valid(w) {
-                return false;
-            }
-            let l = w.leader.as_mut().expect("valid");
-            l.record.silent(NAME, l.answered, 0);
-            *self != *w
-        });
-        then("a write leaves", &|w| w.send(0, mistake));
-        then("a write leaves after a pause", &|w| {
-            w.now + PAUSE <= HORIZON && w.send(PAUSE, mistake)
-        });
-        then("the write is carried out", &|w| {
-            let Some((page, at)) = w.out.take().filter(|_| !w.outage) else {
-                return false;
-            };
-            if w.apply(page.version, at) {
-                w.ack = Some(w.stored.0);
-            } else if let Some(l) = &mut w.leader {
-                // The guard fails, which is told at once.
-                l.record.again(0, w.stored.0, 0);
-            }
-            true
-        });
-        then("the acknowledgement arrives", &|w| {
-            let (Some(l), Some(version)) = (&mut w.leader, w.ack.take()) else {
-                return false;
-            };
-            l.record.stored(0, version);
-            true
-        });
-        then("the write is given up", &|w| {
-            let (Some(_), Some((page, at))) = (&w.leader, w.out.take()) else {
-                return false;
-            };
-            w.late = Some((w.token, page.version, at));
-            w.lose()
-        });
-        then("the acknowledgement is lost", &|w| {
-            w.ack.take().is_some() && w.lose()
-        });
-        then("a write of before is carried out", &|w| {
-            let Some((token, version, at)) = w.late.take().filter(|_| !w.outage) else {
-                return false;
-            };
-            if token == w.token || mistake == Mistake::DoesNotGuardByTheLeaderKey {
-                w.apply(version, at);
-            }
-            true
-        });
-        then("the lease is taken for over", &|w| {
-            let now = w.now;
-            if !valid(w) {
-                return false;
-            }
-            let l = w.leader.as_mut().expect("valid");
-            let over = now >= l.answered + LEASE && !l.over;
-            l.over = over;
-            over
-        });
-        all
+        STEPS.iter().filter_map(after_step).collect()
     }
 
     fn broken(&self) -> bool {
-        let over = self.leader.as_ref().is_some_and(|l| l.over);
-        over && self.holds_tasks && self.now < self.leased_from + LEASE
+        let expired = self.leader.as_ref().is_some_and(|l| l.expired_worker);
+        expired && self.holds_tasks && self.now < self.leased_from + LEASE
     }
 }
 
 #[test]
-fn a_lease_that_is_taken_for_over_is_over() {
+fn a_lease_that_is_taken_for_expired_is_expired() {
     let states = 150_000 * effort();
     let depth =
         explore(World::new(Mistake::None), states as usize).unwrap_or_else(|h| panic!("{h:#?}"));
@@ -446,10 +568,10 @@
         AnswersBeforeTheAcknowledgement,
         ForgetsALostWrite,
         DisregardsTheClocks,
-        DisregardsItsWord,
-        DropsThePromise,
+        DisregardsItsVote,
+        DropsFencedWorkers,
         DoesNotGuardByTheLeaderKey,
-        StampsBeforeThePause,
+        ReadsTheClockBeforeThePause,
     ] {
         let found = walk(&World::new(mistake), 400_000, usize::MAX);
         let history = found.expect_err(&format!("{mistake:?} is not found"));
@@ -459,9 +581,9 @@
 
 /// Too long histories to be met at random, from where they become interesting.
 #[test]
-fn words_are_remembered_over_restarts_and_by_those_who_acted_on_them() {
-    let named = [
-        "node 1 is elected",
+fn votes_are_remembered_over_restarts_and_by_leaders_that_acted_on_them() {
+    let fenced = [
+        "controller 1 is elected",
         "the worker is put on the record",
         "a write leaves",
         "the write is carried out",
@@ -469,23 +591,23 @@
     ];
     let acts_itself = [
         "time passes",
-        "node 0 is elected",
+        "controller 0 is elected",
         "an outage begins",
-        "the follower vouches",
+        "the follower votes for an extension",
         "the outage ends",
         "time passes",
-        "a report comes",
+        "a heartbeat comes",
     ];
     let restarts = [
         "an outage begins",
-        "the follower vouches",
+        "the follower votes for an extension",
         "the follower restarts",
     ];
     for (mistake, history) in [
-        (Mistake::ForgetsWhatItDidOnTheWord, &acts_itself[..]),
-        (Mistake::ForgetsItsWordInARestart, &restarts[..]),
+        (Mistake::ForgetsItsExtendedLease, &acts_itself[..]),
+        (Mistake::ForgetsItsVoteInARestart, &restarts[..]),
     ] {
-        let history = [&named[..], history].concat();
+        let history = [&fenced[..], history].concat();
         let search = |mistake: Mistake| explore(after(World::new(mistake), &history), 100_000);
         search(Mistake::None).unwrap_or_else(|h| panic!("{h:#?}"));
         let found = search(mistake).expect_err("found");
--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -16,7 +16,7 @@
     DrainRecord, FencedWorker, Snapshot, StoredDrain, StoredFencingPage, StoredJob, StoredProgress,
     StoredRegistryPage, bitmap::TaskBitmap,
 };
-use copperfield_fencing::stamp;
+use copperfield_fencing::timestamp;
 use copperfield_protocol::cloud::parse_machine_types;
 use copperfield_protocol::job::{JobOutcome, JobSpec, Kind, Phase};
 use copperfield_protocol::peer::AdminRequest;
@@ -307,7 +307,7 @@
         let now_ms = (self.now * 1000.0) as u64;
         let age = |(name, at): &(String, u64)| FencedWorker {
             name: name.clone(),
-            age_ms: stamp::age(*at, now_ms, 0),
+            age_ms: timestamp::min_age(*at, now_ms, 0),
         };
         let fencing = self
             .fencing
@@ -682,7 +682,8 @@
                 }
                 Write::FencingRecord { page, workers, .. } => {
                     let now_ms = (self.now * 1000.0) as u64;
-                    let at = |w: &FencedWorker| (w.name.clone(), stamp::of_age(w.age_ms, now_ms));
+                    let at =
+                        |w: &FencedWorker| (w.name.clone(), timestamp::from_age(w.age_ms, now_ms));
                     self.fencing.insert(*page, workers.iter().map(at).collect());
                 }
                 Write::Drain { node, record, .. } => {
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -16,13 +16,12 @@
 use crate::storage::{Snapshot, StoredJob};
 
 use super::auction::Group;
+use super::fencing::Fencing;
 pub use super::messages::*;
 use super::model::*;
-pub use super::state::{Config, Core, TeamUsage};
-use copperfield_fencing::FencingRecord;
-
 use super::persistence::WriteQueue;
 use super::registry::WorkerRegistry;
+pub use super::state::{Config, Core, TeamUsage};
 use super::state::{Migrations, Provisioning, WINDOW_S};
 
 /// Silence and ends of leases are looked for so often, and before every batch.
@@ -90,8 +89,7 @@
             effects: Vec::new(),
             write_queue: WriteQueue::default(),
             registry: WorkerRegistry::new(value_bytes),
-            fencing: FencingRecord::new(value_bytes),
-            deferred_heartbeats: BTreeMap::new(),
+            fencing: Fencing::new(value_bytes),
             sharding: None,
             lease_extended_until: f64::NEG_INFINITY,
             valid_until: f64::NEG_INFINITY,
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -51,7 +51,7 @@
             page: None,
             registered: false,
             known_to_predecessor: false,
-            fenced: self.fencing.holds(name),
+            fenced: self.fencing.is_fenced(name),
             number: 0,
             images: Vec::new(),
             reservations: Vec::new(),
--- a/src/coordination/sharding.rs
+++ b/src/coordination/sharding.rs
@@ -7,6 +7,7 @@
 
 use crate::protocol::peer::{ForwardedHeartbeat, Outcome, ShardStatus, ShardUpdate};
 
+use super::fencing::DeferredHeartbeat;
 use super::messages::{Effect, Source};
 use super::model::*;
 use super::state::Core;
@@ -192,7 +193,7 @@
 
     fn answer_permission(&self, m: u32) -> AnswerPermission {
         let worker = &self.workers[m];
-        if self.fencing.holds(&worker.name) {
+        if self.fencing.is_fenced(&worker.name) {
             // On the word of all others the leader itself answers it all the same.
             return if self.now < self.lease_extended_until {
                 AnswerPermission::Leader
@@ -309,7 +310,7 @@
             let worker = &mut self.workers[m];
             worker.last_heartbeat_at = worker.last_heartbeat_at.max_of(heard);
             worker.reported_at = worker.reported_at.max_of(heard);
-            self.fencing.heard(&self.workers[m].name, ms(self.now));
+            self.fencing.release(&self.workers[m].name, self.now);
         }
         if newer {
             let worker = &self.workers[m];
@@ -488,8 +489,8 @@
     /// Reports that came here while somebody else might still answer their workers, or
     /// while those were on record.
     pub(super) fn answer_deferred_heartbeats(&mut self) {
-        for (name, (ticket, heartbeat)) in std::mem::take(&mut self.deferred_heartbeats) {
-            let fenced = self.fencing.holds(&name) && self.now >= self.lease_extended_until;
+        for (name, DeferredHeartbeat { ticket, heartbeat }) in self.fencing.take_deferred() {
+            let fenced = self.fencing.is_fenced(&name) && self.now >= self.lease_extended_until;
             let m = self.worker_ids.get(&name).copied();
             if let Some(controller) = m.and_then(|m| self.shard_owner_of(m)) {
                 // It has found another way meanwhile.
@@ -498,7 +499,7 @@
             }
             let held = m.is_some_and(|m| self.answered_by_all(&self.workers[m]).is_none());
             if fenced || held {
-                self.deferred_heartbeats.insert(name, (ticket, heartbeat));
+                self.fencing.defer(ticket, heartbeat);
             } else {
                 self.answer_heartbeat(ticket, heartbeat);
             }
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -3,15 +3,13 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use copperfield_fencing::FencingRecord;
-
 use crate::protocol::JobId;
 use crate::protocol::job::{JobOutcome, Resources};
-use crate::protocol::worker::Heartbeat;
 use crate::settings::{Cluster, Tuning};
 use crate::storage::DrainRecord;
 
 use super::failover::FailoverStats;
+use super::fencing::Fencing;
 use super::messages::Effect;
 use super::model::*;
 use super::persistence::WriteQueue;
@@ -74,10 +72,8 @@
     /// What waits to be written to the state service.
     pub(super) write_queue: WriteQueue,
     pub(super) registry: WorkerRegistry,
-    /// Workers that this leader has promised not to answer.
-    pub(super) fencing: FencingRecord,
-    /// Reports of such workers, answered once their removal from the record is stored.
-    pub(super) deferred_heartbeats: BTreeMap<String, (u64, Heartbeat)>,
+    /// Unresponsive workers that this leader does not answer, and their heartbeats that wait.
+    pub(super) fencing: Fencing,
     /// Where other nodes speak with some of the workers.
     pub(super) sharding: Option<Sharding>,
     /// Until when this leader acts on the word of all other nodes.
--- a/src/storage/recovery.rs
+++ b/src/storage/recovery.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use copperfield_fencing::stamp;
+use copperfield_fencing::timestamp;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
@@ -83,7 +83,7 @@
     let error_ms = context.settings.cluster.clock_error_ms.ceil() as u64;
     let fenced_worker = |(name, answered_at)| FencedWorker {
         name,
-        age_ms: stamp::age(answered_at, unix_ms, error_ms),
+        age_ms: timestamp::min_age(answered_at, unix_ms, error_ms),
     };
     let mut pages = Vec::new();
     for item in items {
--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use copperfield_fencing::stamp;
+use copperfield_fencing::timestamp;
 use serde_json::Value;
 use thiserror::Error;
 
@@ -194,7 +194,7 @@
 /// The value of a page of the fencing record: names, and when each was last answered.
 fn fencing_page(workers: &[FencedWorker], unix_ms: u64) -> Value {
     let entry = |worker: &FencedWorker| {
-        let answered_at = stamp::of_age(worker.age_ms, unix_ms);
+        let answered_at = timestamp::from_age(worker.age_ms, unix_ms);
         (worker.name.clone(), answered_at.into())
     };
     Value::Object(workers.iter().map(entry).collect())
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -15,7 +15,7 @@
 use copperfield::storage::writer::{Write, completed, write};
 use copperfield::storage::{self, DrainRecord, FencedWorker, JobRecord, WorkerRecord};
 use copperfield::transport::client::{Answer, Exchange, Network};
-use copperfield_fencing::stamp;
+use copperfield_fencing::timestamp;
 use hyper::Method;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -195,12 +195,12 @@
     let made: Vec<String> = [0u64, 1, 999, 1000, 60_000, 3_600_000]
         .iter()
         .map(|&age| {
-            let at = stamp::of_age(age, 1_700_000_000_000);
+            let at = timestamp::from_age(age, 1_700_000_000_000);
             let later = 1_700_000_012_345;
             format!(
                 "{at} {} {}",
-                stamp::age(at, later, 0),
-                stamp::age(at, later, 250)
+                timestamp::min_age(at, later, 0),
+                timestamp::min_age(at, later, 250)
             )
         })
         .collect();
