--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -1,5 +1,5 @@
-//! Silent workers over the end of a leader, with workers that obey at once: what the record
-//! of them earns, and what it must never cost.
+//! Unresponsive workers over failovers, with workers that obey at once: what the fencing record
+//! saves, and what it must never cost.
 
 use std::collections::BTreeSet;
 
@@ -18,121 +18,152 @@
         "limits": {"max_sockets": 1000}, "clock_error_ms": clock_error_ms})
 }
 
-/// A site of two zones with a service on it, and the workers of zone b.
-fn site(clock_error_ms: f64) -> (CoreHarness, JobId, BTreeSet<String>) {
-    let mut crew = CoreHarness::new(TYPES, cluster(clock_error_ms), 50);
+/// A service on a cluster of two zones.
+struct Service {
+    harness: CoreHarness,
+    job: JobId,
+    /// The workers of zone b.
+    zone_b: BTreeSet<String>,
+}
+
+fn start_service(clock_error_ms: f64) -> Service {
+    let mut harness = CoreHarness::new(TYPES, cluster(clock_error_ms), 50);
     for zone in ["a", "b"] {
         for i in 0..8 {
             let name = format!("{zone}-{i}");
-            crew.add(&name, "small", zone, 0.1 + f64::from(i) * 0.2);
+            harness.add(&name, "small", zone, 0.1 + f64::from(i) * 0.2);
         }
     }
-    let job = crew.submit(
+    let job = harness.submit(
         &json!({"uid": "wk-000001", "shape": "service", "rank": "production", "shards": 8,
         "cpus": 2.0, "runtime_s": 0.0, "bundle": "web"}),
     );
-    crew.run(20.0);
-    assert_eq!(placed(&crew, job), 8);
-    let b = (0..8).map(|i| format!("b-{i}")).collect();
-    (crew, job, b)
+    harness.run(20.0);
+    let zone_b = (0..8).map(|i| format!("b-{i}")).collect();
+    let service = Service {
+        harness,
+        job,
+        zone_b,
+    };
+    assert_eq!(service.placed_tasks(), 8);
+    service
 }
 
-fn placed(crew: &CoreHarness, job: JobId) -> usize {
-    let tasks: BTreeSet<u32> = crew.places(job).into_iter().map(|(t, _)| t).collect();
-    tasks.len()
+impl Service {
+    /// How many tasks are on some worker.
+    fn placed_tasks(&self) -> usize {
+        let places = self.harness.places(self.job).into_iter();
+        let tasks: BTreeSet<u32> = places.map(|(task, _)| task).collect();
+        tasks.len()
+    }
+
+    /// How many task instances are in zone b.
+    fn instances_in_zone_b(&self) -> usize {
+        let places = self.harness.places(self.job);
+        let in_b = places.iter().filter(|(_, w)| self.zone_b.contains(*w));
+        in_b.count()
+    }
+
+    fn instances(&self) -> usize {
+        self.harness.places(self.job).len()
+    }
+
+    /// How many workers the stored fencing record names.
+    fn fenced_workers(&self) -> usize {
+        self.harness.fencing.values().map(Vec::len).sum()
+    }
+
+    fn cut_zone_b(&mut self) {
+        self.harness.silent = self.zone_b.clone();
+    }
+
+    fn check_history(&self) {
+        assert_eq!(self.harness.history.problems([]), Vec::<String>::new());
+    }
 }
 
-/// Seconds from the cut of zone b to the return of all replicas, the leader ending `after` it.
-fn away(clock_error_ms: f64, after: &[f64]) -> f64 {
-    let (mut crew, job, b) = site(clock_error_ms);
-    let began = crew.now;
-    crew.silent = b;
-    for s in after {
-        crew.run(*s);
-        crew.next_leader();
+/// Seconds from the cut of zone b until all replicas are placed again, with a failover after each
+/// of these delays.
+fn recovery_s(clock_error_ms: f64, failovers_after_s: &[f64]) -> f64 {
+    let mut service = start_service(clock_error_ms);
+    let began = service.harness.now;
+    service.cut_zone_b();
+    for delay_s in failovers_after_s {
+        service.harness.run(*delay_s);
+        service.harness.next_leader();
     }
-    while placed(&crew, job) < 8 || crew.now - began < LEASE_S {
-        crew.run(0.1);
-        assert!(crew.now - began < 90.0, "never back");
+    while service.placed_tasks() < 8 || service.harness.now - began < LEASE_S {
+        service.harness.run(0.1);
+        assert!(service.harness.now - began < 90.0, "never placed again");
     }
-    let broken = crew.history.problems([]);
-    assert!(broken.is_empty(), "{broken:?}");
-    crew.now - began
+    service.check_history();
+    service.harness.now - began
 }
 
-/// A leader that ended late in the cut of a zone once started all leases of the zone anew.
-/// Nor does one that ends after it: what is on the record outlives them all.
+/// A leader that ended late in the loss of a zone once made the next one count all leases of the
+/// zone from its election. Nor do leaders that end after it: the record outlives them all.
 #[test]
-fn a_leader_that_ends_in_the_middle_of_a_loss_starts_no_lease_anew() {
-    let undisturbed = away(25.0, &[]);
-    for after in [&[16.0][..], &[12.0, 3.0], &[8.0, 2.0, 2.0, 2.0]] {
-        let took = away(25.0, after);
+fn a_failover_during_the_loss_of_a_zone_restarts_no_lease() {
+    let undisturbed_s = recovery_s(25.0, &[]);
+    for failovers_after_s in [&[16.0][..], &[12.0, 3.0], &[8.0, 2.0, 2.0, 2.0]] {
+        let took_s = recovery_s(25.0, failovers_after_s);
         assert!(
-            took < undisturbed + 1.5,
-            "{took:.1} s, {undisturbed:.1} undisturbed"
+            took_s < undisturbed_s + 1.5,
+            "{took_s:.1} s, {undisturbed_s:.1} undisturbed"
         );
     }
     // Where the platform does not bound clocks the record proves nothing.
-    assert!(away(0.0, &[16.0]) > undisturbed + 10.0);
+    assert!(recovery_s(0.0, &[16.0]) > undisturbed_s + 10.0);
 }
 
-/// What a worker has been told it may keep, the next leader must not take for lost.
+/// A worker whose lease was renewed must not be taken for lost by the next leader.
 #[test]
 fn workers_that_come_back_are_answered_once_their_removal_is_stored() {
-    let (mut crew, job, b) = site(25.0);
-    crew.silent = b;
-    crew.run(9.0);
-    let named: usize = crew.fencing.values().map(Vec::len).sum();
-    assert_eq!(named, 8, "all of the zone are on the record");
-    let incarnations = crew.places(job).len();
-    crew.silent.clear();
-    crew.run(3.0);
-    let named: usize = crew.fencing.values().map(Vec::len).sum();
-    assert_eq!(named, 0, "off it again");
-    crew.next_leader();
-    crew.run(3.0 * LEASE_S);
+    let mut service = start_service(25.0);
+    service.cut_zone_b();
+    service.harness.run(9.0);
+    assert_eq!(service.fenced_workers(), 8, "the whole zone is fenced");
+    let instances = service.instances();
+    service.harness.silent.clear();
+    service.harness.run(3.0);
+    assert_eq!(service.fenced_workers(), 0, "off the record again");
+    service.harness.next_leader();
+    service.harness.run(3.0 * LEASE_S);
     assert_eq!(
-        crew.places(job).len(),
-        incarnations,
+        service.instances(),
+        instances,
         "every replica stayed where it was"
     );
-    assert_eq!(crew.history.problems([]), Vec::<String>::new());
+    service.check_history();
 }
 
-/// While nothing can be stored a worker on the record is not answered, unless all nodes
-/// have given their word; then it keeps its lease, and the next leader takes that for given.
+/// While nothing can be stored a fenced worker is answered only under a lease extension that all
+/// controllers voted for; then it keeps its lease, and the next leader reckons with that.
 #[test]
-fn in_an_outage_it_is_the_word_of_all_nodes_that_lets_workers_be_answered() {
-    for on_word in [true, false] {
-        let (mut crew, job, b) = site(25.0);
-        let there = crew
-            .places(job)
-            .iter()
-            .filter(|(_, m)| b.contains(*m))
-            .count();
-        assert!(there > 0);
-        crew.silent = b.clone();
-        crew.run(9.0);
-        crew.outage = true;
-        crew.silent.clear();
+fn in_an_outage_fenced_workers_are_answered_only_under_a_lease_extension() {
+    for extended in [true, false] {
+        let mut service = start_service(25.0);
+        let in_zone_b = service.instances_in_zone_b();
+        assert!(in_zone_b > 0);
+        service.cut_zone_b();
+        service.harness.run(9.0);
+        service.harness.outage = true;
+        service.harness.silent.clear();
         for _ in 0..40 {
-            if on_word {
-                crew.core.lease_extended_until = crew.now + 1.0;
-                crew.vote_binding_until = crew.now + 1.5;
+            if extended {
+                let now = service.harness.now;
+                service.harness.core.lease_extended_until = now + 1.0;
+                service.harness.vote_binding_until = now + 1.5;
             }
-            crew.run(0.5);
+            service.harness.run(0.5);
         }
-        let kept = crew
-            .places(job)
-            .iter()
-            .filter(|(_, m)| b.contains(*m))
-            .count();
-        assert_eq!(kept, if on_word { there } else { 0 });
+        let kept = service.instances_in_zone_b();
+        assert_eq!(kept, if extended { in_zone_b } else { 0 });
         // Nothing was stored: the record still names them.
-        crew.outage = false;
-        crew.next_leader();
-        crew.run(2.0 * LEASE_S);
-        assert_eq!(placed(&crew, job), 8);
-        assert_eq!(crew.history.problems([]), Vec::<String>::new());
+        service.harness.outage = false;
+        service.harness.next_leader();
+        service.harness.run(2.0 * LEASE_S);
+        assert_eq!(service.placed_tasks(), 8);
+        service.check_history();
     }
 }
