--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -126,7 +126,7 @@
                     job, chunk, value, ..
                 } => self.handle_progress_result(job, chunk, &value, &written),
                 Write::WorkerRegistry { page, value, .. } => {
-                    self.handle_registry_result(page, &value, &written)
+                    self.handle_registry_result(page, &value, &written);
                 }
                 Write::FencingRecord { page, .. } => self.handle_fencing_result(page, &written),
                 Write::Drain { node, record, .. } => self.drain_written(node, record, &written),
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -101,7 +101,7 @@
 /// Reads what [`job_record`] wrote.
 pub fn parse_job_record(value: &Value) -> Result<JobRecord, RecordError> {
     let spec = value.get("spec").ok_or(RecordError::MissingField("spec"))?;
-    let spec = JobSpec::from_json(spec).map_err(|e| RecordError::InvalidJob(e.to_string()))?;
+    let spec = JobSpec::from_json(spec).map_err(RecordError::InvalidJob)?;
     let accepted_ms = value.get("at").and_then(Value::as_u64).unwrap_or(0);
     Ok(JobRecord { spec, accepted_ms })
 }
