--- a/src/storage/store/error.rs
+++ b/src/storage/store/error.rs
@@ -8,10 +8,12 @@
 /// Why a request to the state service failed.
 #[derive(Debug, Clone, Error)]
 pub enum StoreError {
-    /// Surely not carried out: the state service answered with this status, or, if it is 0, was
-    /// not reached.
+    /// Surely not carried out: the state service answered with this status.
     #[error("the state service refuses: {0}")]
     Refused(u16),
+    /// Surely not carried out: no connection came about.
+    #[error("the state service was not reached")]
+    NotReached,
     /// May have been carried out, or may still be.
     #[error("outcome unknown: {0}")]
     Unknown(UnknownOutcome),
@@ -48,7 +50,7 @@
     /// A request that failed in the exchange.
     pub(super) fn from_exchange(error: CallError) -> Self {
         match error {
-            CallError::Unsent => Self::Refused(0),
+            CallError::Unsent => Self::NotReached,
             other => Self::Unknown(UnknownOutcome::Exchange(other)),
         }
     }
--- a/src/storage/store/mod.rs
+++ b/src/storage/store/mod.rs
@@ -183,7 +183,9 @@
             .direct(request.method.clone(), request.path, body, ATTEMPT)
             .await;
         match direct {
-            Err(StoreError::Refused(_)) if may_relay => self.through_peers(request).await,
+            Err(StoreError::Refused(_) | StoreError::NotReached) if may_relay => {
+                self.through_peers(request).await
+            }
             other => other,
         }
     }
--- a/src/storage/store/relay.rs
+++ b/src/storage/store/relay.rs
@@ -35,11 +35,9 @@
                 status: answer.status,
                 body: answer.body.to_vec(),
             },
+            Err(StoreError::Refused(status)) => refusal(status),
+            Err(StoreError::NotReached) => refusal(UNAVAILABLE),
             // A peer cannot tell "unknown" from "unable": it gets the worse of the two.
-            Err(StoreError::Refused(status)) => PeerReply::State {
-                status: if status == 0 { UNAVAILABLE } else { status },
-                body: Vec::new(),
-            },
             Err(_) => PeerReply::Unable,
         }
     }
@@ -76,6 +74,14 @@
     }
 }
 
+/// The reply to a request that was surely not carried out.
+fn refusal(status: u16) -> PeerReply {
+    PeerReply::State {
+        status,
+        body: Vec::new(),
+    }
+}
+
 /// Asks another controller; `None` if it gave no answer that can be read.
 pub async fn call_peer(
     http: &dyn Network,
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -111,18 +111,18 @@
     let made: Vec<String> = jobs.iter().map(|job| job.accepted_ms.to_string()).collect();
     check_lines("records/jobs_at.txt", &made);
 
-    let ends = check_records(
+    let outcomes = check_records(
         "records/ends.txt",
-        |v| storage::parse_terminal(&v).expect("an end"),
-        |end| storage::terminal_record(*end),
+        |v| storage::parse_terminal(&v).expect("an outcome"),
+        |outcome| storage::terminal_record(*outcome),
     );
-    let made: Vec<String> = ends
+    let made: Vec<String> = outcomes
         .iter()
         .map(|e| format!("{} {}", e.phase == Phase::Done, e.done))
         .collect();
     check_lines("records/ends_read.txt", &made);
 
-    let bits = check_records(
+    let bitmaps = check_records(
         "records/progress.txt",
         |v| TaskBitmap::from_record(&v).expect("a bitmap"),
         TaskBitmap::to_record,
@@ -131,7 +131,7 @@
         let bytes = bitmap.as_bytes().iter().map(u8::to_string);
         bytes.collect::<Vec<_>>().join(" ")
     };
-    let made: Vec<String> = bits.iter().map(numbers).collect();
+    let made: Vec<String> = bitmaps.iter().map(numbers).collect();
     check_lines("records/progress_read.txt", &made);
     let made = [1024, 8 * 1024, 64 * 1024].map(|b| tasks_per_chunk(b).to_string());
     check_lines("records/progress_chunks.txt", &made);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn stamps_of_silent_workers_stay() {
+fn timestamps_of_fenced_workers_stay() {
     let made: Vec<String> = [0u64, 1, 999, 1000, 60_000, 3_600_000]
         .iter()
         .map(|&age| {
