--- a/src/coordination/fencing/state.rs
+++ b/src/coordination/fencing/state.rs
@@ -10,7 +10,9 @@
 /// A worker of a stored page, and when it was last answered at the latest.
 #[derive(Debug, Clone)]
 pub(super) struct AnsweredWorker {
+    /// The worker's name.
     pub name: String,
+    /// On the clock of the core.
     pub answered_at: Time,
 }
 
@@ -19,6 +21,7 @@
 pub(in crate::coordination) struct DeferredHeartbeat {
     /// Of the request that waits for the answer.
     pub ticket: u64,
+    /// The heartbeat as it came.
     pub heartbeat: Heartbeat,
 }
 
--- a/src/coordination/persistence/write_batch.rs
+++ b/src/coordination/persistence/write_batch.rs
@@ -9,6 +9,7 @@
 #[derive(Debug)]
 pub(in crate::coordination) struct WriteBatch {
     writes: Vec<Write>,
+    /// What the state service takes in one transaction.
     max_changes: usize,
     changes: usize,
     value_bytes: usize,
@@ -48,10 +49,12 @@
         changes.min(MAX_VALUE_BYTES / bytes)
     }
 
+    /// Whether there is nothing to send.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty()
     }
 
+    /// The writes in the order in which they were added.
     pub fn into_writes(self) -> Vec<Write> {
         self.writes
     }
--- a/src/coordination/registry/pages.rs
+++ b/src/coordination/registry/pages.rs
@@ -12,7 +12,9 @@
 /// One page, as it is wanted and as it is stored.
 #[derive(Debug, Default)]
 struct Page {
+    /// The workers on it, by index.
     workers: Vec<u32>,
+    /// Of the stored page, 0 if there is none.
     version: u64,
     /// When the page is to be written, if it differs from what is stored.
     due: Option<Time>,
