--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -5,7 +5,7 @@
 //!
 //! Here the core is only wired: which part handles an input, and what is done at each step.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
@@ -14,16 +14,18 @@
 use crate::storage::{Snapshot, bitmap};
 
 use super::failover::FailoverStats;
+use super::fencing::Fencing;
 use super::job_table::JobTable;
 pub use super::messages::*;
 use super::model::*;
+use super::persistence::WriteQueue;
 use super::reconciliation::Reconciliation;
 pub use super::state::{Config, Core, TeamUsage};
 use super::team_table::TeamTable;
 use super::worker_table::WorkerTable;
-use copperfield_fencing::FencingRecord;
 
-use super::state::{Migrations, Provisioning, WINDOW_S, WorkerRegistry};
+use super::registry::WorkerRegistry;
+use super::state::{Migrations, Provisioning, WINDOW_S};
 
 /// Unresponsive workers and expired leases are looked for so often, and before every batch.
 const WATCH_S: Time = 0.05;
@@ -64,18 +66,14 @@
             provisioning,
             large_task_profiles: Vec::new(),
             scheduling_classes: BTreeMap::new(),
-            progress_due: VecDeque::new(),
             next_in_tail: 0,
             // Unique across leaders: no two have the same token.
             next_attempt: (token << 24) + 1,
             next_message_id: 1,
             effects: Vec::new(),
-            writing: false,
-            finish: VecDeque::new(),
-            drop_progress: VecDeque::new(),
+            write_queue: WriteQueue::default(),
             registry: WorkerRegistry::new(value_bytes),
-            fencing: FencingRecord::new(value_bytes),
-            deferred_heartbeats: BTreeMap::new(),
+            fencing: Fencing::new(value_bytes),
             sharding: None,
             lease_extended_until: f64::NEG_INFINITY,
             valid_until: f64::NEG_INFINITY,
@@ -102,8 +100,8 @@
         for job in snapshot.jobs {
             self.add_job(job);
         }
-        for (id, chunk, bits, version) in snapshot.progress {
-            self.restore_progress(id, chunk, &bits, version);
+        for stored in snapshot.progress {
+            self.restore_progress(&stored);
         }
         for page in snapshot.registry {
             self.restore_registry(page);
@@ -260,34 +258,4 @@
             Input::ScaledIn { workers, ok } => self.handle_scale_in_result(workers, ok),
         }
     }
-
-    pub(super) fn restore_progress(&mut self, id: JobId, chunk: u32, bits: &[u8], version: u64) {
-        let Some(ix) = self.jobs.index_of(id) else {
-            // Left over from a job that has ended.
-            self.drop_progress.push_back((id, chunk, version));
-            return;
-        };
-        let from = chunk * self.chunk_tasks;
-        let job = &mut self.jobs[ix];
-        if let Some(v) = job.chunks.get_mut(chunk as usize) {
-            *v = version;
-        }
-        for (i, task) in job.tasks.iter_mut().enumerate().skip(from as usize) {
-            let bit = i - from as usize;
-            let Some(byte) = bits.get(bit / 8) else { break };
-            if byte & (1 << (bit % 8)) != 0 && !task.done {
-                task.done = true;
-                task.stored = true;
-                job.done += 1;
-            }
-        }
-    }
-
-    pub(super) fn progress_due(&mut self, ix: u32, chunk: u32, at: Time) {
-        let due = &mut self.jobs[ix].chunk_due[chunk as usize];
-        if due.is_none() {
-            *due = Some(at);
-            self.progress_due.push_back((ix, chunk));
-        }
-    }
 }
--- a/src/coordination/drains.rs
+++ b/src/coordination/drains.rs
@@ -16,6 +16,7 @@
 use super::messages::Effect;
 use super::migration::amounts;
 use super::model::*;
+use super::persistence::WriteBatch;
 use super::state::{Core, Drain};
 
 /// Nodes, moves or jobs in one answer, which stays well under 64 KiB.
@@ -23,7 +24,7 @@
 
 impl Core {
     pub(super) fn restore_drain(&mut self, stored: StoredDrain) {
-        if let Some(m) = self.workers.index_of(&stored.node) {
+        if let Some(m) = self.workers.index_of(&stored.worker) {
             self.workers[m].draining = true;
         }
         let drain = Drain {
@@ -36,7 +37,7 @@
             version: stored.version,
             ..Drain::default()
         };
-        self.drains.insert(stored.node, drain);
+        self.drains.insert(stored.worker, drain);
     }
 
     pub(super) fn operate(&mut self, ticket: u64, order: AdminRequest, unix_ms: u64) {
@@ -133,20 +134,20 @@
         }
     }
 
-    pub(super) fn drain_writes(&mut self, batch: &mut Vec<Write>, limit: usize, ops: &mut usize) {
+    pub(super) fn add_drain_writes(&mut self, batch: &mut WriteBatch) {
         for (node, drain) in &mut self.drains {
-            if *ops >= limit {
+            if !batch.has_room_for(1) {
                 return;
             }
             if drain.due && !drain.writing {
                 drain.due = false;
                 drain.writing = true;
-                *ops += 1;
-                batch.push(Write::Drain {
+                let write = Write::Drain {
                     node: node.clone(),
                     record: drain.record,
                     version: drain.version,
-                });
+                };
+                batch.push(write, 0);
             }
         }
     }
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -116,9 +116,7 @@
         job.state = JobState::Terminal(outcome);
         let chunks: Vec<(u32, u64)> = (0u32..).zip(job.chunks.iter().copied()).collect();
         for (chunk, version) in chunks {
-            if version > 0 {
-                self.drop_progress.push_back((id, chunk, version));
-            }
+            self.drop_chunk(id, chunk, version);
         }
         tracing::info!(job = %id, phase = outcome.phase.spelling(), "job finished");
         if self.jobs[ix].entries == 0 {
@@ -168,7 +166,7 @@
             job.active -= 1;
         }
         job.done += 1;
-        self.progress_due(ix, task / chunk_tasks, due);
+        self.schedule_progress_write(ix, task / chunk_tasks, due);
         self.finish_if_done(ix);
     }
 
@@ -177,7 +175,7 @@
         let job = &mut self.jobs[ix];
         if job.state == JobState::Live && job.done == job.spec.tasks {
             job.state = JobState::Finishing;
-            self.finish.push_back(ix);
+            self.write_queue.push_finished_job(ix);
         }
     }
 }
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -21,7 +21,7 @@
         spot: bool,
     ) -> u32 {
         let mut worker = Worker::new(name, address, kind, zone, spot);
-        worker.fenced = self.fencing.holds(name);
+        worker.fenced = self.fencing.is_fenced(name);
         worker.draining = self.drains.contains_key(name);
         let index = self.workers.insert(worker);
         self.add_worker_to_shards(index);
--- a/src/coordination/sharding/routing.rs
+++ b/src/coordination/sharding/routing.rs
@@ -2,6 +2,7 @@
 
 use copperfield_sharding::{AnswerPermission, Route};
 
+use crate::coordination::fencing::DeferredHeartbeat;
 use crate::coordination::messages::Effect;
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
@@ -42,7 +43,7 @@
 
     /// Which controllers may be assigned a worker now.
     pub(super) fn answer_permission(&self, m: u32) -> AnswerPermission {
-        if self.fencing.holds(&self.workers[m].name) {
+        if self.fencing.is_fenced(&self.workers[m].name) {
             // While all peers extend its lease, the leader itself may answer fenced workers.
             return if self.now < self.lease_extended_until {
                 AnswerPermission::LeaderOnly
@@ -83,8 +84,8 @@
     /// Answers the heartbeats that were deferred while another controller might still answer their
     /// workers, or while these were fenced.
     pub(in crate::coordination) fn answer_deferred_heartbeats(&mut self) {
-        for (name, (ticket, heartbeat)) in std::mem::take(&mut self.deferred_heartbeats) {
-            let fenced = self.fencing.holds(&name) && self.now >= self.lease_extended_until;
+        for (name, DeferredHeartbeat { ticket, heartbeat }) in self.fencing.take_deferred() {
+            let fenced = self.fencing.is_fenced(&name) && self.now >= self.lease_extended_until;
             let m = self.workers.index_of(&name);
             if let Some(controller) = m.and_then(|m| self.shard_owner_of(m)) {
                 // The worker has reported to another controller meanwhile.
@@ -93,7 +94,7 @@
             }
             let owned = m.is_some_and(|m| self.last_answer_by_any(&self.workers[m]).is_none());
             if fenced || owned {
-                self.deferred_heartbeats.insert(name, (ticket, heartbeat));
+                self.fencing.defer(ticket, heartbeat);
             } else {
                 self.answer_heartbeat(ticket, heartbeat);
             }
--- a/src/coordination/sharding/status.rs
+++ b/src/coordination/sharding/status.rs
@@ -105,7 +105,7 @@
             let worker = &mut self.workers[m];
             worker.last_heartbeat_at = worker.last_heartbeat_at.max_of(received_at);
             worker.reported_at = worker.reported_at.max_of(received_at);
-            self.fencing.heard(&worker.name, ceil_ms(self.now));
+            self.fencing.release(&worker.name, self.now);
         }
         if is_newer {
             self.apply_forwarded_heartbeat(m, heartbeat, received_at);
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -1,12 +1,8 @@
 //! All that the leader's core keeps. The modules of [`crate::coordination`] each own a part of it
 //! and of what is done with it.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 
-use copperfield_fencing::FencingRecord;
-
-use crate::protocol::JobId;
-use crate::protocol::worker::Heartbeat;
 use crate::settings::{Cluster, Tuning};
 
 mod drain;
@@ -18,10 +14,13 @@
 pub(super) use provisioning::{BootingWorker, Provisioning, ProvisioningRequest};
 
 use super::failover::FailoverStats;
+use super::fencing::Fencing;
 use super::job_table::JobTable;
 use super::messages::Effect;
 use super::model::*;
+use super::persistence::WriteQueue;
 use super::reconciliation::Reconciliation;
+use super::registry::WorkerRegistry;
 use super::sharding::Sharding;
 use super::team_table::TeamTable;
 pub use super::team_table::TeamUsage;
@@ -34,10 +33,6 @@
 /// objectives a start counts only if the task then runs for half a minute.
 pub(super) const SETTLED_S: f64 = 35.0;
 
-/// Room in a stored page for one worker with its images.
-const BYTES_PER_WORKER: usize = 512;
-const MAX_PER_PAGE: usize = 32;
-
 /// The settings that the core works by.
 pub struct Config {
     /// The cluster, as all controllers have it.
@@ -79,8 +74,6 @@
     pub(super) large_task_profiles: Vec<LargeTaskProfile>,
     /// Scheduling classes and their indices.
     pub(super) scheduling_classes: BTreeMap<SchedulingClass, u32>,
-    /// Chunks of done bits that wait to be stored, the longest first.
-    pub(super) progress_due: VecDeque<(u32, u32)>,
     /// Where the last batch left off among the jobs that it had no time for.
     pub(super) next_in_tail: usize,
     /// The last attempt number that was used.
@@ -89,14 +82,11 @@
     pub(super) next_message_id: u64,
     /// What this step has decided.
     pub(super) effects: Vec<Effect>,
-    pub(super) writing: bool,
-    pub(super) finish: VecDeque<u32>,
-    pub(super) drop_progress: VecDeque<(JobId, u32, u64)>,
+    /// What waits to be written to the state service.
+    pub(super) write_queue: WriteQueue,
     pub(super) registry: WorkerRegistry,
-    /// Workers that this leader has promised not to answer.
-    pub(super) fencing: FencingRecord,
-    /// Reports of such workers, answered once their removal from the record is stored.
-    pub(super) deferred_heartbeats: BTreeMap<String, (u64, Heartbeat)>,
+    /// Unresponsive workers that this leader does not answer, and their heartbeats that wait.
+    pub(super) fencing: Fencing,
     /// Where other nodes speak with some of the workers.
     pub(super) sharding: Option<Sharding>,
     /// Until when the votes of all other controllers extend this leader's lease.
@@ -121,46 +111,3 @@
     pub(super) failover: Option<FailoverStats>,
     pub(super) chunk_tasks: u32,
 }
-
-#[derive(Debug, Default)]
-pub(super) struct Page {
-    pub(super) workers: Vec<u32>,
-    pub(super) version: u64,
-    /// When what is stored must say what it does not say yet.
-    pub(super) due: Option<Time>,
-    pub(super) writing: bool,
-    /// Holds a value that does not parse, which is never overwritten.
-    pub(super) unreadable: bool,
-}
-
-impl Page {
-    pub(super) fn due_by(&mut self, at: Time) {
-        self.due = Some(self.due.map_or(at, |d| d.min(at)));
-    }
-}
-
-#[derive(Debug)]
-pub(super) struct WorkerRegistry {
-    pub(super) pages: Vec<Page>,
-    pub(super) per_page: usize,
-    pub(super) bytes_per_worker: usize,
-}
-
-impl WorkerRegistry {
-    pub fn new(value_bytes: usize) -> Self {
-        let per_page = (value_bytes / BYTES_PER_WORKER).clamp(1, MAX_PER_PAGE);
-        Self {
-            pages: Vec::new(),
-            per_page,
-            bytes_per_worker: value_bytes * 9 / 10 / per_page,
-        }
-    }
-
-    pub(super) fn page(&mut self, ix: u32) -> &mut Page {
-        let ix = ix as usize;
-        if self.pages.len() <= ix {
-            self.pages.resize_with(ix + 1, Page::default);
-        }
-        &mut self.pages[ix]
-    }
-}
