--- a/src/api.rs
+++ b/src/api.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep, timeout};
 use warp::http::Method;
 
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{AdminResponse, BegunCancellation, Command, Handle, JobLookups};
 use crate::controller::context::ControllerContext;
 use crate::controller::effects::relay_commands;
 use crate::controller::event_loop::Controller;
@@ -179,8 +179,11 @@
     }
 
     async fn ask_owner_all(&self, jobs: Vec<JobId>) -> (Vec<Lookup>, Option<String>) {
-        let asked = self.handle.ask(|reply| Command::Ask { jobs, reply }).await;
-        let (mut found, leader) = asked.unwrap_or_default();
+        let asked = self.handle.ask(|reply| Command::LookUpJobs { jobs, reply });
+        let JobLookups {
+            lookups: mut found,
+            leader,
+        } = asked.await.unwrap_or_default();
         if !self.context.is_valid() {
             for f in &mut found {
                 if let Lookup::Live { .. } = f {
@@ -203,7 +206,10 @@
             Err(error) => return Outgoing::error(400, &error),
         };
         let id = spec.id;
-        let types = self.handle.ask(|reply| Command::AskTypes { reply }).await;
+        let types = self
+            .handle
+            .ask(|reply| Command::GetMachineTypes { reply })
+            .await;
         let Some(types) = types.flatten() else {
             return Outgoing::busy("the machine types are not known yet", 1);
         };
@@ -315,7 +321,12 @@
         if let Some(end) = at
             && end.phase.is_terminal()
         {
-            self.handle.send(Command::Ended { job: id, end }).await;
+            self.handle
+                .send(Command::JobFinished {
+                    job: id,
+                    outcome: end,
+                })
+                .await;
         }
         Ok(at)
     }
@@ -373,7 +384,9 @@
 
     async fn remember(&self, job: JobId, found: Lookup) {
         if let Lookup::Terminal(end) = found {
-            self.handle.send(Command::Ended { job, end }).await;
+            self.handle
+                .send(Command::JobFinished { job, outcome: end })
+                .await;
         }
     }
 
@@ -426,13 +439,15 @@
         let (done, token) = loop {
             let begin = self
                 .handle
-                .ask(|reply| Command::BeginCancel { job: id, reply })
+                .ask(|reply| Command::BeginCancellation { job: id, reply })
                 .await;
-            match begin.flatten() {
-                None => return Lookup::NotLeading,
-                Some((CancelBegin::Terminal(end), _)) => return Lookup::Terminal(end),
-                Some((CancelBegin::Busy, _)) => sleep(Duration::from_millis(30)).await,
-                Some((CancelBegin::Go { done }, token)) => break (done, token),
+            let Some(BegunCancellation { begin, token }) = begin.flatten() else {
+                return Lookup::NotLeading;
+            };
+            match begin {
+                CancelBegin::Terminal(end) => return Lookup::Terminal(end),
+                CancelBegin::Busy => sleep(Duration::from_millis(30)).await,
+                CancelBegin::Go { done } => break (done, token),
             }
         };
         let this = self.clone();
@@ -444,7 +459,10 @@
                         _ => None,
                     };
                     this.handle
-                        .send(Command::SettleCancel { job: id, end })
+                        .send(Command::FinishCancellation {
+                            job: id,
+                            outcome: end,
+                        })
                         .await;
                     return found;
                 }
@@ -551,9 +569,12 @@
     async fn operate_as_leader(&self, order: AdminRequest) -> Option<Outgoing> {
         let asked = self
             .handle
-            .ask(|reply| Command::Admin { order, reply })
+            .ask(|reply| Command::Admin {
+                request: order,
+                reply,
+            })
             .await;
-        let (status, body) = asked.flatten()?;
+        let AdminResponse { status, body } = asked.flatten()?;
         Some(Outgoing {
             status,
             body,
@@ -597,9 +618,10 @@
             },
             PeerRequest::Idle => PeerReply::Unable,
             PeerRequest::Share(word) => {
-                let asked = self
-                    .handle
-                    .ask(|reply| Command::ShardStatus { word, reply });
+                let asked = self.handle.ask(|reply| Command::ShardStatus {
+                    status: word,
+                    reply,
+                });
                 match asked.await.flatten() {
                     Some(down) => PeerReply::Granted(down),
                     None => PeerReply::Unable,
@@ -663,9 +685,10 @@
         let mut pause = Duration::from_millis(250);
         let began = Instant::now();
         loop {
-            if let Some(types) = crate::controller::effects::read_types(&self.context).await {
+            if let Some(types) = crate::controller::effects::read_machine_types(&self.context).await
+            {
                 tracing::debug!(after = ?began.elapsed(), "machine types known");
-                self.handle.send(Command::Types(types)).await;
+                self.handle.send(Command::SetMachineTypes(types)).await;
                 // Types may be added; prices matter to the leader alone, which asks more often.
                 pause = Duration::from_secs(120);
             } else if pause < Duration::from_secs(2) {
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -1,6 +1,7 @@
-//! What the owner of a process's state is asked, and the handle through which.
+//! The commands that a controller's event loop accepts, and the handle that sends them.
 //!
-//! Below the owner and below everything that asks it, so that neither needs the other.
+//! This module depends on neither the event loop nor its callers, so that they need not
+//! depend on each other.
 
 use std::sync::Arc;
 
@@ -15,91 +16,116 @@
 use crate::storage::Snapshot;
 use crate::transport::server::Outgoing;
 
-/// Status and JSON.
-pub type AdminResponse = (u16, Vec<u8>);
+/// The leader's answer to an operator, as HTTP has it.
+#[derive(Debug)]
+pub struct AdminResponse {
+    pub status: u16,
+    /// JSON.
+    pub body: Vec<u8>,
+}
 
+/// What this controller knows of some jobs.
+#[derive(Debug, Default)]
+pub struct JobLookups {
+    /// One for each job, in the order of the request.
+    pub lookups: Vec<Lookup>,
+    /// The member name of the leader, as far as this controller knows.
+    pub leader: Option<String>,
+}
+
+/// The leader's first step in cancelling a job.
+#[derive(Debug)]
+pub struct BegunCancellation {
+    pub begin: CancelBegin,
+    /// The fencing token under which the cancellation is to be stored.
+    pub token: u64,
+}
+
+/// A message to the event loop.
 #[derive(Debug)]
 pub enum Command {
+    /// A worker's heartbeat; the reply is the HTTP response to it.
     Heartbeat {
         heartbeat: Heartbeat,
         reply: oneshot::Sender<Outgoing>,
     },
-    /// What a shard owner of some of the workers tells, asked of the leader.
+    /// The status of a shard owner, sent to the leader. The reply is `None` if this controller
+    /// does not lead, or if a newer status of the same owner has been processed.
     ShardStatus {
-        word: ShardStatus,
+        status: ShardStatus,
         reply: oneshot::Sender<Option<ShardUpdate>>,
     },
-    /// The leader's answer to what this node told it, if one came.
+    /// The leader's answer to the status of this number, if one came.
     ShardUpdate {
         number: u64,
-        down: Option<ShardUpdate>,
+        update: Option<ShardUpdate>,
     },
-    /// How a message ended that this node carried for the leader of this token.
-    RelayedCommand {
+    /// The outcome of a command that this controller relayed for the leader of this token.
+    RelayCompleted {
         token: u64,
         message_id: u64,
         outcome: Outcome,
     },
-    /// What is known of each of these jobs, and who is thought to lead.
-    Ask {
+    /// Look up what is known of these jobs.
+    LookUpJobs {
         jobs: Vec<JobId>,
-        reply: oneshot::Sender<(Vec<Lookup>, Option<String>)>,
-    },
-    BeginCancel {
-        job: JobId,
-        reply: oneshot::Sender<Option<(CancelBegin, u64)>>,
+        reply: oneshot::Sender<JobLookups>,
     },
-    SettleCancel {
+    /// Stop starting tasks of a job, so that its cancellation can be stored. The reply is `None`
+    /// if this controller does not lead.
+    BeginCancellation {
         job: JobId,
-        end: Option<JobOutcome>,
+        reply: oneshot::Sender<Option<BegunCancellation>>,
     },
-    /// A final phase, stored, to be remembered.
-    Ended {
+    /// The end of a begun cancellation: the stored outcome of the job, or `None` if it has none.
+    FinishCancellation {
         job: JobId,
-        end: JobOutcome,
+        outcome: Option<JobOutcome>,
     },
-    /// What an operator asks; `None` comes back from a node that does not lead.
+    /// The outcome of a job has been stored; it is cached to answer polls.
+    JobFinished { job: JobId, outcome: JobOutcome },
+    /// An operator's request. The reply is `None` if this controller does not lead.
     Admin {
-        order: AdminRequest,
+        request: AdminRequest,
         reply: oneshot::Sender<Option<AdminResponse>>,
     },
-    AskTypes {
+    /// The machine types of the cloud, if they are known already.
+    GetMachineTypes {
         reply: oneshot::Sender<Option<Arc<Vec<MachineType>>>>,
     },
-    Types(Vec<MachineType>),
+    /// The machine types have been read from the cloud.
+    SetMachineTypes(Vec<MachineType>),
+    /// The leader key names this member, or is missing.
     LeaderSeen(Option<String>),
-    Elected {
-        token: u64,
-    },
-    Recovered {
-        token: u64,
-        snapshot: Snapshot,
-    },
-    Lost {
-        token: u64,
-    },
-    /// Something the core asked for has come back.
-    Input {
-        token: u64,
-        input: Input,
-    },
+    /// This controller has won the election under this token.
+    Elected { token: u64 },
+    /// The stored state has been read for the term of this token.
+    Recovered { token: u64, snapshot: Snapshot },
+    /// This controller leads no longer.
+    LeadershipLost,
+    /// The result of an effect that the core of this token asked for, or a newly stored job.
+    Input { token: u64, input: Input },
 }
 
+/// Sends commands to the event loop.
 #[derive(Clone)]
 pub struct Handle {
     queue: mpsc::Sender<Command>,
 }
 
 impl Handle {
+    /// A handle that sends to this queue.
     pub fn new(queue: mpsc::Sender<Command>) -> Self {
         Self { queue }
     }
 
+    /// Waits for a place in the queue.
     pub async fn send(&self, command: Command) {
-        // Fails only when the owner has ended, and then the process ends.
+        // Fails only when the event loop has ended, and then the process ends.
         let _ = self.queue.send(command).await;
     }
 
+    /// Sends a command and waits for its reply; `None` if the event loop drops the request.
     pub async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.queue.send(command(reply)).await.ok()?;
--- /dev/null
+++ b/src/controller/effects/peers.rs
@@ -0,0 +1,110 @@
+//! Messages to other controllers: commands relayed to workers, and the announcement of a leader.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use hyper::Method;
+
+use super::workers;
+use crate::controller::commands::{Command, Handle};
+use crate::controller::context::ControllerContext;
+use crate::coordination::core::Input;
+use crate::protocol::peer::{PeerReply, PeerRequest, RelayedCommand};
+use crate::storage::store::call_peer;
+use crate::transport::client::{Answer, CallError};
+
+const PEER_DEADLINE: Duration = Duration::from_millis(1000);
+
+/// Whether a relay has taken a batch of commands.
+enum RelayResult {
+    Accepted,
+    /// It relays none of them: it was not reached, or it refused.
+    Rejected,
+    Unknown,
+}
+
+/// Hands commands to the controller that is to relay them; their outcomes come with its status.
+pub(super) async fn send_to_relay(
+    context: &ControllerContext,
+    token: u64,
+    controller: u32,
+    to: SocketAddr,
+    messages: Vec<RelayedCommand>,
+) -> Option<Input> {
+    let message_ids = messages.iter().map(|m| m.message_id).collect();
+    let body = borsh::to_vec(&PeerRequest::RelayCommands { token, messages })
+        .expect("serializing to memory does not fail");
+    let surely = match call_relay(context, token, to, body).await {
+        RelayResult::Accepted => return None,
+        RelayResult::Rejected => true,
+        RelayResult::Unknown => false,
+    };
+    Some(Input::RelayFailed {
+        controller,
+        message_ids,
+        surely,
+    })
+}
+
+async fn call_relay(
+    context: &ControllerContext,
+    token: u64,
+    to: SocketAddr,
+    body: Vec<u8>,
+) -> RelayResult {
+    if !context.may_order(token) {
+        return RelayResult::Rejected;
+    }
+    let response = context
+        .http
+        .call(Method::POST, to, "/peer", body, PEER_DEADLINE);
+    match response.await {
+        Ok(response) if is_accepted(&response) => RelayResult::Accepted,
+        // It may not relay under this token, or is of a version without shard owners.
+        Ok(_) | Err(CallError::Unsent) => RelayResult::Rejected,
+        Err(CallError::Unknown(_) | CallError::TooLarge) => RelayResult::Unknown,
+    }
+}
+
+fn is_accepted(response: &Answer) -> bool {
+    matches!(borsh::from_slice(&response.body), Ok(PeerReply::Relaying))
+}
+
+/// Relays commands to workers for the leader of this token. Returns false, and relays none, if
+/// this controller may not send commands under that token.
+pub fn relay_commands(
+    context: &Arc<ControllerContext>,
+    handle: &Handle,
+    token: u64,
+    messages: Vec<RelayedCommand>,
+) -> bool {
+    if !context.may_order(token) {
+        return false;
+    }
+    for message in messages {
+        let (context, handle) = (context.clone(), handle.clone());
+        tokio::spawn(async move {
+            let outcome = workers::send_message(&context, token, &message).await;
+            let command = Command::RelayCompleted {
+                token,
+                message_id: message.message_id,
+                outcome,
+            };
+            handle.send(command).await;
+        });
+    }
+    true
+}
+
+/// Announces this controller as leader, so that no peer waits until it reads the leader key.
+pub async fn announce_leadership(context: Arc<ControllerContext>) {
+    for peer in &context.settings.others {
+        let (context, to) = (context.clone(), peer.peer_addr);
+        tokio::spawn(async move {
+            let member = context.settings.member.clone();
+            let announcement = PeerRequest::LeaderAnnouncement { member };
+            call_peer(context.http.as_ref(), to, &announcement, PEER_DEADLINE).await;
+        });
+    }
+}
--- /dev/null
+++ b/src/controller/effects/state.rs
@@ -0,0 +1,49 @@
+//! The leader's writes to the state service.
+
+use std::sync::Arc;
+
+use crate::controller::commands::{Command, Handle};
+use crate::controller::context::ControllerContext;
+use crate::coordination::core::Input;
+use crate::protocol::JobId;
+use crate::protocol::job::JobOutcome;
+use crate::storage::writer::{self, Write, WriteError, Written};
+
+/// Writes a batch under the guard of the leader key, and has the outcomes of finished jobs
+/// cached. Steps down if the leader key is no longer that of this token.
+pub(super) async fn write(
+    context: &Arc<ControllerContext>,
+    handle: &Handle,
+    token: u64,
+    batch: Vec<Write>,
+) -> Option<Input> {
+    let lease_context = context.clone();
+    let still_leads = move || lease_context.leads(token);
+    let store = context.store.clone();
+    let written = writer::write(store, token, batch, context.unix_ms(), still_leads).await;
+    match written {
+        Ok(results) => {
+            for (job, outcome) in results.iter().filter_map(finished_job) {
+                handle.send(Command::JobFinished { job, outcome }).await;
+            }
+            Some(Input::Written(results))
+        }
+        Err(WriteError::Deposed) => {
+            tracing::warn!(token, "leader key changed: stepping down");
+            context.step_down(token);
+            None
+        }
+    }
+}
+
+/// The job whose outcome is stored now, if the write was about that.
+fn finished_job((write, written): &(Write, Written)) -> Option<(JobId, JobOutcome)> {
+    let Write::Finish { job, done, .. } = write else {
+        return None;
+    };
+    match written {
+        Written::Stored { .. } => Some((*job, writer::completed(*done))),
+        Written::Ended(outcome) => Some((*job, *outcome)),
+        Written::Again { .. } => None,
+    }
+}
--- /dev/null
+++ b/src/controller/effects/workers.rs
@@ -0,0 +1,77 @@
+//! Commands sent to workers, and inspections of workers.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use hyper::Method;
+
+use crate::controller::context::ControllerContext;
+use crate::coordination::core::{Input, Outcome};
+use crate::protocol::peer::RelayedCommand;
+use crate::protocol::worker::{Heartbeat, orders_body};
+use crate::transport::client::{Answer, CallError};
+
+const COMMAND_DEADLINE: Duration = Duration::from_millis(1500);
+const INSPECT_DEADLINE: Duration = Duration::from_millis(500);
+
+const STATUS_OK: u16 = 200;
+const STATUS_BAD_REQUEST: u16 = 400;
+const STATUS_CONFLICT: u16 = 409;
+
+/// Sends a message to a worker and returns its outcome as an input to the core.
+pub(super) async fn send(
+    context: &ControllerContext,
+    token: u64,
+    worker: String,
+    message: RelayedCommand,
+) -> Input {
+    let outcome = send_message(context, token, &message).await;
+    Input::Direct {
+        worker,
+        message_id: message.message_id,
+        outcome,
+    }
+}
+
+/// Sends commands to a worker, or inspects it: a message without commands is answered with a
+/// heartbeat as `/inspect` is, and if the incarnation is right, the worker has also learned the
+/// token. With `/inspect`, a new leader would need two exchanges before it could use a worker.
+pub(super) async fn send_message(
+    context: &ControllerContext,
+    token: u64,
+    message: &RelayedCommand,
+) -> Outcome {
+    let exchange = exchange(context, token, message);
+    if !message.commands.is_empty() {
+        return exchange.await;
+    }
+    match tokio::time::timeout(INSPECT_DEADLINE, exchange).await {
+        Ok(Outcome::Unknown) | Err(_) => Outcome::Unsent,
+        Ok(outcome) => outcome,
+    }
+}
+
+async fn exchange(context: &ControllerContext, token: u64, message: &RelayedCommand) -> Outcome {
+    let to: SocketAddr = match message.address.parse() {
+        Ok(to) if context.may_order(token) => to,
+        _ => return Outcome::Unsent,
+    };
+    let body = orders_body(token, Some(message.incarnation), &message.commands);
+    let response = context
+        .http
+        .call(Method::POST, to, "/orders", body, COMMAND_DEADLINE);
+    match response.await {
+        Ok(response) => outcome_of(&response),
+        Err(CallError::Unsent) => Outcome::Unsent,
+        Err(CallError::Unknown(_) | CallError::TooLarge) => Outcome::Unknown,
+    }
+}
+
+fn outcome_of(response: &Answer) -> Outcome {
+    match (response.status, Heartbeat::parse(&response.body)) {
+        (STATUS_OK, Ok(heartbeat)) => Outcome::Executed(heartbeat),
+        (STATUS_CONFLICT, heartbeat) => Outcome::Rejected(heartbeat.ok()),
+        (STATUS_BAD_REQUEST, _) => Outcome::Rejected(None),
+        _ => Outcome::Unknown,
+    }
+}
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -1,7 +1,7 @@
-//! A node that does not lead, as a shard owner: it answers its share of the workers under the
-//! leader's grant, and tells the leader what they say. The decisions are `copperfield-relay`.
+//! A controller that does not lead, as a shard owner: it answers the workers of its shard under
+//! the leader's shard lease, and forwards their heartbeats to the leader. The decisions are made
+//! in `copperfield-heartbeat-forwarder`.
 
-use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -10,153 +10,159 @@
 
 use crate::controller::commands::{Command, Handle};
 use crate::controller::context::ControllerContext;
+use crate::controller::pending_replies::{PendingReplies, PendingReply};
 use crate::protocol::peer::{ForwardedHeartbeat, Outcome, PeerReply, PeerRequest, ShardUpdate};
 use crate::protocol::worker::{Heartbeat, orders_body};
 use crate::settings::Switch;
 use crate::storage::store::call_peer;
 use crate::transport::server::Outgoing;
 
-/// What a node heard as a shard owner.
+const STATUS_DEADLINE: Duration = Duration::from_millis(700);
+/// Process numbers are drawn below this, so that a restarted process has another one.
+const PROCESS_NUMBERS: u64 = 1 << 52;
+
+/// The heartbeats that a shard owner has received and the next leader needs.
 #[derive(Default)]
 pub struct BufferedHeartbeats {
+    /// Answered already.
     pub forwarded: Vec<ForwardedHeartbeat>,
-    pub waiting: Vec<(Heartbeat, oneshot::Sender<Outgoing>)>,
+    /// Not answered yet.
+    pub waiting: Vec<WaitingHeartbeat>,
 }
 
-const DEADLINE: Duration = Duration::from_millis(700);
+/// A heartbeat whose worker waits for the response.
+pub struct WaitingHeartbeat {
+    pub heartbeat: Heartbeat,
+    pub reply: oneshot::Sender<Outgoing>,
+}
 
+/// The state of a shard owner that does not lead.
 pub struct Follower {
     context: Arc<ControllerContext>,
     handle: Handle,
-    relay: HeartbeatForwarder,
-    tickets: HashMap<u64, oneshot::Sender<Outgoing>>,
-    next_ticket: u64,
+    forwarder: HeartbeatForwarder,
+    replies: PendingReplies,
+    /// The member name of the leader; `None` while there is none.
     leader: Option<String>,
-    /// The last leader that was seen, whom this node tells what it hears.
-    forwarded: Option<String>,
+    /// The last leader that was seen: the one that the forwarder has sent its status to.
+    last_leader: Option<String>,
 }
 
 impl Follower {
-    /// `None` where the workers are not shared.
-    pub fn begin(context: &Arc<ControllerContext>, handle: &Handle) -> Option<Self> {
+    /// Starts without a shard; `None` where the workers are not shared among the controllers.
+    pub fn start(context: &Arc<ControllerContext>, handle: &Handle) -> Option<Self> {
         let settings = &context.settings;
         if context.tuning.shares == Switch::Off || settings.others.is_empty() {
             return None;
         }
-        // Tells the share of this process from what an earlier one had.
-        let process = 1 + context.random(1 << 52);
+        // Distinguishes the shard of this process from that of an earlier one.
+        let process = 1 + context.random(PROCESS_NUMBERS);
         let report_s = settings.cluster.workers.report_s;
         context.set_granted(0, 0);
         Some(Self {
             context: context.clone(),
             handle: handle.clone(),
-            relay: HeartbeatForwarder::new(settings.own_index(), process, report_s),
-            tickets: HashMap::new(),
-            next_ticket: 0,
+            forwarder: HeartbeatForwarder::new(settings.own_index(), process, report_s),
+            replies: PendingReplies::default(),
             leader: None,
-            forwarded: None,
+            last_leader: None,
         })
     }
 
-    /// The leader is seen, or nobody leads.
-    pub fn leader_seen(&mut self, leader: Option<&str>) {
-        self.leader = leader.map(str::to_string);
-        if leader.is_some() && leader != self.forwarded.as_deref() {
-            self.forwarded = leader.map(str::to_string);
-            self.relay.new_leader();
+    /// Sets the leader; `None` if there is no leader now.
+    pub fn set_leader(&mut self, leader: Option<String>) {
+        if leader.is_some() && leader != self.last_leader {
+            self.last_leader = leader.clone();
+            self.forwarder.new_leader();
         }
+        self.leader = leader;
     }
 
-    pub fn heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<Outgoing>) {
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
-        self.tickets.insert(ticket, reply);
-        let acts = self
-            .relay
-            .heartbeat(self.context.now_ms(), ticket, heartbeat);
-        self.act(acts);
+    /// Answers a worker's heartbeat, now or once the leader has answered.
+    pub fn handle_heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<Outgoing>) {
+        let ticket = self.replies.register(PendingReply::Heartbeat(reply));
+        let now_ms = self.context.now_ms();
+        let actions = self.forwarder.heartbeat(now_ms, ticket, heartbeat);
+        self.execute(actions);
     }
 
-    fn act(&mut self, acts: Vec<Action>) {
-        for act in acts {
-            let (ticket, answer) = match act {
-                Action::Answer { ticket, token } => {
-                    let body = orders_body(token, None, &[]);
-                    let answer = Outgoing {
-                        status: 200,
-                        body,
-                        retry_after_s: None,
-                    };
-                    (ticket, answer)
-                }
-                Action::Away { ticket, to } => {
-                    let named = to.map(|n| self.context.settings.controller(n).to_string());
-                    let to = named.or_else(|| self.leader.clone());
-                    (ticket, self.context.send_to(to.as_deref()))
-                }
-            };
-            if let Some(reply) = self.tickets.remove(&ticket) {
-                let _ = reply.send(answer);
-            }
-        }
-    }
-
-    pub fn granted(&mut self, number: u64, down: Option<ShardUpdate>) {
-        match down {
-            Some(down) => {
-                let acts = self.relay.granted(self.context.now_ms(), &down);
-                let (token, until) = self.relay.shard_lease();
-                self.context.set_granted(token, until);
-                self.act(acts);
-            }
-            None => self.relay.lost(number),
-        }
+    /// Processes the leader's answer to the status of this number, if one came.
+    pub fn handle_shard_update(&mut self, number: u64, update: Option<ShardUpdate>) {
+        let Some(update) = update else {
+            self.forwarder.lost(number);
+            return;
+        };
+        let actions = self.forwarder.granted(self.context.now_ms(), &update);
+        let (token, valid_until_ms) = self.forwarder.shard_lease();
+        self.context.set_granted(token, valid_until_ms);
+        self.execute(actions);
     }
 
-    pub fn relayed(&mut self, token: u64, message_id: u64, outcome: Outcome) {
-        if self.relay.shard_lease().0 == token {
-            self.relay.relayed(message_id, outcome);
+    /// Records the outcome of a command that was relayed for the leader of this token.
+    pub fn record_relay_outcome(&mut self, token: u64, message_id: u64, outcome: Outcome) {
+        let (current_token, _) = self.forwarder.shard_lease();
+        if current_token == token {
+            self.forwarder.relayed(message_id, outcome);
         }
     }
 
-    /// Time passes: tells the leader what it is time for.
+    /// Answers heartbeats that have waited too long, and sends the leader a status if one is due.
     pub fn tick(&mut self) {
-        let now = self.context.now_ms();
-        let acts = self.relay.tick(now);
-        self.act(acts);
-        let to = self.leader.as_deref();
-        let Some(to) = to.and_then(|l| self.context.peer_address(l)) else {
+        let now_ms = self.context.now_ms();
+        let actions = self.forwarder.tick(now_ms);
+        self.execute(actions);
+        let leader = self.leader.as_deref();
+        let Some(to) = leader.and_then(|member| self.context.peer_address(member)) else {
             return;
         };
-        let Some(word) = self.relay.upward(now) else {
+        let Some(status) = self.forwarder.upward(now_ms) else {
             return;
         };
         let (context, handle) = (self.context.clone(), self.handle.clone());
         tokio::spawn(async move {
-            let number = word.owner_status.number;
-            let request = PeerRequest::Share(word);
-            let reply = call_peer(context.http.as_ref(), to, &request, DEADLINE).await;
-            let down = match reply {
-                Some(PeerReply::Granted(down)) => Some(down),
+            let number = status.owner_status.number;
+            let request = PeerRequest::Share(status);
+            let reply = call_peer(context.http.as_ref(), to, &request, STATUS_DEADLINE).await;
+            let update = match reply {
+                Some(PeerReply::Granted(update)) => Some(update),
                 _ => None,
             };
-            if down.is_some() {
+            if update.is_some() {
                 context.heard_peer();
             }
-            handle.send(Command::ShardUpdate { number, down }).await;
+            handle.send(Command::ShardUpdate { number, update }).await;
         });
     }
 
-    /// This node leads now: what it has heard, and whose reports still wait for an answer.
-    pub fn end(mut self) -> BufferedHeartbeats {
+    /// Ends the shard lease, because this controller leads now.
+    pub fn into_buffered_heartbeats(mut self) -> BufferedHeartbeats {
         self.context.set_granted(0, 0);
-        let mut heard = BufferedHeartbeats::default();
-        for (forwarded, ticket) in self.relay.end(self.context.now_ms()) {
-            match ticket.and_then(|t| self.tickets.remove(&t)) {
-                Some(reply) => heard.waiting.push((forwarded.heartbeat, reply)),
-                None => heard.forwarded.push(forwarded),
+        let mut buffered = BufferedHeartbeats::default();
+        for (forwarded, ticket) in self.forwarder.end(self.context.now_ms()) {
+            match ticket.and_then(|ticket| self.replies.take_heartbeat(ticket)) {
+                Some(reply) => buffered.waiting.push(WaitingHeartbeat {
+                    heartbeat: forwarded.heartbeat,
+                    reply,
+                }),
+                None => buffered.forwarded.push(forwarded),
+            }
+        }
+        buffered
+    }
+
+    fn execute(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Answer { ticket, token } => {
+                    let body = orders_body(token, None, &[]);
+                    self.replies.accept_heartbeat(ticket, body);
+                }
+                Action::Away { ticket, to } => {
+                    let owner = to.map(|index| self.context.settings.controller(index));
+                    let redirect = self.context.send_to(owner.or(self.leader.as_deref()));
+                    self.replies.answer_heartbeat(ticket, redirect);
+                }
             }
         }
-        heard
     }
 }
--- /dev/null
+++ b/src/controller/leading.rs
@@ -0,0 +1,192 @@
+//! The state of a controller while it leads: the core, and the requests that wait for it.
+
+use std::time::Duration;
+
+use crate::controller::commands::{AdminResponse, BegunCancellation};
+use crate::controller::context::ControllerContext;
+use crate::controller::effects::{EffectExecutor, ScaleOutRequest};
+use crate::controller::pending_replies::{PendingReplies, PendingReply};
+use crate::controller::relay_batch::RelayBatch;
+use crate::coordination::core::{Core, Effect, Input};
+use crate::protocol::JobId;
+use crate::protocol::peer::{Lookup, RelayedCommand};
+use crate::transport::server::Outgoing;
+
+/// The state of one term as leader.
+pub struct Leading {
+    core: Core,
+    replies: PendingReplies,
+    /// What arrived while the lease was in doubt.
+    deferred: Vec<Input>,
+}
+
+impl Leading {
+    /// Starts a term with what has been recovered.
+    pub fn new(core: Core) -> Self {
+        Self {
+            core,
+            replies: PendingReplies::default(),
+            deferred: Vec::new(),
+        }
+    }
+
+    /// The fencing token of the term.
+    pub fn token(&self) -> u64 {
+        self.core.token
+    }
+
+    /// What the core knows of a job.
+    pub fn lookup(&self, job: JobId) -> Lookup {
+        self.core.lookup(job)
+    }
+
+    /// Whether no worker has answered for so long that this controller must be cut off from them.
+    pub fn has_lost_all_workers(&self) -> bool {
+        self.core.has_lost_all_workers()
+    }
+
+    /// Registers a request and returns the ticket under which the core is to answer it.
+    pub fn register(&mut self, reply: PendingReply) -> u64 {
+        self.replies.register(reply)
+    }
+
+    /// Does not count the time of a pause as time in which workers were unresponsive.
+    pub fn record_pause(&mut self, pause: Duration) {
+        self.core.paused(pause.as_secs_f64());
+    }
+
+    /// Keeps facts until the lease is valid again. Requests are dropped: neither an answer nor a
+    /// command may leave now, and the requesters go on to the next controller.
+    pub fn defer(&mut self, inputs: Vec<Input>) {
+        for input in inputs {
+            match input {
+                Input::Heartbeat { ticket, .. }
+                | Input::CancelBegin { ticket, .. }
+                | Input::Admin { ticket, .. }
+                | Input::ShardStatus { ticket, .. } => self.replies.discard(ticket),
+                fact => self.deferred.push(fact),
+            }
+        }
+    }
+
+    /// Runs one step of the core, with the inputs deferred until now before the new ones.
+    pub fn step(&mut self, context: &ControllerContext, inputs: Vec<Input>) -> Vec<Effect> {
+        let mut all_inputs = std::mem::take(&mut self.deferred);
+        all_inputs.extend(inputs);
+        self.core.lease_extended_until = context.lease_extended_until_s();
+        let now = context.now_s();
+        self.core.valid_until = now + context.valid_for().as_secs_f64();
+        self.core.step(now, all_inputs)
+    }
+
+    /// Executes the effects of a step in their order, and then sends the relayed commands.
+    pub fn execute(&mut self, effects: Vec<Effect>, executor: &EffectExecutor<'_>) {
+        let mut relayed = RelayBatch::default();
+        for effect in effects {
+            self.execute_effect(effect, executor, &mut relayed);
+        }
+        for message in relayed.into_messages() {
+            executor.send_to_relay(message.controller, message.commands);
+        }
+    }
+
+    fn execute_effect(
+        &mut self,
+        effect: Effect,
+        executor: &EffectExecutor<'_>,
+        relayed: &mut RelayBatch,
+    ) {
+        match effect {
+            Effect::Answer { ticket, body } => {
+                self.replies.accept_heartbeat(ticket, body);
+            }
+            Effect::Refuse { ticket, why } => {
+                let response = Outgoing::error(503, why);
+                self.replies.answer_heartbeat(ticket, response);
+            }
+            Effect::SendTo { ticket, controller } => {
+                let context = executor.context();
+                let member = context.settings.controller(controller);
+                let response = context.send_to(Some(member));
+                self.replies.answer_heartbeat(ticket, response);
+            }
+            Effect::Granted { ticket, down } => self.replies.answer_shard_status(ticket, down),
+            Effect::Cancel { ticket, begin } => {
+                let token = self.core.token;
+                let begun = BegunCancellation { begin, token };
+                self.replies.answer_cancellation(ticket, begun);
+            }
+            Effect::AdminAnswered {
+                ticket,
+                status,
+                body,
+            } => {
+                let response = AdminResponse { status, body };
+                self.replies.answer_admin(ticket, response);
+            }
+            Effect::Direct {
+                worker,
+                address,
+                incarnation,
+                message_id,
+                commands,
+                via,
+            } => {
+                let message = RelayedCommand {
+                    message_id,
+                    address,
+                    incarnation,
+                    commands,
+                };
+                send_or_relay(worker, via, message, executor, relayed);
+            }
+            Effect::Inspect {
+                worker,
+                address,
+                incarnation,
+                message_id,
+                via,
+            } => {
+                let message = RelayedCommand {
+                    message_id,
+                    address,
+                    incarnation,
+                    commands: Vec::new(),
+                };
+                send_or_relay(worker, via, message, executor, relayed);
+            }
+            Effect::Write(batch) => executor.write(batch),
+            Effect::ScaleOut {
+                request,
+                machine_type,
+                zone,
+                spot,
+                count,
+            } => executor.scale_out(ScaleOutRequest {
+                request,
+                machine_type,
+                zone,
+                spot,
+                count,
+            }),
+            Effect::ScaleIn(workers) => executor.scale_in(workers),
+            Effect::List => executor.list_workers(),
+            Effect::ReadTypes => executor.read_machine_types(),
+            Effect::Deposed => executor.step_down(),
+        }
+    }
+}
+
+/// Sends a message to a worker from here, or by way of the controller that owns its shard.
+fn send_or_relay(
+    worker: String,
+    via: Option<u32>,
+    message: RelayedCommand,
+    executor: &EffectExecutor<'_>,
+    relayed: &mut RelayBatch,
+) {
+    match via {
+        Some(controller) => relayed.push(controller, message),
+        None => executor.send_to_worker(worker, message),
+    }
+}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,8 +1,15 @@
-//! One controller process: the event loop that owns its state, what it does while it
-//! does not lead, and what its tasks share.
+//! One controller process: the event loop that owns its state, its part as leader and as
+//! follower, and the effects that it carries out.
 
 pub mod commands;
 pub mod context;
 pub mod effects;
 pub mod event_loop;
 pub mod follower;
+
+mod leading;
+mod outcome_cache;
+mod pause_detector;
+mod pending_replies;
+mod relay_batch;
+mod step_stats;
--- /dev/null
+++ b/src/controller/pending_replies.rs
@@ -0,0 +1,88 @@
+//! Requests that wait for the core's answer, by the ticket under which the core knows them.
+
+use std::collections::HashMap;
+
+use tokio::sync::oneshot;
+
+use crate::controller::commands::{AdminResponse, BegunCancellation};
+use crate::protocol::peer::ShardUpdate;
+use crate::transport::server::Outgoing;
+
+/// Where the answer to a request goes.
+///
+/// A reply that is dropped tells the requester that this controller does not answer: a worker is
+/// then redirected.
+pub enum PendingReply {
+    Heartbeat(oneshot::Sender<Outgoing>),
+    ShardStatus(oneshot::Sender<Option<ShardUpdate>>),
+    Cancellation(oneshot::Sender<Option<BegunCancellation>>),
+    Admin(oneshot::Sender<Option<AdminResponse>>),
+}
+
+/// The requests under way. An answer under an unknown ticket is dropped.
+#[derive(Default)]
+pub struct PendingReplies {
+    by_ticket: HashMap<u64, PendingReply>,
+    next_ticket: u64,
+}
+
+impl PendingReplies {
+    /// Registers a request and returns its ticket.
+    pub fn register(&mut self, reply: PendingReply) -> u64 {
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
+        self.by_ticket.insert(ticket, reply);
+        ticket
+    }
+
+    /// Removes a request that will not be answered.
+    pub fn discard(&mut self, ticket: u64) {
+        self.by_ticket.remove(&ticket);
+    }
+
+    /// Removes the request of a heartbeat, so that it can be answered later.
+    pub fn take_heartbeat(&mut self, ticket: u64) -> Option<oneshot::Sender<Outgoing>> {
+        match self.by_ticket.remove(&ticket) {
+            Some(PendingReply::Heartbeat(reply)) => Some(reply),
+            _ => None,
+        }
+    }
+
+    /// Answers a heartbeat with 200 and this body.
+    pub fn accept_heartbeat(&mut self, ticket: u64, body: Vec<u8>) {
+        let response = Outgoing {
+            status: 200,
+            body,
+            retry_after_s: None,
+        };
+        self.answer_heartbeat(ticket, response);
+    }
+
+    /// Answers a heartbeat.
+    pub fn answer_heartbeat(&mut self, ticket: u64, response: Outgoing) {
+        if let Some(reply) = self.take_heartbeat(ticket) {
+            let _ = reply.send(response);
+        }
+    }
+
+    /// Answers a shard owner.
+    pub fn answer_shard_status(&mut self, ticket: u64, update: Option<ShardUpdate>) {
+        if let Some(PendingReply::ShardStatus(reply)) = self.by_ticket.remove(&ticket) {
+            let _ = reply.send(update);
+        }
+    }
+
+    /// Answers a request to begin a cancellation.
+    pub fn answer_cancellation(&mut self, ticket: u64, begun: BegunCancellation) {
+        if let Some(PendingReply::Cancellation(reply)) = self.by_ticket.remove(&ticket) {
+            let _ = reply.send(Some(begun));
+        }
+    }
+
+    /// Answers an operator.
+    pub fn answer_admin(&mut self, ticket: u64, response: AdminResponse) {
+        if let Some(PendingReply::Admin(reply)) = self.by_ticket.remove(&ticket) {
+            let _ = reply.send(Some(response));
+        }
+    }
+}
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -303,7 +303,7 @@
     // The next leader need not wait for the rest of the lease.
     context.store.end_lease(won.lease).await;
     tracing::info!(token = won.token, "no longer leader");
-    handle.send(Command::Lost { token: won.token }).await;
+    handle.send(Command::LeadershipLost).await;
 }
 
 /// A leader that the state service refuses alone gives way while it is valid, to a node that is
@@ -319,7 +319,7 @@
     context.step_down(token);
     tracing::info!(token, "cannot renew and another node can: handing over");
     // Before it hears who leads next.
-    handle.send(Command::Lost { token }).await;
+    handle.send(Command::LeadershipLost).await;
     let told = PeerRequest::TransferLeadership { token };
     call_peer(context.http.as_ref(), to, &told, TRANSFER_DEADLINE).await;
 }
