--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! `copperfield`: one controller.
+//! `copperfield`: one controller process.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,15 +7,28 @@
 use clap::{Parser, Subcommand};
 use copperfield::api::Service;
 use copperfield::protocol::{MAX_BODY, MAX_PEER_BODY};
-use copperfield::settings::{Log, LogFormat, Settings, Tuning, tuning_beside};
+use copperfield::settings::{
+    Limits, Log, LogFormat, Settings, SettingsError, Tuning, tuning_beside,
+};
 use copperfield::transport::client::Http;
 use copperfield::transport::server::{bind, serve};
 use copperfield_http::Meter;
+use thiserror::Error;
 use tracing::level_filters::LevelFilter;
-use tracing_subscriber::Layer;
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
+use tracing_subscriber::{Layer, Registry};
+
+const MIB: f64 = 1024.0 * 1024.0;
+/// The part of the process's memory that connections and requests under way may hold. The rest
+/// is for the program and for what the core keeps of the fleet.
+const CONNECTION_MEMORY_PART: f64 = 0.25;
+const MIN_CONNECTION_MEMORY: f64 = 4.0 * MIB;
+/// Where the platform sets no memory limit.
+const DEFAULT_CONNECTION_MEMORY: f64 = 64.0 * MIB;
+
+const EXIT_BAD_SETTINGS: u8 = 2;
 
 /// A cluster scheduler for small sites.
 ///
@@ -29,21 +42,21 @@
 )]
 struct Cli {
     #[command(flatten)]
-    serve: Files,
+    serve: SettingsFiles,
     #[command(subcommand)]
-    command: Option<Verb>,
+    action: Option<Action>,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Action {
     /// Only check the settings.
-    Check(Files),
+    Check(SettingsFiles),
     #[command(flatten)]
     Admin(copperfield_admin::cli::Command),
 }
 
 #[derive(clap::Args)]
-struct Files {
+struct SettingsFiles {
     /// The platform's settings (JSON).
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
@@ -52,47 +65,72 @@
     tuning: Option<PathBuf>,
 }
 
-impl Files {
-    fn load(&self) -> Result<(Settings, Tuning), String> {
-        let config = self.config.as_ref().ok_or("--config FILE is missing")?;
-        let settings = Settings::load(config).map_err(|e| e.to_string())?;
+/// Why no controller can be started with the settings.
+#[derive(Debug, Error)]
+enum LoadError {
+    #[error("--config FILE is missing")]
+    NoConfig,
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// Each file is valid, and they contradict each other.
+    #[error("{0}")]
+    Contradiction(String),
+}
+
+impl SettingsFiles {
+    fn load(&self) -> Result<(Settings, Tuning), LoadError> {
+        let config = self.config.as_ref().ok_or(LoadError::NoConfig)?;
+        let settings = Settings::load(config)?;
         let tuning = match self.tuning.clone().or_else(|| tuning_beside(config)) {
-            Some(path) => Tuning::load(&path).map_err(|e| e.to_string())?,
+            Some(path) => Tuning::load(&path)?,
             None => Tuning::default(),
         };
-        tuning.check_against(&settings)?;
+        tuning
+            .check_against(&settings)
+            .map_err(LoadError::Contradiction)?;
         Ok((settings, tuning))
     }
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let (files, only_check) = match cli.command {
-        Some(Verb::Check(files)) => (files, true),
-        Some(Verb::Admin(command)) => {
-            return match runtime() {
-                Ok(runtime) => ExitCode::from(runtime.block_on(command.run())),
-                Err(error) => fail(&error),
-            };
+    match cli.action {
+        None => serve_with(&cli.serve),
+        Some(Action::Check(files)) => check(&files),
+        Some(Action::Admin(command)) => administer(command),
+    }
+}
+
+/// Checks the settings and starts nothing.
+fn check(files: &SettingsFiles) -> ExitCode {
+    match files.load() {
+        Ok(_) => {
+            println!("settings are good");
+            ExitCode::SUCCESS
         }
-        None => (cli.serve, false),
-    };
+        Err(error) => bad_settings(&error),
+    }
+}
+
+/// Runs an operator's command.
+fn administer(command: copperfield_admin::cli::Command) -> ExitCode {
+    match runtime() {
+        Ok(runtime) => ExitCode::from(runtime.block_on(command.run())),
+        Err(error) => failure(&error),
+    }
+}
+
+/// Runs a controller until one of its parts fails.
+fn serve_with(files: &SettingsFiles) -> ExitCode {
     let (settings, tuning) = match files.load() {
         Ok(loaded) => loaded,
-        Err(problem) => {
-            eprintln!("copperfield: {}", problem.replace('\n', " "));
-            return ExitCode::from(2);
-        }
+        Err(error) => return bad_settings(&error),
     };
-    if only_check {
-        println!("settings are good");
-        return ExitCode::SUCCESS;
-    }
     init_logging(&tuning.log);
-    announce(&settings, &tuning);
+    log_start(&settings, &tuning);
     match runtime().and_then(|runtime| runtime.block_on(run(settings, tuning))) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(&error),
+        Err(error) => failure(&error),
     }
 }
 
@@ -102,13 +140,19 @@
         .build()
 }
 
-fn fail(error: &std::io::Error) -> ExitCode {
+/// Prints the error on one line.
+fn bad_settings(error: &LoadError) -> ExitCode {
+    eprintln!("copperfield: {}", error.to_string().replace('\n', " "));
+    ExitCode::from(EXIT_BAD_SETTINGS)
+}
+
+fn failure(error: &std::io::Error) -> ExitCode {
     eprintln!("copperfield: {error}");
     ExitCode::FAILURE
 }
 
-/// What runs here, for whoever reads the log later.
-fn announce(settings: &Settings, tuning: &Tuning) {
+/// Logs the version and the settings that matter to a reader of the log.
+fn log_start(settings: &Settings, tuning: &Tuning) {
     let on = |on: bool| if on { "on" } else { "off" };
     tracing::info!(
         version = env!("CARGO_PKG_VERSION"),
@@ -120,85 +164,85 @@
         cloud = %settings.external.cloud,
         defragmentation = on(tuning.defragmentation.enabled),
         operators = on(tuning.operators.is_some()),
-        "starts"
+        "controller starting"
     );
 }
 
 fn init_logging(log: &Log) {
-    let level = match std::env::var("LOG_LEVEL").as_deref() {
+    let filter = Targets::new()
+        .with_default(level_from_environment())
+        // A client that closes its connection is no error of ours, and a network partition
+        // would give one line for each of a thousand workers.
+        .with_target("warp", LevelFilter::OFF)
+        // Logs each pooled connection twice, which hides all else at debug.
+        .with_target("hyper_util", LevelFilter::INFO);
+    let lines = log_lines(log).with_filter(filter);
+    tracing_subscriber::registry().with(lines).init();
+}
+
+fn level_from_environment() -> tracing::Level {
+    match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
         Ok("error") => tracing::Level::ERROR,
         _ => tracing::Level::INFO,
-    };
-    // A client that hangs up is no error of ours. When a cut resets the connections
-    // of a thousand workers, warp's line for each buried everything else.
-    let quiet = Targets::new()
-        .with_default(level)
-        .with_target("warp", LevelFilter::OFF)
-        // Its pool tells of every connection twice, which hid all else at debug.
-        .with_target("hyper_util", LevelFilter::INFO);
+    }
+}
+
+/// Lines on standard error, in the format of the settings.
+fn log_lines(log: &Log) -> Box<dyn Layer<Registry> + Send + Sync> {
     let lines = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false);
-    let all = tracing_subscriber::registry();
     match (log.format, log.time) {
-        (LogFormat::Text, false) => all.with(lines.without_time().with_filter(quiet)).init(),
-        (LogFormat::Text, true) => all.with(lines.with_filter(quiet)).init(),
-        (LogFormat::Json, false) => all
-            .with(
-                lines
-                    .json()
-                    .flatten_event(true)
-                    .without_time()
-                    .with_filter(quiet),
-            )
-            .init(),
-        (LogFormat::Json, true) => all
-            .with(lines.json().flatten_event(true).with_filter(quiet))
-            .init(),
+        (LogFormat::Text, false) => lines.without_time().boxed(),
+        (LogFormat::Text, true) => lines.boxed(),
+        (LogFormat::Json, false) => lines.json().flatten_event(true).without_time().boxed(),
+        (LogFormat::Json, true) => lines.json().flatten_event(true).boxed(),
     }
 }
 
-/// Bytes that connections and requests under way may hold: a quarter of what the platform
-/// gives. The rest is for the program and what the core keeps of the fleet.
-fn for_clients(settings: &Settings) -> usize {
-    const MIB: f64 = 1024.0 * 1024.0;
-    let limits = &settings.cluster.limits;
-    let least = 4.0 * MIB;
+/// How many bytes connections and requests under way may hold.
+fn connection_memory_bytes(limits: &Limits) -> usize {
     if limits.memory_mb == 0.0 {
-        return (64.0 * MIB) as usize;
+        return DEFAULT_CONNECTION_MEMORY as usize;
     }
-    ((limits.memory_mb * MIB * 0.25).max(least)) as usize
+    let part = limits.memory_mb * MIB * CONNECTION_MEMORY_PART;
+    part.max(MIN_CONNECTION_MEMORY) as usize
 }
 
+/// Serves users, workers and peers until one of the servers or the event loop ends.
 async fn run(settings: Settings, tuning: Tuning) -> std::io::Result<()> {
-    let public = settings.public_addr;
-    let peers = settings.peer_bind;
-    // The rest is for what the node calls itself: the workers, above all.
-    let limit = settings.cluster.limits.max_sockets;
-    let (for_public, for_peers) = (limit * 6 / 10, limit / 20);
-    let meter = Meter::new(for_clients(&settings));
-    // Before anything else: while an earlier process of this node has its addresses, this one
-    // does nothing in the node's name. As its successor it may remove its leader key.
-    let (public, peers) = (bind(public).await?, bind(peers).await?);
+    let limits = &settings.cluster.limits;
+    // The rest of the sockets is for the controller's own calls, above all to workers.
+    let max_public_connections = limits.max_sockets * 6 / 10;
+    let max_peer_connections = limits.max_sockets / 20;
+    let meter = Meter::new(connection_memory_bytes(limits));
+    // Before anything else: while an earlier process of this member has its addresses, this one
+    // does nothing in the member's name. As its successor it may remove its leader key.
+    let public_listener = bind(settings.public_addr).await?;
+    let peer_listener = bind(settings.peer_bind).await?;
     let network = Arc::new(Http::default());
-    let (service, owner) = Service::start(settings, tuning, network, rand::random());
-    let for_users = service.clone();
-    let public = serve(
-        public,
-        for_public,
+    let (service, event_loop) = Service::start(settings, tuning, network, rand::random());
+    let public_service = service.clone();
+    let public_server = serve(
+        public_listener,
+        max_public_connections,
         MAX_BODY,
         meter.clone(),
-        move |request| for_users.clone().public(request),
+        move |request| public_service.clone().public(request),
+    );
+    let peer_server = serve(
+        peer_listener,
+        max_peer_connections,
+        MAX_PEER_BODY,
+        meter,
+        move |request| service.clone().peer(request),
     );
-    let peers = serve(peers, for_peers, MAX_PEER_BODY, meter, move |request| {
-        service.clone().peer(request)
-    });
     // Whichever of these ends, the process is of no use any more.
     tokio::select! {
-        result = public => result,
-        result = peers => result,
-        _ = owner => Err(std::io::Error::other("the owner of the state has ended")),
+        result = public_server => result,
+        result = peer_server => result,
+        _ = event_loop => Err(std::io::Error::other("the owner of the state has ended")),
     }
 }
