--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Whole controllers against the stand-ins: simulated time, seeded, every rule checked.
+//! Whole controllers in a simulated cluster with faults: simulated time, seeded, every rule checked.
 
 mod simulated_cluster;
 
@@ -11,12 +11,12 @@
 use simulated_cluster::*;
 
 #[test]
-fn a_quiet_day() {
+fn a_day_without_faults_is_clean() {
     expect_clean("quiet", 1..3, &[], 0.0);
 }
 
 #[test]
-fn controllers_are_killed_one_by_one_and_all_together() {
+fn controllers_crash_one_by_one_and_all_together() {
     let faults = [
         (8.0, Fault::Kill(0)),
         (16.0, Fault::Kill(1)),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_leader_is_killed_in_an_outage_while_a_worker_is_cut() {
+fn leaders_crash_in_a_state_outage_while_a_worker_is_partitioned() {
     let faults = [
         (12.0, Fault::Outage(9.0)),
         (14.0, Fault::CutWorker(2, 12.0)),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_node_is_refused_by_the_state_service_alone_or_cut_from_all() {
+fn a_controller_is_cut_off_from_the_state_service_alone_or_from_all() {
     let faults = [
         (8.0, Fault::Cut(0, "state", 12.0)),
         (25.0, Fault::Cut(1, "*", 10.0)),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn workers_hang_die_and_are_cut_while_messages_are_held() {
+fn workers_hang_die_and_are_partitioned_while_messages_are_delayed() {
     let faults = [
         (6.0, Fault::Hang(1, 4.0)),
         (12.0, Fault::Hang(3, 20.0)),
@@ -63,10 +63,10 @@
     expect_clean("machines", 40..44, &faults, 0.005);
 }
 
-/// Longer and shorter than their lease, with one leader after another ending meanwhile, and
-/// over an outage in which the leader acts on the word of all.
+/// Longer and shorter than their lease, while one leader after another crashes, and over an
+/// outage in which the peers extend the leader's lease.
 #[test]
-fn workers_fall_silent_and_come_back_while_leaders_change() {
+fn workers_are_unresponsive_and_return_while_leaders_change() {
     let faults = [
         (10.0, Fault::CutWorker(2, 14.0)),
         (10.0, Fault::CutWorker(4, 5.0)),
@@ -87,10 +87,10 @@
     expect_clean("silence", 80..90, &faults, 0.004);
 }
 
-/// Shorter than a leader's word lasts, about as long, longer, and much longer;
-/// whichever node leads is among them.
+/// Shorter than a leader's lease, about as long, longer, and much longer; whichever controller
+/// leads is among them.
 #[test]
-fn nodes_stand_still_while_their_clocks_run() {
+fn controllers_pause_while_their_clocks_run() {
     let faults = [
         (6.0, Fault::Freeze(0, 0.6)),
         (8.0, Fault::Freeze(1, 1.4)),
@@ -104,9 +104,9 @@
     expect_clean("freezes", 50..56, &faults, 0.002);
 }
 
-/// All at once, over an outage, and beside crashes and cuts.
+/// All at once, over an outage, and beside crashes and partitions.
 #[test]
-fn nodes_stand_still_over_an_outage_and_beside_other_troubles() {
+fn controllers_pause_in_a_state_outage_and_beside_other_faults() {
     let faults = [
         (10.0, Fault::Outage(8.0)),
         (11.0, Fault::Freeze(0, 3.0)),
@@ -125,9 +125,9 @@
     expect_clean("freezes and more", 60..66, &faults, 0.002);
 }
 
-/// While leaders change, stand still and recover, and while nothing can be stored.
+/// While leaders change, pause and recover, and while nothing can be stored.
 #[test]
-fn users_ask_without_pause_while_leaders_come_and_go() {
+fn users_poll_without_pause_while_leaders_change() {
     let faults = [
         (5.0, Fault::Storm(60.0)),
         (10.0, Fault::Kill(0)),
@@ -140,10 +140,10 @@
     expect_clean("a storm", 70..73, &faults, 0.002);
 }
 
-/// A process may be there again within a fraction of a second: its own key still stands, what it
-/// sent is still under way, and it remembers nothing of its word.
+/// A process may have restarted within a fraction of a second: its own leader key still stands,
+/// its messages are still under way, and it remembers none of its votes.
 #[test]
-fn processes_are_there_again_at_once() {
+fn processes_restart_at_once() {
     let faults = [
         (6.0, Fault::RestartAll(0.05)),
         (10.0, Fault::RestartLeaders(8, 0.1)),
@@ -166,9 +166,9 @@
     expect_clean("restarts at once", 200..206, &faults, 0.003);
 }
 
-/// One process ends over and over, then each of them, so fast that none gets far.
+/// One process crashes over and over, then each of them, so fast that none gets far.
 #[test]
-fn processes_end_over_and_over() {
+fn processes_crash_in_loops() {
     let mut faults = Vec::new();
     for n in 0..25 {
         let at = f64::from(n) * 0.4;
@@ -178,10 +178,10 @@
     expect_clean("crash loops", 210..213, &faults, 0.002);
 }
 
-/// After all have ended at once: each message to the state service of the start that follows,
+/// After all have crashed at once: each message to the state service of the start that follows,
 /// and of the leader's first seconds, in turn is the last of its process.
 #[test]
-fn a_process_ends_at_each_message_of_a_start() {
+fn a_process_crashes_at_each_message_of_a_start() {
     for step in 0..40 {
         for late in [false, true] {
             let faults = [
@@ -194,9 +194,9 @@
     }
 }
 
-/// The same while the state service is down for a while, at first or in the middle.
+/// The same while the state service is down for a while, at the start or later.
 #[test]
-fn a_process_ends_at_each_message_of_a_start_around_an_outage() {
+fn a_process_crashes_at_each_message_of_a_start_around_a_state_outage() {
     for step in 0..40 {
         let faults = [
             (9.0, Fault::RestartAll(QUICKLY)),
@@ -207,80 +207,92 @@
     }
 }
 
-/// Seconds until the next leader is elected after the leader, or everybody, has ended and is
-/// there again so many seconds later.
-fn until_elected(seed: u64, all: bool, again_s: f64) -> f64 {
+/// Seconds until the next leader is elected after the leader, or every controller, has crashed
+/// and restarts so many seconds later.
+fn time_until_elected_s(seed: u64, all: bool, restart_after_s: f64) -> f64 {
     simulate(async move {
-        let world = site(seed, 0.0);
-        tokio::spawn(workers(world.clone()));
+        let cluster = site(seed, 0.0);
+        tokio::spawn(workers(cluster.clone()));
         sleep(Duration::from_secs(6)).await;
-        let first = leader(&world).expect("a leader");
-        let token = |w: &SharedCluster| {
-            w.lock()
+        let first = leader(&cluster).expect("a leader");
+        let leader_key = |cluster: &SharedCluster| {
+            cluster
+                .lock()
                 .unwrap()
                 .state
                 .handle(0.0, "GET", "/kv/cf/leader", b"")
         };
-        let before = token(&world).1["stamp"].clone();
-        let ended = Instant::now();
+        let token_before = leader_key(&cluster).1["stamp"].clone();
+        let crashed = Instant::now();
         for i in (0..NODES).filter(|&i| all || i == first) {
-            restart(&world, i, again_s);
+            restart(&cluster, i, restart_after_s);
         }
         loop {
-            let (status, found) = token(&world);
-            if status == 200 && found["stamp"] != before {
-                return ended.elapsed().as_secs_f64();
+            let (status, key) = leader_key(&cluster);
+            if status == 200 && key["stamp"] != token_before {
+                return crashed.elapsed().as_secs_f64();
             }
             sleep(Duration::from_millis(5)).await;
         }
     })
 }
 
-/// The key of a leader that ended once ran out before anybody could lead, and where all had
-/// ended a TTL more was waited out: 1.5 s here and 2.5 s by default, besides the restart.
+/// Guards against an election that waits for the lease of a crashed leader, and for one TTL more
+/// if all have crashed: 1.5 s here and 2.5 s by default, besides the restart.
 #[test]
-fn a_leader_that_is_there_again_at_once_costs_no_ttl() {
+fn a_leader_that_restarts_at_once_is_replaced_before_its_lease_ends() {
     for seed in 240..246 {
         for all in [false, true] {
-            let after_s = until_elected(seed, all, QUICKLY);
-            assert!(after_s < 0.6, "seed {seed}, all {all}: {after_s} s");
+            let elected_after_s = time_until_elected_s(seed, all, QUICKLY);
+            assert!(
+                elected_after_s < 0.6,
+                "seed {seed}, all {all}: {elected_after_s} s"
+            );
         }
     }
 }
 
-/// Where all had ended each waited a TTL from its start for words that it might have given, to
-/// leaders that were no more.
+/// Guards against controllers that wait one TTL from their start because of votes that they may
+/// have given, where all have restarted and no leader is left to have them.
 #[test]
-fn after_all_have_ended_no_word_is_waited_for() {
+fn after_all_restarted_no_lease_extension_vote_delays_the_election() {
     for seed in 250..256 {
-        let after_s = until_elected(seed, true, 2.5);
-        assert!(after_s < 2.5 + 0.5, "seed {seed}: {after_s} s");
+        let elected_after_s = time_until_elected_s(seed, true, 2.5);
+        assert!(
+            elected_after_s < 2.5 + 0.5,
+            "seed {seed}: {elected_after_s} s"
+        );
     }
 }
 
-/// A node that restarted a moment ago may have given its word just before, so it must take
-/// silent workers as answered since. It once led, and started the leases of 396 workers
-/// anew, though another node remembered all of it.
+/// A controller that restarted a moment ago may have voted to extend a lease just before, so it
+/// must assume that unresponsive workers were answered since. Guards against its election while
+/// another controller remembers all of it: the leases of 396 workers then started anew.
 #[test]
-fn who_restarted_lately_lets_others_lead_while_workers_are_silent() {
+fn a_restarted_controller_lets_others_lead_while_workers_are_unresponsive() {
     for seed in 100..106 {
         simulate(async move {
-            let world = site(seed, 0.0);
-            tokio::spawn(workers(world.clone()));
+            let cluster = site(seed, 0.0);
+            tokio::spawn(workers(cluster.clone()));
             sleep(Duration::from_secs(8)).await;
-            tokio::spawn(inflict(world.clone(), 0.0, Fault::CutWorker(2, 30.0), seed));
-            // On the record by now.
+            tokio::spawn(inflict(
+                cluster.clone(),
+                0.0,
+                Fault::CutWorker(2, 30.0),
+                seed,
+            ));
+            // By now it is in the fencing record.
             sleep(Duration::from_secs_f64(3.4)).await;
-            let first = leader(&world).expect("a first");
-            kill(&world, first);
-            boot(&world, first, seed + 50);
+            let first = leader(&cluster).expect("a first");
+            kill(&cluster, first);
+            boot(&cluster, first, seed + 50);
             sleep(Duration::from_secs_f64(2.6)).await;
-            let second = leader(&world).expect("a second");
+            let second = leader(&cluster).expect("a second");
             assert_ne!(second, first, "seed {seed}");
-            kill(&world, second);
-            boot(&world, second, seed + 60);
+            kill(&cluster, second);
+            boot(&cluster, second, seed + 60);
             sleep(Duration::from_secs_f64(3.0)).await;
-            let third = leader(&world).expect("a third");
+            let third = leader(&cluster).expect("a third");
             assert_eq!(
                 third,
                 3 - first - second,
@@ -291,14 +303,14 @@
 }
 
 #[test]
-fn a_day_repeats_exactly() {
+fn a_day_repeats_exactly_under_one_seed() {
     let faults = [(10.0, Fault::Kill(0)), (20.0, Fault::Outage(5.0))];
     let day = || play(7, &faults, 0.01, 60.0, ROUNDS);
     assert_eq!(day(), day());
 }
 
-/// Starts a task and says which rules that broke.
-fn put(site: &mut Site, worker: &str, task: &str, attempt: u64) -> Vec<String> {
+/// Starts a task and returns the rules that this violates.
+fn start_task(site: &mut Site, worker: &str, task: &str, attempt: u64) -> Vec<String> {
     let order = json!([{"verb": "start", "shard": task, "try": attempt}]);
     site.execute(worker, &order);
     site.live(worker, 0.0);
@@ -308,9 +320,9 @@
         .collect()
 }
 
-/// The checker itself: each planted violation is seen.
+/// The checker itself reports each planted violation.
 #[test]
-fn the_checker_sees_planted_violations() {
+fn the_checker_reports_planted_violations() {
     let mut site = Site::default();
     let a = site.add_worker("small", "a", true, 0.0);
     let b = site.add_worker("small", "b", false, 0.0);
@@ -344,18 +356,36 @@
     );
     plant(5, json!({"preemptibles": true, "pull_gb": 0.0}));
     site.jobs.get_mut("wk-000005").unwrap().cancelled_at = Some(-100.0);
-    assert_eq!(put(&mut site, &a, "wk-000001/0", 1), Vec::<String>::new());
-    assert_eq!(put(&mut site, &b, "wk-000001/0", 2), ["ran_twice:"]);
     assert_eq!(
-        put(&mut site, &a, "wk-000002/0", 3),
+        start_task(&mut site, &a, "wk-000001/0", 1),
+        Vec::<String>::new()
+    );
+    assert_eq!(start_task(&mut site, &b, "wk-000001/0", 2), ["ran_twice:"]);
+    assert_eq!(
+        start_task(&mut site, &a, "wk-000002/0", 3),
         ["wrong_place:", "wrong_place:"]
     );
-    assert_eq!(put(&mut site, &b, "wk-000003/0", 4), Vec::<String>::new());
-    assert_eq!(put(&mut site, &c, "wk-000003/1", 5), ["wrong_place:"]);
-    assert_eq!(put(&mut site, &c, "wk-000004/0", 6), Vec::<String>::new());
+    assert_eq!(
+        start_task(&mut site, &b, "wk-000003/0", 4),
+        Vec::<String>::new()
+    );
+    assert_eq!(
+        start_task(&mut site, &c, "wk-000003/1", 5),
+        ["wrong_place:"]
+    );
+    assert_eq!(
+        start_task(&mut site, &c, "wk-000004/0", 6),
+        Vec::<String>::new()
+    );
     let d = site.add_worker("small", "a", false, 0.0);
-    assert_eq!(put(&mut site, &d, "wk-000004/1", 7), ["wrong_place:"]);
-    assert_eq!(put(&mut site, &d, "wk-000005/0", 8), ["ran_cancelled:"]);
+    assert_eq!(
+        start_task(&mut site, &d, "wk-000004/1", 7),
+        ["wrong_place:"]
+    );
+    assert_eq!(
+        start_task(&mut site, &d, "wk-000005/0", 8),
+        ["ran_cancelled:"]
+    );
     site.user_told("wk-000001", 1.0, 200, Some("done"));
     site.user_told("wk-000001", 1.0, 200, Some("running"));
     site.user_told("wk-000002", 1.0, 404, None);
@@ -386,15 +416,15 @@
     assert_eq!(site.broken.len(), 4);
 }
 
-/// The rules that a site has broken since this was last asked.
-fn broken(site: &mut Site) -> Vec<String> {
+/// The rules that a site has violated since the last call.
+fn violated_rules(site: &mut Site) -> Vec<String> {
     let rule = |b: String| b.split(' ').nth(1).unwrap().to_string();
     site.broken.drain(..).map(rule).collect()
 }
 
-/// The same of what came with the troubles that meet.
+/// The same for the rules that compound failures may violate.
 #[test]
-fn the_checker_sees_limits_waits_and_late_starts() {
+fn the_checker_reports_limits_waits_and_late_starts() {
     let mut site = Site::default();
     let a = site.add_worker("small", "a", false, 0.0);
     site.limits.insert("team".into(), 3.0);
@@ -407,8 +437,11 @@
     (1..=4).for_each(&mut plant);
     // Of a cancelled job, and of one beside it: 2 and 2 CPUs of 3.
     site.jobs.get_mut("wk-000001").unwrap().cancelled_at = Some(0.0);
-    assert_eq!(put(&mut site, &a, "wk-000001/0", 1), Vec::<String>::new());
-    assert_eq!(put(&mut site, &a, "wk-000002/0", 2), ["quota:"]);
+    assert_eq!(
+        start_task(&mut site, &a, "wk-000001/0", 1),
+        Vec::<String>::new()
+    );
+    assert_eq!(start_task(&mut site, &a, "wk-000002/0", 2), ["quota:"]);
 
     // Without the two the worker has room, and the team may use it.
     site.execute(
@@ -421,7 +454,7 @@
     site.jobs.get_mut("wk-000003").unwrap().body["asked"] = json!(true);
     site.now = 89.0;
     site.check_waiting(90.0);
-    assert_eq!(broken(&mut site), Vec::<String>::new());
+    assert_eq!(violated_rules(&mut site), Vec::<String>::new());
     site.now = 91.0;
     site.check_waiting(90.0);
     assert_eq!(
@@ -431,24 +464,24 @@
     site.broken.clear();
     site.limits.insert("team".into(), 1.0);
     site.check_waiting(90.0);
-    assert_eq!(broken(&mut site), Vec::<String>::new());
+    assert_eq!(violated_rules(&mut site), Vec::<String>::new());
 
     let start = json!({"verb": "start", "shard": "wk-000001/0", "try": 9});
     let halt = json!({"verb": "halt", "shard": "wk-000001/0", "try": 9, "drain_s": 0.0});
     site.check_orders(&json!([start, halt]), 2.0);
-    assert_eq!(broken(&mut site), Vec::<String>::new());
+    assert_eq!(violated_rules(&mut site), Vec::<String>::new());
     site.check_orders(&json!([start]), 2.0);
-    assert_eq!(broken(&mut site), ["started_cancelled:"]);
+    assert_eq!(violated_rules(&mut site), ["started_cancelled:"]);
 
     // A repeated submission that is refused, and one that is answered with something older; what
     // was asked before the newer answer arrived is only counted.
     site.user_told("wk-000004", 91.0, 422, None);
     site.jobs.get_mut("wk-000004").unwrap().body["asked"] = json!(true);
     site.user_told("wk-000004", 91.0, 200, Some("withdrawn"));
-    assert_eq!(broken(&mut site), ["forgotten:"]);
+    assert_eq!(violated_rules(&mut site), ["forgotten:"]);
     site.now = 92.0;
     site.user_told("wk-000004", 90.9, 201, Some("pending"));
-    assert_eq!((broken(&mut site).len(), site.overtaken), (0, 1));
+    assert_eq!((violated_rules(&mut site).len(), site.overtaken), (0, 1));
     site.user_told("wk-000004", 91.1, 201, Some("pending"));
-    assert_eq!(broken(&mut site), ["went_back:"]);
+    assert_eq!(violated_rules(&mut site), ["went_back:"]);
 }
