--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
 //! copperfield: a cluster scheduler for small sites.
 //!
-//! Layers, from the outside in: `transport` (HTTP, budgets), `protocol` (wire
-//! types), `coordination` (election, and the core that decides what runs
-//! where), `storage` (what the state service keeps). `node` is the one
-//! owner of a process's state and joins them; `effects` are what it has done
-//! outside, `context` is what may be asked without it, `service` answers users,
-//! workers and peers.
+//! Layers, from the outside in: [`transport`] (HTTP and rate limits), [`protocol`] (wire types),
+//! [`api`] (requests of users, workers, peers and operators), [`coordination`] (the election, and
+//! the core that decides what runs where) and [`storage`] (what the state service keeps).
+//! [`controller`] joins them: its event loop is the only owner of a process's state, its effects
+//! are what the core asks for outside the process, and its context is what tasks may read without
+//! asking the event loop.
 
 pub mod api;
 pub mod controller;
--- a/src/main.rs
+++ b/src/main.rs
@@ -69,7 +69,7 @@
 #[derive(Debug, Error)]
 enum LoadError {
     #[error("--config FILE is missing")]
-    NoConfig,
+    ConfigMissing,
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// Each file is valid, and they contradict each other.
@@ -79,7 +79,7 @@
 
 impl SettingsFiles {
     fn load(&self) -> Result<(Settings, Tuning), LoadError> {
-        let config = self.config.as_ref().ok_or(LoadError::NoConfig)?;
+        let config = self.config.as_ref().ok_or(LoadError::ConfigMissing)?;
         let settings = Settings::load(config)?;
         let tuning = match self.tuning.clone().or_else(|| tuning_beside(config)) {
             Some(path) => Tuning::load(&path)?,
