--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 use copperfield::api::Service;
 use copperfield::protocol::{MAX_BODY, MAX_PEER_BODY};
 use copperfield::settings::{
-    Limits, Log, LogFormat, Settings, SettingsError, Tuning, tuning_beside,
+    LeaderTtlTooLong, Limits, Log, LogFormat, Settings, SettingsError, Tuning, tuning_beside,
 };
 use copperfield::transport::client::Http;
 use copperfield::transport::server::{bind, serve};
@@ -73,8 +73,8 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// Each file is valid, and they contradict each other.
-    #[error("{0}")]
-    Contradiction(String),
+    #[error(transparent)]
+    LeaderTtl(#[from] LeaderTtlTooLong),
 }
 
 impl SettingsFiles {
@@ -85,9 +85,7 @@
             Some(path) => Tuning::load(&path)?,
             None => Tuning::default(),
         };
-        tuning
-            .check_against(&settings)
-            .map_err(LoadError::Contradiction)?;
+        tuning.check_against(&settings)?;
         Ok((settings, tuning))
     }
 }
