--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -99,7 +99,7 @@
     pub(super) deferred_heartbeats: BTreeMap<String, (u64, Heartbeat)>,
     /// Where other nodes speak with some of the workers.
     pub(super) sharding: Option<Sharding>,
-    /// Until when the votes of all other controllers extend this leader's lease.
+    /// Until when the votes of all peers extend this leader's lease.
     pub lease_extended_until: Time,
     /// Until when this leader is valid, for the shard leases that it grants.
     pub valid_until: Time,
