--- a/src/coordination/state/migrations.rs
+++ b/src/coordination/state/migrations.rs
@@ -10,14 +10,14 @@
 #[derive(Debug, Clone)]
 pub(in crate::coordination) struct TaskMigration {
     pub(in crate::coordination) id: JobId,
-    /// The copy that is to go.
+    /// The instance that is to stop.
     pub(in crate::coordination) key: InstanceId,
     pub(in crate::coordination) from: String,
     pub(in crate::coordination) to: String,
     /// The job that waits for the worker; `None`: it drains.
     pub(in crate::coordination) wanted_by: Option<JobId>,
     pub(in crate::coordination) began: Time,
-    /// The old copy is gone, so its place is free.
+    /// The old instance is gone, so its resources are free.
     pub(in crate::coordination) left: bool,
     /// By when it should be gone, and then by when it should be there.
     pub(in crate::coordination) until: Time,
--- a/src/coordination/state/provisioning.rs
+++ b/src/coordination/state/provisioning.rs
@@ -13,7 +13,7 @@
     pub(in crate::coordination) count: u32,
 }
 
-/// A worker that was rented and has not reported yet.
+/// A worker that the cloud has started and that has sent no heartbeat yet.
 #[derive(Debug, Clone)]
 pub(in crate::coordination) struct BootingWorker {
     pub(in crate::coordination) kind: u32,
