--- a/src/controller/effects/cloud.rs
+++ b/src/controller/effects/cloud.rs
@@ -49,7 +49,7 @@
 async fn call_scale_out(context: &ControllerContext, body: Vec<u8>) -> ScaleOutOutcome {
     for _ in 0..SCALE_OUT_ATTEMPTS {
         context.cloud_budget.spend(CALL_COST, Urgency::Normal).await;
-        if !context.is_valid() {
+        if !context.leadership.is_valid() {
             return ScaleOutOutcome::Unknown;
         }
         match call(context, Method::POST, "/rentals", body.clone()).await {
@@ -90,7 +90,7 @@
     let body = cloud::return_body(&workers).to_string().into_bytes();
     context.cloud_budget.spend(CALL_COST, Urgency::High).await;
     // The wait may have outlived the lease, and the next leader may use these workers.
-    let ok = context.is_valid()
+    let ok = context.leadership.is_valid()
         && matches!(
             call(context, Method::POST, "/rentals/return", body).await,
             Ok(response) if response.status == STATUS_OK
--- a/src/controller/effects/state.rs
+++ b/src/controller/effects/state.rs
@@ -18,7 +18,7 @@
     batch: Vec<Write>,
 ) -> Option<Input> {
     let lease_context = context.clone();
-    let still_leads = move || lease_context.leads(token);
+    let still_leads = move || lease_context.leadership.leads(token);
     let store = context.store.clone();
     let written = writer::write(store, token, batch, context.unix_ms(), still_leads).await;
     match written {
@@ -30,7 +30,7 @@
         }
         Err(WriteError::Deposed) => {
             tracing::warn!(token, "leader key changed: stepping down");
-            context.step_down(token);
+            context.leadership.step_down(token);
             None
         }
     }
--- a/src/controller/effects/workers.rs
+++ b/src/controller/effects/workers.rs
@@ -53,7 +53,7 @@
 
 async fn exchange(context: &ControllerContext, token: u64, message: &RelayedCommand) -> Outcome {
     let to: SocketAddr = match message.address.parse() {
-        Ok(to) if context.may_order(token) => to,
+        Ok(to) if context.may_command(token) => to,
         _ => return Outcome::Unsent,
     };
     let body = orders_body(token, Some(message.incarnation), &message.commands);
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -58,7 +58,7 @@
         // Distinguishes the shard of this process from that of an earlier one.
         let process = 1 + context.random(PROCESS_NUMBERS);
         let report_s = settings.cluster.workers.report_s;
-        context.set_granted(0, 0);
+        context.set_shard_permission(0, 0);
         Some(Self {
             context: context.clone(),
             handle: handle.clone(),
@@ -94,7 +94,8 @@
         };
         let actions = self.forwarder.handle_update(self.context.now_ms(), &update);
         let lease = self.forwarder.lease();
-        self.context.set_granted(lease.token, lease.valid_until);
+        self.context
+            .set_shard_permission(lease.token, lease.valid_until);
         self.execute(actions);
     }
 
@@ -127,7 +128,7 @@
                 _ => None,
             };
             if update.is_some() {
-                context.heard_peer();
+                context.record_peer_contact();
             }
             handle.send(Command::ShardUpdate { number, update }).await;
         });
@@ -135,7 +136,7 @@
 
     /// Ends the shard lease, because this controller leads now.
     pub fn into_buffered_heartbeats(mut self) -> BufferedHeartbeats {
-        self.context.set_granted(0, 0);
+        self.context.set_shard_permission(0, 0);
         let mut buffered = BufferedHeartbeats::default();
         for drained in self.forwarder.into_buffered(self.context.now_ms()) {
             match drained
@@ -161,7 +162,9 @@
                 }
                 Action::Redirect { ticket, to } => {
                     let owner = to.map(|index| self.context.settings.controller(index));
-                    let redirect = self.context.send_to(owner.or(self.leader.as_deref()));
+                    let redirect = self
+                        .context
+                        .redirect_worker(owner.or(self.leader.as_deref()));
                     self.replies.answer_heartbeat(ticket, redirect);
                 }
             }
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -73,9 +73,9 @@
     pub fn step(&mut self, context: &ControllerContext, inputs: Vec<Input>) -> Vec<Effect> {
         let mut all_inputs = std::mem::take(&mut self.deferred);
         all_inputs.extend(inputs);
-        self.core.lease_extended_until = context.lease_extended_until_s();
+        self.core.lease_extended_until = context.leadership.lease_extended_until_s();
         let now = context.now_s();
-        self.core.valid_until = now + context.valid_for().as_secs_f64();
+        self.core.valid_until = now + context.leadership.valid_for().as_secs_f64();
         self.core.step(now, all_inputs)
     }
 
@@ -107,7 +107,7 @@
             Effect::SendTo { ticket, controller } => {
                 let context = executor.context();
                 let member = context.settings.controller(controller);
-                let response = context.send_to(Some(member));
+                let response = context.redirect_worker(Some(member));
                 self.replies.answer_heartbeat(ticket, response);
             }
             Effect::Granted { ticket, down } => self.replies.answer_shard_status(ticket, down),
--- a/src/storage/recovery.rs
+++ b/src/storage/recovery.rs
@@ -35,7 +35,7 @@
 /// Reads what earlier leaders have stored, then follows new jobs until the token is superseded.
 pub async fn recover(context: Arc<ControllerContext>, handle: Handle, token: u64) {
     let (snapshot, revision) = loop {
-        if !context.leads(token) {
+        if !context.leadership.leads(token) {
             return;
         }
         match read_snapshot(&context).await {
@@ -60,7 +60,7 @@
 /// last, so that little has to be watched again.
 async fn read_snapshot(context: &ControllerContext) -> Result<(Snapshot, u64), StoreError> {
     let fencing = read_fencing(context).await?;
-    let vote_binding_until = context.vote_binding_until_s();
+    let vote_binding_until = context.leadership.vote_binding_until_s();
     let registry = read_registry(context).await?;
     let progress = read_progress(context).await?;
     let drains = read_drains(context).await?;
@@ -223,7 +223,7 @@
 
 impl JobFollower {
     async fn run(mut self) {
-        while self.context.leads(self.token) {
+        while self.context.leadership.leads(self.token) {
             let watched = self
                 .context
                 .store
