--- a/src/controller/effects/mod.rs
+++ b/src/controller/effects/mod.rs
@@ -47,7 +47,7 @@
     pub fn step_down(&self) {
         let token = self.token;
         tracing::warn!(token, "worker reports a newer fencing token: stepping down");
-        self.context.step_down(token);
+        self.context.leadership.step_down(token);
     }
 
     /// Sends commands to a worker, or inspects it if there are none.
--- a/src/controller/effects/peers.rs
+++ b/src/controller/effects/peers.rs
@@ -53,7 +53,7 @@
     to: SocketAddr,
     body: Vec<u8>,
 ) -> RelayResult {
-    if !context.may_order(token) {
+    if !context.may_command(token) {
         return RelayResult::Rejected;
     }
     let response = context
@@ -79,7 +79,7 @@
     token: u64,
     messages: Vec<RelayedCommand>,
 ) -> bool {
-    if !context.may_order(token) {
+    if !context.may_command(token) {
         return false;
     }
     for message in messages {
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -121,7 +121,7 @@
     fn handle_pause(&mut self, pause: Duration) {
         tracing::warn!(?pause, "process pause detected");
         if pause > STALE_REQUESTS_AFTER {
-            self.context.note_pause();
+            self.context.record_process_pause();
         }
         if let Role::Leading(leading) = &mut self.role {
             leading.record_pause(pause);
@@ -192,7 +192,7 @@
     /// The state as leader, if this controller leads and its lease is valid.
     fn valid_leading(&mut self) -> Option<&mut Leading> {
         match &mut self.role {
-            Role::Leading(leading) if self.context.is_valid() => Some(leading),
+            Role::Leading(leading) if self.context.leadership.is_valid() => Some(leading),
             _ => None,
         }
     }
@@ -273,7 +273,7 @@
         inputs: &mut Vec<Input>,
     ) {
         match &mut self.role {
-            Role::Leading(leading) if self.context.is_valid() => {
+            Role::Leading(leading) if self.context.leadership.is_valid() => {
                 let ticket = leading.register(PendingReply::Heartbeat(reply));
                 inputs.push(Input::Heartbeat { ticket, heartbeat });
             }
@@ -285,7 +285,7 @@
             }
             Role::Follower(Some(follower)) => follower.handle_heartbeat(heartbeat, reply),
             _ => {
-                let _ = reply.send(self.context.send_to(self.leader.as_deref()));
+                let _ = reply.send(self.context.redirect_worker(self.leader.as_deref()));
             }
         }
     }
@@ -372,7 +372,7 @@
             return Lookup::Terminal(outcome);
         }
         match &self.role {
-            Role::Leading(leading) if self.context.is_valid() => leading.lookup(job),
+            Role::Leading(leading) if self.context.leadership.is_valid() => leading.lookup(job),
             _ => Lookup::NotLeading,
         }
     }
@@ -384,7 +384,7 @@
         let Role::Leading(leading) = &mut self.role else {
             return;
         };
-        if !self.context.is_valid() {
+        if !self.context.leadership.is_valid() {
             leading.defer(inputs);
             return;
         }
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -58,7 +58,7 @@
         // Distinguishes the shard of this process from that of an earlier one.
         let process = 1 + context.random(PROCESS_NUMBERS);
         let report_s = settings.cluster.workers.report_s;
-        context.set_granted(0, 0);
+        context.set_shard_permission(0, 0);
         Some(Self {
             context: context.clone(),
             handle: handle.clone(),
@@ -94,7 +94,7 @@
         };
         let actions = self.forwarder.granted(self.context.now_ms(), &update);
         let (token, valid_until_ms) = self.forwarder.shard_lease();
-        self.context.set_granted(token, valid_until_ms);
+        self.context.set_shard_permission(token, valid_until_ms);
         self.execute(actions);
     }
 
@@ -128,7 +128,7 @@
                 _ => None,
             };
             if update.is_some() {
-                context.heard_peer();
+                context.record_peer_contact();
             }
             handle.send(Command::ShardUpdate { number, update }).await;
         });
@@ -136,7 +136,7 @@
 
     /// Ends the shard lease, because this controller leads now.
     pub fn into_buffered_heartbeats(mut self) -> BufferedHeartbeats {
-        self.context.set_granted(0, 0);
+        self.context.set_shard_permission(0, 0);
         let mut buffered = BufferedHeartbeats::default();
         for (forwarded, ticket) in self.forwarder.end(self.context.now_ms()) {
             match ticket.and_then(|ticket| self.replies.take_heartbeat(ticket)) {
@@ -159,7 +159,9 @@
                 }
                 Action::Away { ticket, to } => {
                     let owner = to.map(|index| self.context.settings.controller(index));
-                    let redirect = self.context.send_to(owner.or(self.leader.as_deref()));
+                    let redirect = self
+                        .context
+                        .redirect_worker(owner.or(self.leader.as_deref()));
                     self.replies.answer_heartbeat(ticket, redirect);
                 }
             }
