--- a/src/main.rs
+++ b/src/main.rs
@@ -10,7 +10,7 @@
 use copperfield::settings::{
     LeaderTtlTooLong, Limits, Log, LogFormat, Settings, SettingsError, Tuning, tuning_beside,
 };
-use copperfield::transport::client::Http;
+use copperfield::transport::client::HttpClient;
 use copperfield::transport::server::{bind, serve};
 use copperfield_http::Meter;
 use thiserror::Error;
@@ -220,7 +220,7 @@
     // does nothing in the member's name. As its successor it may remove its leader key.
     let public_listener = bind(settings.public_addr).await?;
     let peer_listener = bind(settings.peer_bind).await?;
-    let network = Arc::new(Http::default());
+    let network = Arc::new(HttpClient::default());
     let (service, event_loop) = Service::start(settings, tuning, network, rand::random());
     let public_service = service.clone();
     let public_server = serve(
