--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -373,7 +373,7 @@
         }
         match &self.role {
             Role::Leading(leading) if self.context.leadership.is_valid() => leading.lookup(job),
-            _ => Lookup::NotLeading,
+            _ => Lookup::NotLeader,
         }
     }
 
--- a/src/coordination/election/records.rs
+++ b/src/coordination/election/records.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 use crate::controller::context::ControllerContext;
-use crate::protocol::state::{Change, Item, Transaction};
+use crate::protocol::state::{Change, Condition, Item, Transaction};
 use crate::storage::store::{StoreError, put};
 use crate::storage::{FOUNDED, LEADER};
 use crate::transport::rate_limiter::Urgency;
@@ -62,7 +62,7 @@
 /// Writes the leader key, if there is none, and a term marker that nobody has confirmed.
 pub(super) fn election(member: &str, nonce: u64, lease: u64) -> Transaction {
     Transaction {
-        conditions: vec![(LEADER.to_string(), MISSING)],
+        conditions: vec![Condition::at_version(LEADER, MISSING)],
         changes: vec![
             Change::Put {
                 key: LEADER.to_string(),
@@ -77,7 +77,7 @@
 /// Confirms the term of this token, while its leader key stands.
 pub(super) fn confirmation(token: u64) -> Transaction {
     Transaction {
-        conditions: vec![(LEADER.to_string(), token)],
+        conditions: vec![Condition::at_version(LEADER, token)],
         changes: vec![put(FOUNDED.to_string(), json!({ CONFIRMED_TOKEN: token }))],
     }
 }
@@ -85,7 +85,7 @@
 /// Removes the leader key of this token.
 pub(super) fn removal(token: u64) -> Transaction {
     Transaction {
-        conditions: vec![(LEADER.to_string(), token)],
+        conditions: vec![Condition::at_version(LEADER, token)],
         changes: vec![Change::Delete {
             key: LEADER.to_string(),
         }],
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use crate::protocol::JobId;
-use crate::protocol::job::{JobOutcome, JobSpec, Phase};
+use crate::protocol::job::{InvalidField, JobOutcome, JobSpec, Phase};
 
 /// The leader key. Its version is the leader's fencing token.
 pub const LEADER: &str = "cf/leader";
@@ -80,8 +80,8 @@
     #[error("done: not a hexadecimal bitmap")]
     InvalidBitmap,
     /// The description of a job does not parse.
-    #[error("{0}")]
-    InvalidJob(String),
+    #[error(transparent)]
+    InvalidJob(#[from] InvalidField),
 }
 
 /// The record of a live job.
@@ -101,7 +101,7 @@
 /// Reads what [`job_record`] wrote.
 pub fn parse_job_record(value: &Value) -> Result<JobRecord, RecordError> {
     let spec = value.get("spec").ok_or(RecordError::MissingField("spec"))?;
-    let spec = JobSpec::from_json(spec).map_err(RecordError::InvalidJob)?;
+    let spec = JobSpec::from_json(spec)?;
     let accepted_ms = value.get("at").and_then(Value::as_u64).unwrap_or(0);
     Ok(JobRecord { spec, accepted_ms })
 }
--- a/src/storage/store/lease.rs
+++ b/src/storage/store/lease.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use super::{ATTEMPT, Store, StoreError, parse};
-use crate::protocol::state::ShardLease;
+use crate::protocol::state::NewLease;
 use crate::transport::rate_limiter::Urgency;
 
 impl Store {
@@ -18,7 +18,7 @@
             .direct(Method::POST, "/leases", body.into_bytes(), ATTEMPT)
             .await?;
         match answer.status {
-            200 => parse::<ShardLease>(&answer).map(|created| created.lease),
+            200 => parse::<NewLease>(&answer).map(|created| created.lease),
             other => Err(StoreError::Refused(other)),
         }
     }
--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -13,7 +13,7 @@
 
 use crate::protocol::JobId;
 use crate::protocol::job::{JobOutcome, Phase};
-use crate::protocol::state::{Change, Item, Transaction};
+use crate::protocol::state::{Change, Condition, Item, Transaction};
 use crate::transport::rate_limiter::Urgency;
 
 use super::records::{
@@ -113,12 +113,16 @@
     fn add_to(&self, transaction: &mut Transaction, unix_ms: u64) {
         if let Self::Finish { job, done, .. } = self {
             let key = terminal_key(*job);
-            transaction.conditions.push((key.clone(), 0));
+            transaction
+                .conditions
+                .push(Condition::at_version(key.clone(), 0));
             let record = terminal_record(completed(*done));
             transaction.changes.push(put(key, record));
         }
         let key = self.guarded_key();
-        transaction.conditions.push((key.clone(), self.version()));
+        transaction
+            .conditions
+            .push(Condition::at_version(key.clone(), self.version()));
         transaction.changes.push(match self.value(unix_ms) {
             Some(value) => put(key, value),
             None => Change::Delete { key },
@@ -268,7 +272,7 @@
     unix_ms: u64,
 ) -> Result<u64, StoreError> {
     let mut transaction = Transaction {
-        conditions: vec![(LEADER.to_string(), token)],
+        conditions: vec![Condition::at_version(LEADER, token)],
         changes: Vec::new(),
     };
     for write in batch {
