--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -192,9 +192,7 @@
     /// another matter: they run on.
     pub fn paused(&mut self, pause_s: f64) {
         self.listening_since += pause_s;
-        if let Some(sharding) = &mut self.sharding {
-            sharding.coordinator.paused((pause_s * 1000.0) as u64);
-        }
+        self.shift_shard_statuses(pause_s);
         for (_, worker) in self.workers.iter_mut() {
             let of_worker = [
                 &mut worker.last_heartbeat_at,
@@ -223,7 +221,7 @@
                 running: job.running,
             },
             // An end that is being stored may already be known elsewhere.
-            _ => Lookup::AskState,
+            _ => Lookup::NotInMemory,
         }
     }
 
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -20,7 +20,7 @@
             return;
         };
         let answered = !matches!(outcome, Outcome::Unsent | Outcome::Unknown);
-        self.note_answer(m, answered);
+        self.record_command_result(m, answered);
         let worker = &mut self.workers[m];
         worker.commands_unanswered = !answered && (message.orders || worker.commands_unanswered);
         match outcome {
@@ -39,7 +39,7 @@
 
     fn record_missed_answer(&mut self, m: u32, message: &InFlightMessage) {
         self.workers[m].record_unanswered(self.now, message.relayed);
-        self.workers[m].next_probe = self.ask_again_at(m);
+        self.workers[m].next_probe = self.next_probe_at(m);
     }
 
     /// The worker has not executed the message.
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -4,7 +4,7 @@
 
 use copperfield_sharding::Route;
 
-use crate::protocol::worker::{Heartbeat, TaskPhase, TaskStatus, orders_body};
+use crate::protocol::worker::{Heartbeat, TaskPhase, TaskStatus, commands_body};
 
 use crate::coordination::messages::{Effect, HeartbeatRefusal, HeartbeatSource};
 use crate::coordination::model::*;
@@ -94,7 +94,7 @@
         }
         self.effects.push(Effect::Answer {
             ticket,
-            body: orders_body(self.token, None, &commands),
+            body: commands_body(self.token, None, &commands),
         });
     }
 
