--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -73,7 +73,7 @@
     pub fn set_leader(&mut self, leader: Option<String>) {
         if leader.is_some() && leader != self.last_leader {
             self.last_leader = leader.clone();
-            self.forwarder.new_leader();
+            self.forwarder.handle_new_leader();
         }
         self.leader = leader;
     }
@@ -82,27 +82,27 @@
     pub fn handle_heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<Outgoing>) {
         let ticket = self.replies.register(PendingReply::Heartbeat(reply));
         let now_ms = self.context.now_ms();
-        let actions = self.forwarder.heartbeat(now_ms, ticket, heartbeat);
+        let actions = self.forwarder.handle_heartbeat(now_ms, ticket, heartbeat);
         self.execute(actions);
     }
 
     /// Processes the leader's answer to the status of this number, if one came.
     pub fn handle_shard_update(&mut self, number: u64, update: Option<ShardUpdate>) {
         let Some(update) = update else {
-            self.forwarder.lost(number);
+            self.forwarder.handle_lost_status(number);
             return;
         };
-        let actions = self.forwarder.granted(self.context.now_ms(), &update);
-        let (token, valid_until_ms) = self.forwarder.shard_lease();
-        self.context.set_shard_permission(token, valid_until_ms);
+        let actions = self.forwarder.handle_update(self.context.now_ms(), &update);
+        let lease = self.forwarder.lease();
+        self.context
+            .set_shard_permission(lease.token, lease.valid_until);
         self.execute(actions);
     }
 
     /// Records the outcome of a command that was relayed for the leader of this token.
     pub fn record_relay_outcome(&mut self, token: u64, message_id: u64, outcome: Outcome) {
-        let (current_token, _) = self.forwarder.shard_lease();
-        if current_token == token {
-            self.forwarder.relayed(message_id, outcome);
+        if self.forwarder.lease().token == token {
+            self.forwarder.record_outcome(message_id, outcome);
         }
     }
 
@@ -115,7 +115,7 @@
         let Some(to) = leader.and_then(|member| self.context.peer_address(member)) else {
             return;
         };
-        let Some(status) = self.forwarder.upward(now_ms) else {
+        let Some(status) = self.forwarder.next_status(now_ms) else {
             return;
         };
         let (context, handle) = (self.context.clone(), self.handle.clone());
@@ -138,13 +138,16 @@
     pub fn into_buffered_heartbeats(mut self) -> BufferedHeartbeats {
         self.context.set_shard_permission(0, 0);
         let mut buffered = BufferedHeartbeats::default();
-        for (forwarded, ticket) in self.forwarder.end(self.context.now_ms()) {
-            match ticket.and_then(|ticket| self.replies.take_heartbeat(ticket)) {
+        for drained in self.forwarder.into_buffered(self.context.now_ms()) {
+            let reply = drained
+                .ticket
+                .and_then(|ticket| self.replies.take_heartbeat(ticket));
+            match reply {
                 Some(reply) => buffered.waiting.push(WaitingHeartbeat {
-                    heartbeat: forwarded.heartbeat,
+                    heartbeat: drained.forwarded.heartbeat,
                     reply,
                 }),
-                None => buffered.forwarded.push(forwarded),
+                None => buffered.forwarded.push(drained.forwarded),
             }
         }
         buffered
@@ -157,7 +160,7 @@
                     let body = orders_body(token, None, &[]);
                     self.replies.accept_heartbeat(ticket, body);
                 }
-                Action::Away { ticket, to } => {
+                Action::Redirect { ticket, to } => {
                     let owner = to.map(|index| self.context.settings.controller(index));
                     let redirect = self
                         .context
