--- a/src/controller/effects/cloud.rs
+++ b/src/controller/effects/cloud.rs
@@ -7,7 +7,7 @@
 
 use crate::controller::context::ControllerContext;
 use crate::coordination::core::{Input, ScaleOutOutcome};
-use crate::protocol::cloud::{self, ListedWorker, MachineType};
+use crate::protocol::cloud::{self, ListedWorker, MachineType, WorkerPage};
 use crate::transport::client::{Answer, CallError};
 use crate::transport::rate_limiter::Urgency;
 
@@ -40,7 +40,7 @@
         spot,
         count,
     } = request;
-    let body = cloud::rental_body(&request, &machine_type, &zone, spot, count).to_string();
+    let body = cloud::scale_out_body(&request, &machine_type, &zone, spot, count).to_string();
     let outcome = call_scale_out(context, body.into_bytes()).await;
     Input::ScaledOut { request, outcome }
 }
@@ -87,7 +87,7 @@
 
 /// Returns workers to the cloud.
 pub(super) async fn scale_in(context: &ControllerContext, workers: Vec<String>) -> Input {
-    let body = cloud::return_body(&workers).to_string().into_bytes();
+    let body = cloud::scale_in_body(&workers).to_string().into_bytes();
     context.cloud_budget.spend(CALL_COST, Urgency::High).await;
     // The wait may have outlived the lease, and the next leader may use these workers.
     let ok = context.leadership.is_valid()
@@ -108,7 +108,7 @@
             None => "/rentals?page=500".to_string(),
         };
         let body = get(context, &path).await?;
-        let (workers, more) = cloud::parse_list(&body)
+        let WorkerPage { workers, more } = cloud::parse_list(&body)
             .inspect_err(|error| tracing::warn!(%error, "worker list does not parse"))
             .ok()?;
         let is_empty = workers.is_empty();
--- a/src/controller/effects/workers.rs
+++ b/src/controller/effects/workers.rs
@@ -8,7 +8,7 @@
 use crate::controller::context::ControllerContext;
 use crate::coordination::core::{Input, Outcome};
 use crate::protocol::peer::RelayedCommand;
-use crate::protocol::worker::{Heartbeat, orders_body};
+use crate::protocol::worker::{Heartbeat, commands_body};
 use crate::transport::client::{Answer, CallError};
 
 const COMMAND_DEADLINE: Duration = Duration::from_millis(1500);
@@ -56,7 +56,7 @@
         Ok(to) if context.may_command(token) => to,
         _ => return Outcome::Unsent,
     };
-    let body = orders_body(token, Some(message.incarnation), &message.commands);
+    let body = commands_body(token, Some(message.incarnation), &message.commands);
     let response = context
         .http
         .call(Method::POST, to, "/orders", body, COMMAND_DEADLINE);
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -12,7 +12,7 @@
 use crate::controller::context::ControllerContext;
 use crate::controller::pending_replies::{PendingReplies, PendingReply};
 use crate::protocol::peer::{ForwardedHeartbeat, Outcome, PeerReply, PeerRequest, ShardUpdate};
-use crate::protocol::worker::{Heartbeat, orders_body};
+use crate::protocol::worker::{Heartbeat, commands_body};
 use crate::settings::Switch;
 use crate::storage::store::call_peer;
 use crate::transport::server::Outgoing;
@@ -157,7 +157,7 @@
         for action in actions {
             match action {
                 Action::Answer { ticket, token } => {
-                    let body = orders_body(token, None, &[]);
+                    let body = commands_body(token, None, &[]);
                     self.replies.accept_heartbeat(ticket, body);
                 }
                 Action::Redirect { ticket, to } => {
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use clap::{Parser, Subcommand};
-use copperfield::api::Service;
+use copperfield::api::Api;
 use copperfield::protocol::{MAX_BODY, MAX_PEER_BODY};
 use copperfield::settings::{
     LeaderTtlTooLong, Limits, Log, LogFormat, Settings, SettingsError, Tuning, tuning_beside,
@@ -221,26 +221,26 @@
     let public_listener = bind(settings.public_addr).await?;
     let peer_listener = bind(settings.peer_bind).await?;
     let network = Arc::new(HttpClient::default());
-    let (service, event_loop) = Service::start(settings, tuning, network, rand::random());
-    let public_service = service.clone();
+    let (api, tasks) = Api::start(settings, tuning, network, rand::random());
+    let public_api = api.clone();
     let public_server = serve(
         public_listener,
         max_public_connections,
         MAX_BODY,
         meter.clone(),
-        move |request| public_service.clone().public(request),
+        move |request| public_api.clone().public(request),
     );
     let peer_server = serve(
         peer_listener,
         max_peer_connections,
         MAX_PEER_BODY,
         meter,
-        move |request| service.clone().peer(request),
+        move |request| api.clone().peer(request),
     );
     // Whichever of these ends, the process is of no use any more.
     tokio::select! {
         result = public_server => result,
         result = peer_server => result,
-        _ = event_loop => Err(std::io::Error::other("the owner of the state has ended")),
+        _ = tasks.event_loop_ended() => Err(std::io::Error::other("the owner of the state has ended")),
     }
 }
