--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -139,10 +139,10 @@
         self.context.set_shard_permission(0, 0);
         let mut buffered = BufferedHeartbeats::default();
         for drained in self.forwarder.into_buffered(self.context.now_ms()) {
-            match drained
+            let reply = drained
                 .ticket
-                .and_then(|ticket| self.replies.take_heartbeat(ticket))
-            {
+                .and_then(|ticket| self.replies.take_heartbeat(ticket));
+            match reply {
                 Some(reply) => buffered.waiting.push(WaitingHeartbeat {
                     heartbeat: drained.forwarded.heartbeat,
                     reply,
