--- a/src/api/admin.rs
+++ b/src/api/admin.rs
@@ -8,7 +8,7 @@
 use super::lookup::LocalLookups;
 use super::peers::call_leader;
 use super::{Api, CANCEL_DEADLINE};
-use crate::controller::commands::Command;
+use crate::controller::commands::{AdminResponse, Command};
 use crate::protocol::peer::{AdminRequest, PeerReply, PeerRequest};
 use crate::transport::server::{Incoming, Outgoing};
 
@@ -45,12 +45,9 @@
     pub(super) async fn admin_as_leader(&self, request: AdminRequest) -> Option<Outgoing> {
         let response = self
             .handle
-            .ask(|reply| Command::Admin {
-                order: request,
-                reply,
-            })
+            .ask(|reply| Command::Admin { request, reply })
             .await;
-        let (status, body) = response.flatten()?;
+        let AdminResponse { status, body } = response.flatten()?;
         Some(answer(status, body))
     }
 }
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -8,7 +8,7 @@
 use super::lookup::{LocalLookup, remember};
 use super::peers::call_leader;
 use super::{Api, CANCEL_DEADLINE, outcome_answer};
-use crate::controller::commands::Command;
+use crate::controller::commands::{BegunCancellation, Command};
 use crate::coordination::core::CancelBegin;
 use crate::protocol::JobId;
 use crate::protocol::job::{JobOutcome, Phase};
@@ -78,17 +78,15 @@
         loop {
             let begin = self
                 .handle
-                .ask(|reply| Command::BeginCancel { job: id, reply })
+                .ask(|reply| Command::BeginCancellation { job: id, reply })
                 .await;
-            match begin.flatten() {
-                None => return Err(Lookup::NotLeader),
-                Some((CancelBegin::Terminal(outcome), _)) => {
-                    return Err(Lookup::Terminal(outcome));
-                }
-                Some((CancelBegin::Busy, _)) => sleep(BEGIN_RETRY).await,
-                Some((CancelBegin::Go { done }, token)) => {
-                    return Ok(CancellationInProgress { done, token });
-                }
+            let Some(BegunCancellation { begin, token }) = begin.flatten() else {
+                return Err(Lookup::NotLeader);
+            };
+            match begin {
+                CancelBegin::Terminal(outcome) => return Err(Lookup::Terminal(outcome)),
+                CancelBegin::Busy => sleep(BEGIN_RETRY).await,
+                CancelBegin::Go { done } => return Ok(CancellationInProgress { done, token }),
             }
         }
     }
@@ -104,7 +102,10 @@
                     _ => None,
                 };
                 self.handle
-                    .send(Command::SettleCancel { job: id, end })
+                    .send(Command::FinishCancellation {
+                        job: id,
+                        outcome: end,
+                    })
                     .await;
                 return found;
             }
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -9,7 +9,7 @@
 use super::error::ApiError;
 use super::peers::{PEER_DEADLINE, call_leader};
 use super::{Api, outcome_answer, phase_answer};
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{Command, Handle, JobLookups};
 use crate::controller::context::ControllerContext;
 use crate::protocol::JobId;
 use crate::protocol::job::JobOutcome;
@@ -88,8 +88,14 @@
 
     /// What this controller may say of these jobs now.
     pub(super) async fn look_up_all_locally(&self, jobs: Vec<JobId>) -> LocalLookups {
-        let asked = self.handle.ask(|reply| Command::Ask { jobs, reply }).await;
-        let (mut results, leader) = asked.unwrap_or_default();
+        let asked = self
+            .handle
+            .ask(|reply| Command::LookUpJobs { jobs, reply })
+            .await;
+        let JobLookups {
+            lookups: mut results,
+            leader,
+        } = asked.unwrap_or_default();
         // Its lease may have expired since the event loop answered.
         if !self.context.leadership.is_valid() {
             for result in &mut results {
@@ -105,7 +111,9 @@
 /// Keeps the outcome of a job that has ended, so that it is not asked for again.
 pub(super) async fn remember(handle: &Handle, job: JobId, found: Lookup) {
     if let Lookup::Terminal(end) = found {
-        handle.send(Command::Ended { job, end }).await;
+        handle
+            .send(Command::JobFinished { job, outcome: end })
+            .await;
     }
 }
 
--- a/src/api/machine_types.rs
+++ b/src/api/machine_types.rs
@@ -7,7 +7,7 @@
 
 use crate::controller::commands::{Command, Handle};
 use crate::controller::context::ControllerContext;
-use crate::controller::effects::read_types;
+use crate::controller::effects::read_machine_types;
 
 /// Before the second attempt; each later one waits twice as long, up to [`MAX_RETRY`].
 const FIRST_RETRY: Duration = Duration::from_millis(250);
@@ -20,9 +20,9 @@
     let mut pause = FIRST_RETRY;
     let began = Instant::now();
     loop {
-        if let Some(types) = read_types(&context).await {
+        if let Some(types) = read_machine_types(&context).await {
             tracing::debug!(after = ?began.elapsed(), "machine types known");
-            handle.send(Command::Types(types)).await;
+            handle.send(Command::SetMachineTypes(types)).await;
             pause = REFRESH;
         } else if pause < MAX_RETRY {
             pause *= 2;
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -48,7 +48,7 @@
             }
             PeerRequest::CancelJob(id) => self.cancel_for_peer(id).await,
             PeerRequest::State { method, path, body } => {
-                self.context.store.pass_on(&method, &path, body).await
+                self.context.store.relay(&method, &path, body).await
             }
             PeerRequest::VoteToExtendLease { token } => {
                 let reply = election::answer_vote_request(&self.context, token).await;
@@ -82,10 +82,9 @@
     }
 
     async fn shard_status(&self, status: ShardStatus) -> PeerReply {
-        let update = self.handle.ask(|reply| Command::ShardStatus {
-            word: status,
-            reply,
-        });
+        let update = self
+            .handle
+            .ask(|reply| Command::ShardStatus { status, reply });
         match update.await.flatten() {
             Some(update) => PeerReply::Granted(update),
             None => PeerReply::Unable,
@@ -143,7 +142,7 @@
 pub(super) async fn monitor(context: Arc<ControllerContext>) {
     loop {
         sleep(MONITOR_INTERVAL).await;
-        if context.store.unserved_s() < PING_AFTER_UNSERVED_S {
+        if context.store.unanswered_s() < PING_AFTER_UNSERVED_S {
             continue;
         }
         for peer in &context.settings.others {
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -55,7 +55,10 @@
     }
 
     async fn machine_types(&self) -> Result<Arc<Vec<MachineType>>, ApiError> {
-        let types = self.handle.ask(|reply| Command::AskTypes { reply }).await;
+        let types = self
+            .handle
+            .ask(|reply| Command::GetMachineTypes { reply })
+            .await;
         types.flatten().ok_or(ApiError::MachineTypesUnknown)
     }
 
--- a/src/controller/context/mod.rs
+++ b/src/controller/context/mod.rs
@@ -142,7 +142,7 @@
 
     /// Votes on the lease of the leader of this token, by what is known of the state service.
     pub fn vote_to_extend_lease(&self, token: u64) -> Vote {
-        let store = if self.store.is_refused() {
+        let store = if self.store.is_unreachable() {
             StoreReachability::Unreachable
         } else {
             StoreReachability::Reachable
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -50,7 +50,7 @@
             // The next leader need not wait for the rest of the lease.
             context.store.end_lease(lease).await;
             tracing::info!(token, "no longer leader");
-            handle.send(Command::Lost { token }).await;
+            handle.send(Command::LeadershipLost).await;
         }
     }
 }
--- a/src/coordination/election/transfer.rs
+++ b/src/coordination/election/transfer.rs
@@ -24,7 +24,7 @@
     context.leadership.step_down(token);
     tracing::info!(token, %successor, "leadership transfer started");
     // Before the event loop is told who leads next.
-    handle.send(Command::Lost { token }).await;
+    handle.send(Command::LeadershipLost).await;
     let request = PeerRequest::TransferLeadership { token };
     call_peer(
         context.http.as_ref(),
--- a/src/coordination/instances.rs
+++ b/src/coordination/instances.rs
@@ -1,261 +1,205 @@
-//! Copies of tasks: where each may be, and every condition of a start.
+//! Task instances: where each may be, and the resources that they take.
 
-use crate::protocol::job::Resources;
 use crate::protocol::worker::{Command, Verb};
 
 use super::model::*;
 use super::state::Core;
 
 impl Core {
-    pub(super) fn add_instance(&mut self, m: u32, key: InstanceId, instance: TaskInstance) {
+    /// Adds an instance to a worker, and to what its job and team use there.
+    pub(super) fn add_instance(&mut self, m: u32, id: InstanceId, instance: TaskInstance) {
         let possible = instance.possible();
         let running = instance.is_running();
         let worker = &mut self.workers[m];
-        let zone = worker.zone as usize;
-        let before = worker.instances.insert(key, instance);
-        debug_assert!(before.is_none(), "a copy is added once");
+        let before = worker.instances.insert(id, instance);
+        debug_assert!(before.is_none(), "an instance is added once");
         worker.idle_since = None;
-        let job = &mut self.jobs[key.job];
+        let job = &mut self.jobs[id.job];
         job.entries += 1;
         job.running += u32::from(running);
         if possible {
-            let needs = job.spec.needs;
-            self.workers[m].used.add(&needs);
-            let job = &mut self.jobs[key.job];
-            self.teams[job.team as usize].used.add(&needs);
-            if job.by_zone.len() <= zone {
-                job.by_zone.resize(zone + 1, 0);
-            }
-            job.by_zone[zone] += 1;
-            let t = &mut job.tasks[key.task as usize];
-            t.instances += 1;
-            if t.instances == 1 && !t.done {
-                job.active += 1;
-            }
+            self.occupy(m, id);
         }
     }
 
-    /// A copy stops counting: it is surely not on the worker, now or later.
-    pub(super) fn release(&mut self, m: u32, key: InstanceId) {
-        let zone = self.workers[m].zone as usize;
-        let job = &mut self.jobs[key.job];
+    /// An instance counts from now on: it may be on the worker.
+    fn occupy(&mut self, m: u32, id: InstanceId) {
+        let job = &mut self.jobs[id.job];
         let needs = job.spec.needs;
+        let worker = &mut self.workers[m];
+        let zone = worker.zone as usize;
+        worker.used.add(&needs);
+        self.teams[job.team as usize].used.add(&needs);
+        if job.by_zone.len() <= zone {
+            job.by_zone.resize(zone + 1, 0);
+        }
+        job.by_zone[zone] += 1;
+        let task = &mut job.tasks[id.task as usize];
+        task.instances += 1;
+        if task.instances == 1 && !task.done {
+            job.active += 1;
+        }
+    }
+
+    /// An instance stops counting: it is surely not on the worker, now or later.
+    pub(super) fn release(&mut self, m: u32, id: InstanceId) {
+        let job = &mut self.jobs[id.job];
+        let needs = job.spec.needs;
+        let worker = &mut self.workers[m];
+        let zone = worker.zone as usize;
+        worker.used.sub(&needs);
         self.teams[job.team as usize].used.sub(&needs);
         job.by_zone[zone] -= 1;
-        let t = &mut job.tasks[key.task as usize];
-        t.instances -= 1;
-        if t.instances == 0 {
-            if !t.done {
-                job.active -= 1;
-                if key.task < job.fresh {
-                    job.retry.push_back(key.task);
-                }
-            }
-            if job.is_gang() && job.active == 0 {
-                job.attempt = None;
+        let task = &mut job.tasks[id.task as usize];
+        task.instances -= 1;
+        if task.instances > 0 {
+            return;
+        }
+        if !task.done {
+            job.active -= 1;
+            if id.task < job.fresh {
+                job.retry.push_back(id.task);
             }
         }
-        self.workers[m].used.sub(&needs);
+        if job.is_gang() && job.active == 0 {
+            job.attempt = None;
+        }
     }
 
-    pub(super) fn remove_instance(&mut self, m: u32, key: InstanceId) {
-        let Some(instance) = self.workers[m].instances.remove(&key) else {
+    /// Takes an instance off its worker's list, and with the last one of a job that has ended the
+    /// job itself.
+    pub(super) fn remove_instance(&mut self, m: u32, id: InstanceId) {
+        let Some(instance) = self.workers[m].instances.remove(&id) else {
             return;
         };
-        let job = &mut self.jobs[key.job];
+        let job = &mut self.jobs[id.job];
         job.entries -= 1;
         job.running -= u32::from(instance.is_running());
         if instance.possible() {
-            self.release(m, key);
+            self.release(m, id);
         }
-        self.free_if_over(key.job);
+        self.free_if_ended(id.job);
     }
 
     /// Everything on a worker is gone.
     pub(super) fn clear_worker(&mut self, m: u32) {
-        let keys: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
-        for key in keys {
-            self.remove_instance(m, key);
-            self.gang_lost_task(key);
+        let ids: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
+        for id in ids {
+            self.remove_instance(m, id);
+            self.gang_lost_task(id);
         }
         let worker = &mut self.workers[m];
         worker.outbox.clear();
         worker.orphaned_tasks = OrphanedTasks::None;
     }
 
-    /// Orders a copy to stop. Repeated with each report until it has an effect.
-    pub(super) fn stop_instance(&mut self, m: u32, key: InstanceId, grace_s: f64) {
-        let Some(instance) = self.workers[m].instances.get_mut(&key) else {
+    /// Orders an instance to stop. Repeated after each heartbeat until it has an effect.
+    pub(super) fn stop_instance(&mut self, m: u32, id: InstanceId, grace_s: f64) {
+        let Some(instance) = self.workers[m].instances.get_mut(&id) else {
             return;
         };
         if instance.exit().is_some() {
             return;
         }
         if instance.sent == Sent::Queued {
-            self.unqueue(m, key);
+            self.unqueue(m, id);
             return;
         }
-        if instance.stop.is_some_and(|s| s.grace_s <= grace_s) {
+        if instance.stop.is_some_and(|stop| stop.grace_s <= grace_s) {
             return;
         }
         instance.stop = Some(Stop {
             grace_s,
-            ordered_at: instance.stop.map_or(self.now, |s| s.ordered_at),
+            ordered_at: instance.stop.map_or(self.now, |stop| stop.ordered_at),
             sent_at: None,
         });
-        let command = self.command(key, Verb::Stop { grace_s });
+        let command = self.command(id, Verb::Stop { grace_s });
         self.workers[m].outbox.push(command);
     }
 
-    pub(super) fn command(&self, key: InstanceId, verb: Verb) -> Command {
+    /// The message that orders this of an instance.
+    pub(super) fn command(&self, id: InstanceId, verb: Verb) -> Command {
         Command {
             verb,
-            job: self.jobs[key.job].spec.id,
-            task: key.task,
-            attempt: key.attempt,
+            job: self.jobs[id.job].spec.id,
+            task: id.task,
+            attempt: id.attempt,
         }
     }
 
+    /// A number that no attempt of any leader has.
     pub(super) fn new_attempt(&mut self) -> u64 {
         self.next_attempt += 1;
         self.next_attempt
     }
 
-    /// Every condition a start must meet, against all copies that may exist.
-    pub(super) fn may_start(&self, ix: u32, task: u32, m: u32) -> bool {
-        let job = &self.jobs[ix];
-        let worker = &self.workers[m];
-        let t = &job.tasks[task as usize];
-        job.state == JobState::Live
-            && !t.done
-            && t.instances == 0
-            && f64::from(t.not_before) <= self.now
-            && !job.blocked
-            && self.worker_usable(m)
-            && self.worker_allowed(ix, m)
-            && job.spec.needs.fits_in(&self.free_room(m))
-            && self.zone_allows(ix, worker.zone)
-            && self.team_allows(job.team, &job.spec.needs)
-    }
-
-    pub(super) fn zone_allows(&self, ix: u32, zone: u32) -> bool {
-        self.zone_allows_more(ix, zone, 0)
-    }
-
-    /// The same with room for `planned` more tasks already spoken for.
-    pub(super) fn zone_allows_more(&self, ix: u32, zone: u32, planned: u32) -> bool {
-        let job = &self.jobs[ix];
-        let here = job.by_zone.get(zone as usize).copied().unwrap_or(0);
-        here + planned < job.zone_cap()
-            && (!job.spec.one_zone || job.by_zone.iter().sum::<u32>() == here)
-    }
-
-    pub(super) fn team_allows(&self, team: u32, needs: &Resources) -> bool {
-        let t = &self.teams[team as usize];
-        let mut all = t.used;
-        all.add(&t.unknown);
-        all.add(needs);
-        (t.limit.cpus == 0 || all.cpus <= t.limit.cpus)
-            && (t.limit.gpus == 0 || all.gpus <= t.limit.gpus)
-    }
-
-    /// Whether the job's own conditions allow the worker at all.
-    pub(super) fn worker_allowed(&self, ix: u32, m: u32) -> bool {
-        let worker = &self.workers[m];
-        self.worker_suits(ix, m) && worker.failed.get(&ix).is_none_or(|&t| t <= self.now)
-    }
-
-    /// The same whatever has happened on it: where any leader may start the job.
-    pub(super) fn worker_suits(&self, ix: u32, m: u32) -> bool {
-        let job = &self.jobs[ix];
-        let worker = &self.workers[m];
-        (!worker.spot || job.spec.spot)
-            && job.zone.is_none_or(|z| z == worker.zone)
-            && job
-                .types
-                .as_ref()
-                .is_none_or(|list| list.contains(&worker.kind))
-    }
-
-    /// How long a worker may be silent before nothing new is sent to it.
-    pub(super) fn unresponsive_after_s(&self) -> f64 {
-        self.config.cluster.workers.report_s * 1.25 + 1.0
-    }
-
-    pub(super) fn is_unresponsive(&self, m: u32) -> bool {
-        self.workers[m]
-            .last_heartbeat_at
-            .is_none_or(|t| self.now - t > self.unresponsive_after_s())
-    }
-
-    /// Whether a worker that may answer orders has not reported for half a lease: nothing renews
-    /// its lease, and what is started there dies with it.
-    fn is_mute(&self, m: u32) -> bool {
-        // While nobody was valid reports were refused, and nobody was mute for that.
-        let listening = self.listening_since.max(self.valid_since);
-        let since = self.workers[m].reported_at;
-        let since = since.map_or(listening, |at| at.max(listening));
-        let patience = self.config.cluster.workers.lease_s / 2.0;
-        self.now - since > patience.max(self.unresponsive_after_s())
-    }
-
-    pub(super) fn worker_usable(&self, m: u32) -> bool {
-        let worker = &self.workers[m];
-        worker.reconciled
-            && !worker.returning
-            && !worker.draining
-            && worker.orphaned_tasks == OrphanedTasks::None
-            && !worker.commands_unanswered
-            && worker.registered
-            && !worker.fenced
-            && worker.reclaim_at.is_none()
-            && worker.quarantined_until <= self.now
-            && worker.incarnation > worker.expired_incarnation
-            && !self.is_unresponsive(m)
-            && !self.is_mute(m)
-    }
-
-    pub(super) fn free_room(&self, m: u32) -> Resources {
-        let worker = &self.workers[m];
-        let Some(kind) = self.types.get(worker.kind) else {
-            return Resources::default();
-        };
-        let mut room = kind.whole;
-        room.sub(&worker.used);
-        room
-    }
-
     /// Decides a start. The caller has checked `may_start`.
     pub(super) fn start(&mut self, ix: u32, task: u32, m: u32, attempt: u64) {
-        let key = InstanceId {
+        let id = InstanceId {
             job: ix,
             task,
             attempt,
         };
-        let instance = TaskInstance {
-            sent: Sent::Queued,
-            phase: None,
-            unacknowledged: false,
-            stop: None,
-            running_since: None,
-        };
+        let job = &self.jobs[ix];
         tracing::debug!(
-            job = %self.jobs[ix].spec.id,
+            job = %job.spec.id,
             task,
             worker = self.workers[m].name,
-            waited_s = self.now - self.jobs[ix].seen_at,
-            class = self.jobs[ix].spec.class,
-            fetches = !self.workers[m].images.contains(&self.jobs[ix].image),
+            waited_s = self.now - job.seen_at,
+            class = job.spec.class,
+            fetches = !self.workers[m].images.contains(&job.image),
             "start"
         );
-        self.note_start();
-        self.add_instance(m, key, instance);
-        let command = self.command(key, Verb::Start);
+        if let Some(failover) = &mut self.failover {
+            failover.record_start(self.now - self.elected_at);
+        }
+        self.add_instance(m, id, TaskInstance::queued());
+        let command = self.command(id, Verb::Start);
         let worker = &mut self.workers[m];
         worker.outbox.push(command);
-        if let Some(claim) = worker.reservations.iter_mut().find(|c| c.job == ix) {
-            claim.count = claim.count.saturating_sub(1);
+        if let Some(reservation) = worker.reservations.iter_mut().find(|r| r.job == ix) {
+            reservation.count = reservation.count.saturating_sub(1);
+        }
+        worker.reservations.retain(|r| r.count > 0);
+    }
+
+    /// The instances of a job on a worker.
+    pub(super) fn instances_of(&self, m: u32, job: u32) -> Vec<InstanceId> {
+        let from = InstanceId {
+            job,
+            task: 0,
+            attempt: 0,
+        };
+        let to = InstanceId {
+            job,
+            task: u32::MAX,
+            attempt: u64::MAX,
+        };
+        self.workers[m]
+            .instances
+            .range(from..=to)
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// A start that has not left for its worker does not leave any more.
+    pub(super) fn unqueue(&mut self, m: u32, id: InstanceId) {
+        let start = self.command(id, Verb::Start);
+        self.workers[m].outbox.retain(|command| *command != start);
+        self.remove_instance(m, id);
+    }
+
+    /// No start that has not left for a worker leaves for it any more.
+    pub(super) fn unqueue_all(&mut self, m: u32) {
+        let queued: Vec<InstanceId> = self.workers[m]
+            .instances
+            .iter()
+            .filter(|(_, instance)| instance.sent == Sent::Queued)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in queued {
+            self.unqueue(m, id);
+            self.gang_lost_task(id);
         }
-        worker.reservations.retain(|c| c.count > 0);
     }
 }
--- a/src/coordination/sharding/balance.rs
+++ b/src/coordination/sharding/balance.rs
@@ -77,7 +77,7 @@
             return;
         }
         let late = self.late_workers();
-        let allow_moves = self.reconciliation_complete && !late.is_mass_loss;
+        let allow_moves = self.reconciliation.is_complete() && !late.is_mass_loss;
         let now = ceil_ms(self.now);
         let Some(sharding) = &mut self.sharding else {
             return;
--- a/src/coordination/sharding/relays.rs
+++ b/src/coordination/sharding/relays.rs
@@ -146,7 +146,7 @@
         let Some(name) = sharding.and_then(|s| s.relayed.remove(message_id)) else {
             return;
         };
-        let Some(&m) = self.worker_ids.get(&name) else {
+        let Some(m) = self.workers.index_of(&name) else {
             return;
         };
         let worker = &self.workers[m];
--- a/src/coordination/sharding/status.rs
+++ b/src/coordination/sharding/status.rs
@@ -2,7 +2,7 @@
 
 use copperfield_sharding::Route;
 
-use crate::coordination::messages::{Effect, Source};
+use crate::coordination::messages::{Effect, HeartbeatSource};
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 use crate::coordination::time::{Latest, ceil_ms};
@@ -105,7 +105,7 @@
             let worker = &mut self.workers[m];
             worker.last_heartbeat_at = worker.last_heartbeat_at.max_of(received_at);
             worker.reported_at = worker.reported_at.max_of(received_at);
-            self.fencing.heard(&worker.name, ceil_ms(self.now));
+            self.fencing.release(&worker.name, self.now);
         }
         if is_newer {
             self.apply_forwarded_heartbeat(m, heartbeat, received_at);
@@ -127,7 +127,7 @@
         let worker = &self.workers[m];
         let (answered_at, last_heartbeat_at) = (worker.answered_at, worker.last_heartbeat_at);
         let incarnation = worker.incarnation;
-        self.apply_heartbeat(m, heartbeat, Source::Heartbeat);
+        self.apply_heartbeat(m, heartbeat, HeartbeatSource::Worker);
         let worker = &mut self.workers[m];
         worker.last_heartbeat_at = last_heartbeat_at;
         if worker.incarnation > incarnation {
@@ -140,16 +140,11 @@
     /// Queues the commands that a heartbeat leads to. The shard owner's answer carries none, so
     /// they leave with the next direct message.
     fn queue_follow_up(&mut self, m: u32) {
-        if self.workers[m].in_message_id.is_some() {
+        if self.workers[m].in_flight.is_some() {
             return;
         }
         let commands = self.follow_up_commands(m, usize::MAX);
-        let outbox = &mut self.workers[m].outbox;
-        for command in commands {
-            if !outbox.contains(&command) {
-                outbox.push(command);
-            }
-        }
+        self.workers[m].queue_missing(commands);
     }
 
     /// Whether a new leader still waits for the heartbeats that shard owners have buffered.
--- /dev/null
+++ b/src/coordination/start_conditions.rs
@@ -0,0 +1,129 @@
+//! Every condition of a start, checked against all task instances that may exist.
+
+use crate::protocol::job::Resources;
+
+use super::model::*;
+use super::state::Core;
+
+/// Heartbeats come up to a quarter of their interval late.
+const LATEST_HEARTBEAT_FACTOR: f64 = 1.25;
+/// How much later than the latest heartbeat a worker is unresponsive.
+const UNRESPONSIVE_MARGIN_S: Time = 1.0;
+
+impl Core {
+    /// Whether a task may be started on a worker now.
+    pub(super) fn may_start(&self, ix: u32, task: u32, m: u32) -> bool {
+        let job = &self.jobs[ix];
+        let worker = &self.workers[m];
+        let state = &job.tasks[task as usize];
+        job.state == JobState::Live
+            && !state.done
+            && state.instances == 0
+            && f64::from(state.not_before) <= self.now
+            && !job.blocked
+            && self.worker_usable(m)
+            && self.worker_allowed(ix, m)
+            && job.spec.needs.fits_in(&self.free_room(m))
+            && self.zone_allows(ix, worker.zone)
+            && self.team_allows(job.team, &job.spec.needs)
+    }
+
+    /// Whether the job may have one more instance in this zone.
+    pub(super) fn zone_allows(&self, ix: u32, zone: u32) -> bool {
+        self.zone_allows_more(ix, zone, 0)
+    }
+
+    /// The same where `planned` more of its tasks are to be started there.
+    pub(super) fn zone_allows_more(&self, ix: u32, zone: u32, planned: u32) -> bool {
+        let job = &self.jobs[ix];
+        let here = job.by_zone.get(zone as usize).copied().unwrap_or(0);
+        here + planned < job.zone_cap()
+            && (!job.spec.one_zone || job.by_zone.iter().sum::<u32>() == here)
+    }
+
+    /// Whether the team's limit allows these resources beside all that may be in use.
+    pub(super) fn team_allows(&self, team: u32, needs: &Resources) -> bool {
+        let usage = &self.teams[team as usize];
+        let limit = &usage.limit;
+        let mut total = usage.used;
+        total.add(&usage.unknown);
+        total.add(needs);
+        (limit.cpus == 0 || total.cpus <= limit.cpus)
+            && (limit.gpus == 0 || total.gpus <= limit.gpus)
+    }
+
+    /// Whether the job may run on the worker, and has not failed there lately.
+    pub(super) fn worker_allowed(&self, ix: u32, m: u32) -> bool {
+        let worker = &self.workers[m];
+        self.worker_suits(ix, m)
+            && worker
+                .failed
+                .get(&ix)
+                .is_none_or(|&until| until <= self.now)
+    }
+
+    /// Whether the job's own conditions allow the worker, whatever has happened there: any leader
+    /// may start the job on it.
+    pub(super) fn worker_suits(&self, ix: u32, m: u32) -> bool {
+        let job = &self.jobs[ix];
+        let worker = &self.workers[m];
+        (!worker.spot || job.spec.spot)
+            && job.zone.is_none_or(|zone| zone == worker.zone)
+            && job
+                .types
+                .as_ref()
+                .is_none_or(|list| list.contains(&worker.kind))
+    }
+
+    /// A worker is unresponsive, and nothing new is sent to it, after this long without a heartbeat.
+    pub(super) fn unresponsive_after_s(&self) -> f64 {
+        self.config.cluster.workers.report_s * LATEST_HEARTBEAT_FACTOR + UNRESPONSIVE_MARGIN_S
+    }
+
+    /// Whether nothing has come from a worker for longer than workers ever take.
+    pub(super) fn is_unresponsive(&self, m: u32) -> bool {
+        self.workers[m]
+            .last_heartbeat_at
+            .is_none_or(|at| self.now - at > self.unresponsive_after_s())
+    }
+
+    /// Whether a worker that may answer direct messages has sent no heartbeat by itself for half a
+    /// lease: nothing renews its lease, and what is started there ends with it.
+    fn sends_no_heartbeats(&self, m: u32) -> bool {
+        // While no leader was valid heartbeats were refused, which is not the worker's fault.
+        let listening = self.listening_since.max(self.valid_since);
+        let since = self.workers[m].reported_at;
+        let since = since.map_or(listening, |at| at.max(listening));
+        let patience_s = self.config.cluster.workers.lease_s / 2.0;
+        self.now - since > patience_s.max(self.unresponsive_after_s())
+    }
+
+    /// Whether anything may be started on a worker.
+    pub(super) fn worker_usable(&self, m: u32) -> bool {
+        let worker = &self.workers[m];
+        worker.reconciled
+            && !worker.returning
+            && !worker.draining
+            && worker.orphaned_tasks == OrphanedTasks::None
+            && !worker.commands_unanswered
+            && worker.registered
+            && !worker.fenced
+            && worker.reclaim_at.is_none()
+            && worker.quarantined_until <= self.now
+            && worker.may_be_alive()
+            && !self.is_unresponsive(m)
+            && !self.sends_no_heartbeats(m)
+    }
+
+    /// What no task instance that may be on a worker takes of it; nothing if its instance type is
+    /// not described.
+    pub(super) fn free_room(&self, m: u32) -> Resources {
+        let worker = &self.workers[m];
+        let Some(instance_type) = self.types.get(worker.kind) else {
+            return Resources::default();
+        };
+        let mut room = instance_type.whole;
+        room.sub(&worker.used);
+        room
+    }
+}
