--- a/src/coordination/fencing/mod.rs
+++ b/src/coordination/fencing/mod.rs
@@ -18,8 +18,9 @@
 use super::model::*;
 use super::persistence::WriteBatch;
 use super::state::Core;
+use super::time::ceil_ms;
 
-use state::{AnsweredWorker, ms};
+use state::AnsweredWorker;
 pub(super) use state::{DeferredHeartbeat, Fencing};
 
 /// How long a worker may wait to be fenced: many become unresponsive together, and share a change
@@ -109,7 +110,7 @@
                 continue;
             }
             // While a shard owner may still answer it there is nothing to record.
-            if let Some(answered_at) = self.answered_by_all(worker) {
+            if let Some(answered_at) = self.last_answer_by_any(worker) {
                 self.fencing.fence(&worker.name, answered_at, due);
             }
         }
@@ -173,7 +174,7 @@
     }
 
     fn fencing_write(&self, page: PageWrite) -> Write {
-        let now_ms = ms(self.now);
+        let now_ms = ceil_ms(self.now);
         let workers = page.entries.into_iter().map(|entry| FencedWorker {
             name: entry.worker,
             age_ms: now_ms.saturating_sub(entry.answered_at_ms),
--- a/src/coordination/fencing/state.rs
+++ b/src/coordination/fencing/state.rs
@@ -5,6 +5,7 @@
 use copperfield_fencing::{FencedEntry, FencingRecord, PageWrite, StoredPage};
 
 use crate::coordination::model::Time;
+use crate::coordination::time::ceil_ms;
 use crate::protocol::worker::Heartbeat;
 
 /// A worker of a stored page, and when it was last answered at the latest.
@@ -52,24 +53,25 @@
     ) {
         let entry = |worker: AnsweredWorker| FencedEntry {
             worker: worker.name,
-            answered_at_ms: ms(worker.answered_at),
+            answered_at_ms: ceil_ms(worker.answered_at),
         };
         let stored = StoredPage {
             page,
             version,
             entries: workers.map(|all| all.into_iter().map(entry).collect()),
         };
-        self.record.restore(stored, ms(now));
+        self.record.restore(stored, ceil_ms(now));
     }
 
     /// An unresponsive worker is to be on the record, by a write that leaves at `due`.
     pub(super) fn fence(&mut self, worker: &str, answered_at: Time, due: Time) {
-        self.record.fence(worker, ms(answered_at), ms(due));
+        self.record
+            .fence(worker, ceil_ms(answered_at), ceil_ms(due));
     }
 
     /// A worker is to be off the record, by a write that leaves at `due`.
     pub fn release(&mut self, worker: &str, due: Time) {
-        self.record.release(worker, ms(due));
+        self.record.release(worker, ceil_ms(due));
     }
 
     /// Whether the stored record may name a worker: then it is given no answer and no start.
@@ -84,7 +86,7 @@
 
     /// The pages that are to be written now, at most `limit` of them.
     pub(super) fn begin_due_writes(&mut self, now: Time, limit: usize) -> Vec<PageWrite> {
-        self.record.begin_due_writes(ms(now), limit)
+        self.record.begin_due_writes(ceil_ms(now), limit)
     }
 
     /// A write was acknowledged.
@@ -94,7 +96,7 @@
 
     /// A write may or may not have been carried out; the page has this version now.
     pub(super) fn retry_write(&mut self, page: u32, version: u64, now: Time) {
-        self.record.retry_write(page, version, ms(now));
+        self.record.retry_write(page, version, ceil_ms(now));
     }
 
     /// Has a heartbeat wait. Returns the one of the same worker that waited before.
@@ -109,8 +111,3 @@
         std::mem::take(&mut self.deferred)
     }
 }
-
-/// Milliseconds on the clock of the core, rounded towards the later end of a lease.
-pub(super) fn ms(at: Time) -> u64 {
-    (at.max(0.0) * 1000.0).ceil() as u64
-}
