--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -12,7 +12,7 @@
 use crate::coordination::core::{Effect, Input, Outcome, ScaleOutOutcome};
 use crate::protocol::cloud::{self, MachineType};
 use crate::protocol::peer::{PeerReply, PeerRequest, RelayedCommand};
-use crate::protocol::worker::{Command as WorkerCommand, Heartbeat, orders_body};
+use crate::protocol::worker::{Command as WorkerCommand, Heartbeat, commands_body};
 use crate::storage::store::call_peer;
 use crate::storage::writer::{self, WriteError};
 use crate::transport::client::{Answer, CallError};
@@ -102,12 +102,13 @@
             spot,
             count,
         } => {
-            let body = cloud::rental_body(&request, &machine_type, &zone, spot, count).to_string();
+            let body =
+                cloud::scale_out_body(&request, &machine_type, &zone, spot, count).to_string();
             let outcome = rent(context, body.into_bytes()).await;
             Some(Input::ScaledOut { request, outcome })
         }
         Effect::ScaleIn(workers) => {
-            let body = cloud::return_body(&workers).to_string().into_bytes();
+            let body = cloud::scale_in_body(&workers).to_string().into_bytes();
             context.cloud_budget.spend(1.0, Urgency::High).await;
             // A leader that stood still meanwhile would return what the next one uses.
             let ok = context.leadership.is_valid()
@@ -223,7 +224,7 @@
         Ok(to) if context.may_command(token) => to,
         _ => return Outcome::Unsent,
     };
-    let body = orders_body(token, Some(incarnation), commands);
+    let body = commands_body(token, Some(incarnation), commands);
     let sent = context
         .http
         .call(Method::POST, to, "/orders", body, DIRECT_DEADLINE);
@@ -312,7 +313,10 @@
         if answer.status != 200 {
             return None;
         }
-        let (hosts, more) = cloud::parse_list(&answer.body)
+        let cloud::WorkerPage {
+            workers: hosts,
+            more,
+        } = cloud::parse_list(&answer.body)
             .inspect_err(|error| tracing::warn!(%error, "machine list does not parse"))
             .ok()?;
         let empty = hosts.is_empty();
