--- a/benches/batch.rs
+++ b/benches/batch.rs
@@ -1,8 +1,8 @@
-//! Time of one batch: 500 tasks on 1,000 workers (the paper's AR-2 target is 30 ms).
+//! Time of one auction: 500 tasks on 1,000 workers (the target is 30 ms).
 
 use std::time::Instant;
 
-use copperfield::coordination::auction::{Group, Lot, clear};
+use copperfield::coordination::auction::{BidderGroup, Lot, clear};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -19,8 +19,8 @@
                 zone: i % 3,
             })
             .collect();
-        let groups: Vec<Group> = (0..20)
-            .map(|_| Group {
+        let groups: Vec<BidderGroup> = (0..20)
+            .map(|_| BidderGroup {
                 demand: 25,
                 cpu_slots: rng.random_range(1..=4),
                 gpu_slots: 0,
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -5,7 +5,7 @@
 use crate::protocol::job::{JobOutcome, Kind};
 use crate::storage::StoredJob;
 
-use super::auction::Group;
+use super::auction::BidderGroup;
 use super::model::*;
 use super::objectives;
 use super::state::Core;
@@ -88,7 +88,8 @@
         if !small || spec.one_zone || spec.spread {
             return None;
         }
-        let (cpu_slots, gpu_slots) = Group::sized(&spec.needs, self.config.tuning.slot_cpus);
+        let (cpu_slots, gpu_slots) =
+            BidderGroup::slots_needed(&spec.needs, self.config.tuning.slot_cpus);
         let class = SchedulingClass {
             team: job.team,
             priority: spec.priority,
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -4,7 +4,7 @@
 
 use crate::protocol::job::{Kind, Priority, Resources};
 
-use super::auction::{self, Group, Lot};
+use super::auction::{self, BidderGroup, Lot};
 use super::model::*;
 use super::state::Core;
 
@@ -405,7 +405,7 @@
             return;
         }
         let mut group_of: Vec<VecDeque<u32>> = Vec::new();
-        let mut groups: Vec<Group> = Vec::new();
+        let mut groups: Vec<BidderGroup> = Vec::new();
         let mut scheduling_class: BTreeMap<u32, usize> = BTreeMap::new();
         for &ix in order {
             let job = &self.jobs[ix];
@@ -419,7 +419,7 @@
             if demand == 0 || self.is_whole_gang(ix) {
                 continue;
             }
-            let (cpu_slots, gpu_slots) = Group::sized(&job.spec.needs, slot);
+            let (cpu_slots, gpu_slots) = BidderGroup::slots_needed(&job.spec.needs, slot);
             let zone = self.zone_of(ix);
             let tier = self.best_tier(ix);
             let mut values = Vec::new();
@@ -455,7 +455,7 @@
                 scheduling_class.insert(a, groups.len());
             }
             group_of.push(VecDeque::from([ix]));
-            groups.push(Group {
+            groups.push(BidderGroup {
                 demand,
                 cpu_slots,
                 gpu_slots,
--- a/tests/auction.rs
+++ b/tests/auction.rs
@@ -1,9 +1,9 @@
-//! Properties of the market, against exhaustive answers on small instances.
+//! Properties of the auction, against exhaustive search on small instances.
 
-use copperfield::coordination::auction::{Award, Group, Lot, clear, greedy};
+use copperfield::coordination::auction::{Award, BidderGroup, Lot, clear, greedy};
 use proptest::prelude::*;
 
-fn lot(slots: u32) -> Lot {
+fn lot_of(slots: u32) -> Lot {
     Lot {
         cpu_slots: slots,
         gpu_slots: 0,
@@ -13,12 +13,16 @@
 }
 
 /// One-slot tasks: `values[g][l]`, with `demand[g]` tasks in each group.
-fn instance(slots: &[u32], demand: &[u32], values: &[Vec<f64>]) -> (Vec<Lot>, Vec<Group>) {
-    let lots = slots.iter().map(|&s| lot(s)).collect();
+fn one_slot_auction(
+    slots: &[u32],
+    demand: &[u32],
+    values: &[Vec<f64>],
+) -> (Vec<Lot>, Vec<BidderGroup>) {
+    let lots = slots.iter().map(|&s| lot_of(s)).collect();
     let groups = demand
         .iter()
         .zip(values)
-        .map(|(&demand, values)| Group {
+        .map(|(&demand, values)| BidderGroup {
             demand,
             cpu_slots: 1,
             gpu_slots: 0,
@@ -30,7 +34,7 @@
     (lots, groups)
 }
 
-fn worth(awards: &[Award], groups: &[Group]) -> f64 {
+fn total_value(awards: &[Award], groups: &[BidderGroup]) -> f64 {
     awards
         .iter()
         .map(|a| groups[a.group as usize].values[a.lot as usize].1)
@@ -38,34 +42,34 @@
 }
 
 /// The best total value, by trying every assignment.
-fn best(tasks: &[usize], groups: &[Group], left: &mut Vec<u32>) -> f64 {
+fn best_total_value(tasks: &[usize], groups: &[BidderGroup], left: &mut Vec<u32>) -> f64 {
     let Some((&g, rest)) = tasks.split_first() else {
         return 0.0;
     };
-    let mut limit = best(rest, groups, left);
+    let mut best = best_total_value(rest, groups, left);
     for l in 0..left.len() {
         if left[l] > 0 {
             left[l] -= 1;
-            limit = limit.max(groups[g].values[l].1 + best(rest, groups, left));
+            best = best.max(groups[g].values[l].1 + best_total_value(rest, groups, left));
             left[l] += 1;
         }
     }
-    limit
+    best
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// With every assignment in ε-complementary slackness the total value is
-    /// within J·ε of the best; ε is 1% of the median value.
+    /// With every assignment in ε-complementary slackness the total value is within ε times the
+    /// number of tasks of the best; ε is 1% of the median value.
     #[test]
-    fn the_auction_is_within_j_epsilon_of_the_best(
+    fn total_value_is_within_tasks_times_epsilon_of_the_best(
         slots in prop::collection::vec(0u32..3, 1..4),
         demand in prop::collection::vec(1u32..3, 1..4),
         values in prop::collection::vec(prop::collection::vec(1.0f64..100.0, 3), 3),
     ) {
         let values: Vec<Vec<f64>> = values.iter().map(|v| v[..slots.len()].to_vec()).collect();
-        let (lots, groups) = instance(&slots, &demand, &values);
+        let (lots, groups) = one_slot_auction(&slots, &demand, &values);
         let (awards, outcome) = clear(&lots, &groups, 100_000);
         prop_assert!(!outcome.capped);
         let tasks: Vec<usize> = demand
@@ -76,17 +80,17 @@
         let mut all: Vec<f64> = groups.iter().flat_map(|g| g.values.iter().map(|v| v.1)).collect();
         all.sort_by(f64::total_cmp);
         let epsilon = all[all.len() / 2] * 0.01;
-        let bound = best(&tasks, &groups, &mut slots.clone());
+        let bound = best_total_value(&tasks, &groups, &mut slots.clone());
         prop_assert!(
-            worth(&awards, &groups) >= bound - epsilon * tasks.len() as f64 - 1e-6,
-            "{} of {bound}", worth(&awards, &groups)
+            total_value(&awards, &groups) >= bound - epsilon * tasks.len() as f64 - 1e-6,
+            "{} of {bound}", total_value(&awards, &groups)
         );
     }
 
-    /// Whatever the sizes: no lot is oversold, no filter is passed over, and no
+    /// Whatever the sizes: no lot is oversold, no lot goes to a group that may not take it, and no
     /// group gets more than it asked for or than its zones may take.
     #[test]
-    fn no_placement_that_a_filter_forbids(
+    fn awards_keep_to_lots_filters_demand_and_zones(
         lots in prop::collection::vec((0u32..6, 0u32..3, 0i64..12, 0u32..2), 1..6),
         groups in prop::collection::vec((1u32..6, 1u32..4, 0u32..2, 0i64..5, any::<u8>(), any::<bool>()), 1..6),
         cap in prop::sample::select(vec![1u32, 20, 5000]),
@@ -95,9 +99,9 @@
             .iter()
             .map(|&(cpu_slots, gpu_slots, memory, zone)| Lot { cpu_slots, gpu_slots, memory, zone })
             .collect();
-        let groups: Vec<Group> = groups
+        let groups: Vec<BidderGroup> = groups
             .iter()
-            .map(|&(demand, cpu_slots, gpu_slots, memory, allowed, zoned)| Group {
+            .map(|&(demand, cpu_slots, gpu_slots, memory, allowed, zoned)| BidderGroup {
                 demand, cpu_slots, gpu_slots, memory,
                 values: (0..lots.len() as u32)
                     .filter(|l| allowed & (1 << l) != 0)
@@ -131,13 +135,13 @@
     }
 }
 
-/// The design's complaint: identical tasks tie, and prices creep by ε until the cap.
+/// Groups that value all lots alike outbid each other by ε at a time, which must not reach the cap.
 #[test]
-fn identical_tasks_do_not_trip_the_cap() {
+fn identical_tasks_settle_below_the_cap() {
     let slots = vec![8u32; 20];
     let demand = vec![100, 100, 40];
     let values = vec![vec![10.0; 20], vec![10.0; 20], vec![10.0; 20]];
-    let (lots, groups) = instance(&slots, &demand, &values);
+    let (lots, groups) = one_slot_auction(&slots, &demand, &values);
     let (awards, outcome) = clear(&lots, &groups, 4000);
     assert!(!outcome.capped, "{outcome:?}");
     assert_eq!(awards.len(), 160, "every slot is taken");
