--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -137,7 +137,10 @@
         tuning: Tuning,
     ) -> Self {
         let cluster: Cluster = serde_json::from_value(cluster).expect("valid");
-        let (report_s, lease_s) = (cluster.workers.report_s, cluster.workers.lease_s);
+        let (report_s, lease_s) = (
+            cluster.workers.heartbeat_interval_s,
+            cluster.workers.lease_s,
+        );
         let config = Config {
             cluster: cluster.clone(),
             tuning: tuning.clone(),
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -14,7 +14,7 @@
     pub(super) fn health(&self) -> Result<Outgoing, ApiError> {
         let context = &self.context;
         let cut_off = context.store.unanswered_s() > CUT_OFF_S
-            && !context.settings.others.is_empty()
+            && !context.settings.peers.is_empty()
             && context.seconds_since_peer_contact() > CUT_OFF_S;
         if cut_off {
             return Err(ApiError::CutOff);
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -145,7 +145,7 @@
         if context.store.unanswered_s() < PING_AFTER_UNSERVED_S {
             continue;
         }
-        for peer in &context.settings.others {
+        for peer in &context.settings.peers {
             let ping = &PeerRequest::Ping;
             let pong = call_peer(context.http.as_ref(), peer.peer_addr, ping, PEER_DEADLINE);
             if pong.await.is_some() {
--- a/src/controller/context/mod.rs
+++ b/src/controller/context/mod.rs
@@ -119,7 +119,7 @@
     /// The address at which a peer listens for other controllers.
     pub fn peer_address(&self, member: &str) -> Option<SocketAddr> {
         self.settings
-            .others
+            .peers
             .iter()
             .find(|peer| peer.member == member)
             .map(|peer| peer.peer_addr)
@@ -220,11 +220,11 @@
 /// followers stay under the published limits together.
 fn new_store(settings: &Settings, http: Arc<dyn Network>) -> Store {
     let limits = &settings.cluster.state;
-    let share = STORE_LIMIT_PART / (1.0 + FOLLOWER_LOAD * settings.others.len() as f64);
+    let share = STORE_LIMIT_PART / (1.0 + FOLLOWER_LOAD * settings.peers.len() as f64);
     Store::new(
         http,
         settings.external.state,
-        settings.others.iter().map(|peer| peer.peer_addr).collect(),
+        settings.peers.iter().map(|peer| peer.peer_addr).collect(),
         limits.rps * share,
         limits.write_rps * share,
     )
--- a/src/controller/effects/peers.rs
+++ b/src/controller/effects/peers.rs
@@ -99,7 +99,7 @@
 
 /// Announces this controller as leader, so that no peer waits until it reads the leader key.
 pub async fn announce_leadership(context: Arc<ControllerContext>) {
-    for peer in &context.settings.others {
+    for peer in &context.settings.peers {
         let (context, to) = (context.clone(), peer.peer_addr);
         tokio::spawn(async move {
             let member = context.settings.member.clone();
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -236,7 +236,7 @@
         );
         let mut core = self.recovered_core(token, snapshot);
         let settings = &self.context.settings;
-        if self.context.tuning.shares == Switch::On && !settings.others.is_empty() {
+        if self.context.tuning.sharding == Switch::On && !settings.peers.is_empty() {
             core.enable_sharding(settings.own_index(), &settings.controllers());
             tokio::spawn(announce_leadership(self.context.clone()));
         }
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -52,12 +52,12 @@
     /// Starts without a shard; `None` where the workers are not shared among the controllers.
     pub fn start(context: &Arc<ControllerContext>, handle: &Handle) -> Option<Self> {
         let settings = &context.settings;
-        if context.tuning.shares == Switch::Off || settings.others.is_empty() {
+        if context.tuning.sharding == Switch::Off || settings.peers.is_empty() {
             return None;
         }
         // Distinguishes the shard of this process from that of an earlier one.
         let process = 1 + context.random(PROCESS_NUMBERS);
-        let report_s = settings.cluster.workers.report_s;
+        let report_s = settings.cluster.workers.heartbeat_interval_s;
         context.set_shard_permission(0, 0);
         Some(Self {
             context: context.clone(),
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -114,7 +114,7 @@
 
     /// A worker whose heartbeat has not come after this long is late.
     pub(super) fn late_after_s(&self) -> f64 {
-        self.config.cluster.workers.report_s * LATE_FACTOR
+        self.config.cluster.workers.heartbeat_interval_s * LATE_FACTOR
     }
 
     /// How many more late or unresponsive workers may be probed now.
--- a/src/coordination/election/peers.rs
+++ b/src/coordination/election/peers.rs
@@ -22,7 +22,7 @@
     deadline: Duration,
 ) -> JoinSet<Answer> {
     let mut answers = JoinSet::new();
-    for peer in &context.settings.others {
+    for peer in &context.settings.peers {
         let (http, request) = (context.http.clone(), request.clone());
         let peer = peer.peer_addr;
         answers.spawn(async move {
--- a/src/coordination/migration.rs
+++ b/src/coordination/migration.rs
@@ -252,7 +252,7 @@
     }
 
     fn limits(&self) -> defrag::Limits {
-        let limit = self.config.tuning.defragmentation.most_moves as usize;
+        let limit = self.config.tuning.defragmentation.max_migrations as usize;
         defrag::Limits {
             moves: limit.saturating_sub(self.migrations.live.len()),
             soon_s: SOON_S,
@@ -443,7 +443,7 @@
         } else {
             self.grace_of(ix)
         };
-        gang_s + workers.report_s * 1.25 + PROOF_S
+        gang_s + workers.heartbeat_interval_s * 1.25 + PROOF_S
     }
 
     /// Stops what is of a lower rank on a worker, as far as the job needs its room beside
--- a/src/coordination/provisioning.rs
+++ b/src/coordination/provisioning.rs
@@ -562,7 +562,7 @@
 
     /// Reports come a quarter early or late, and take their time.
     fn latest_heartbeat_s(&self) -> f64 {
-        self.config.cluster.workers.report_s * 1.25 + 0.1
+        self.config.cluster.workers.heartbeat_interval_s * 1.25 + 0.1
     }
 
     /// Whether workers of the same zone were heard since. Where none is, the
--- a/src/coordination/sharding/mod.rs
+++ b/src/coordination/sharding/mod.rs
@@ -56,7 +56,7 @@
             .iter()
             .map(|(_, zone)| self.zones.intern(zone))
             .collect();
-        let interval_ms = ceil_ms(self.config.cluster.workers.report_s);
+        let interval_ms = ceil_ms(self.config.cluster.workers.heartbeat_interval_s);
         self.sharding = Some(Sharding {
             coordinator: ShardCoordinator::new(self.token, own_index, &zones, interval_ms),
             own_index,
--- a/src/coordination/start_conditions.rs
+++ b/src/coordination/start_conditions.rs
@@ -77,7 +77,8 @@
 
     /// A worker is unresponsive, and nothing new is sent to it, after this long without a heartbeat.
     pub(super) fn unresponsive_after_s(&self) -> f64 {
-        self.config.cluster.workers.report_s * LATEST_HEARTBEAT_FACTOR + UNRESPONSIVE_MARGIN_S
+        self.config.cluster.workers.heartbeat_interval_s * LATEST_HEARTBEAT_FACTOR
+            + UNRESPONSIVE_MARGIN_S
     }
 
     /// Whether nothing has come from a worker for longer than workers ever take.
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -118,7 +118,7 @@
             range.check(file)?;
         }
         let workers = &self.cluster.workers;
-        if workers.lease_s <= workers.report_s {
+        if workers.lease_s <= workers.heartbeat_interval_s {
             let found = workers.lease_s.to_string();
             let allowed = "more than cluster.workers.report_s";
             return Err(out_of_range(
@@ -138,7 +138,7 @@
         let (workers, state, cloud) = (&cluster.workers, &cluster.state, &cluster.cloud);
         let max_sockets = cluster.limits.max_sockets as f64;
         [
-            range("cluster.workers.report_s", workers.report_s, 0.1..=600.0),
+            range("cluster.workers.report_s", workers.heartbeat_interval_s, 0.1..=600.0),
             range("cluster.workers.lease_s", workers.lease_s, 1.0..=3600.0),
             range("cluster.workers.gang_wait_s", workers.gang_wait_s, 0.1..=3600.0),
             range("cluster.workers.gang_peer_s", workers.gang_peer_s, 0.1..=3600.0),
@@ -186,7 +186,7 @@
     #[rustfmt::skip]
     fn ranges(&self) -> [RangeCheck; 15] {
         let defragmentation = &self.defragmentation;
-        let most_moves = f64::from(defragmentation.most_moves);
+        let max_migrations = f64::from(defragmentation.max_migrations);
         [
             range("auction_cap", f64::from(self.auction_cap), 1.0..=1e6),
             range("headroom_h0", self.headroom_h0, -1.0..=1.0),
@@ -198,7 +198,7 @@
             range("deserted_return_s", self.deserted_return_s, 1.0..=1e9),
             range("fleet_max", f64::from(self.fleet_max), 0.0..=1e6),
             range("leader_ttl_ms", self.leader_ttl_ms as f64, 500.0..=60_000.0),
-            range("defragmentation.most_moves", most_moves, 1.0..=1000.0),
+            range("defragmentation.most_moves", max_migrations, 1.0..=1000.0),
             range("defragmentation.lost_work_s", defragmentation.lost_work_s, 0.0..=1e6),
             range("defragmentation.again_after_s", defragmentation.again_after_s, 10.0..=1e6),
             range("defragmentation.away_share", defragmentation.away_share, 0.0..=1.0),
@@ -215,10 +215,10 @@
     pub fn check_against(&self, settings: &Settings) -> Result<(), LeaderTtlTooLong> {
         let workers = &settings.cluster.workers;
         let ttl_s = self.leader_ttl_ms as f64 / 1000.0;
-        if ttl_s + workers.lease_s + 2.0 * workers.report_s <= workers.cancel_s {
+        if ttl_s + workers.lease_s + 2.0 * workers.heartbeat_interval_s <= workers.cancel_s {
             return Ok(());
         }
-        let allowed_s = workers.cancel_s - workers.lease_s - 2.0 * workers.report_s;
+        let allowed_s = workers.cancel_s - workers.lease_s - 2.0 * workers.heartbeat_interval_s;
         Err(LeaderTtlTooLong {
             found_ms: self.leader_ttl_ms,
             allowed_ms: (allowed_s * 1000.0).max(0.0),
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -19,8 +19,8 @@
     /// Where the other controllers reach this one.
     pub peer_bind: SocketAddr,
     /// The other controllers.
-    #[serde(default)]
-    pub others: Vec<Peer>,
+    #[serde(default, rename = "others")]
+    pub peers: Vec<Peer>,
     /// The services that controllers depend on.
     pub external: External,
     /// What is the same for all controllers.
@@ -112,7 +112,8 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
     /// Interval of heartbeats.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// How long a worker goes on without an answer.
     pub lease_s: f64,
     /// How long a task instance waits for the rest of its gang to start.
@@ -179,9 +180,9 @@
 
     /// All controllers as (name, site), in an order that is the same in each of them.
     pub fn controllers(&self) -> Vec<(&str, &str)> {
-        let others = self.others.iter();
-        let others = others.map(|peer| (peer.member.as_str(), peer.site.as_str()));
-        let mut all: Vec<_> = others.collect();
+        let peers = self.peers.iter();
+        let peers = peers.map(|peer| (peer.member.as_str(), peer.site.as_str()));
+        let mut all: Vec<_> = peers.collect();
         all.push((&self.member, &self.site));
         all.sort();
         all
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -35,7 +35,8 @@
     /// Length of the leader's lease.
     pub leader_ttl_ms: u64,
     /// Whether the workers are sharded, so that each controller serves a part of them.
-    pub shares: Switch,
+    #[serde(rename = "shares")]
+    pub sharding: Switch,
     /// Frees whole workers by migrating tasks.
     pub defragmentation: Defragmentation,
     /// Settings of classes of jobs, by the name of the class.
@@ -59,7 +60,7 @@
             deserted_return_s: 25.0,
             fleet_max: 0,
             leader_ttl_ms: 2500,
-            shares: Switch::On,
+            sharding: Switch::On,
             defragmentation: Defragmentation::default(),
             class: BTreeMap::new(),
             operators: None,
@@ -86,7 +87,8 @@
     /// migrates tasks either way, within the same limits.
     pub enabled: bool,
     /// Migrations in progress at once.
-    pub most_moves: u32,
+    #[serde(rename = "most_moves")]
+    pub max_migrations: u32,
     /// A task without checkpoints is migrated only while it would lose less work than this.
     pub lost_work_s: f64,
     /// The same task is not migrated again within this time.
@@ -102,7 +104,7 @@
     fn default() -> Self {
         Self {
             enabled: false,
-            most_moves: 16,
+            max_migrations: 16,
             lost_work_s: 30.0,
             again_after_s: 300.0,
             away_share: 0.1,
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -344,7 +344,7 @@
         format!("{} {}", s.external.cloud, s.external.state),
         c.zones.join(" "),
     ];
-    for other in &s.others {
+    for other in &s.peers {
         all.push(format!(
             "{} {} {}",
             other.member,
@@ -370,7 +370,7 @@
     let w = &c.workers;
     all.push(format!(
         "{} {} {} {} {}",
-        w.report_s, w.lease_s, w.gang_wait_s, w.gang_peer_s, w.cancel_s
+        w.heartbeat_interval_s, w.lease_s, w.gang_wait_s, w.gang_peer_s, w.cancel_s
     ));
     let st = &c.state;
     all.push(format!(
@@ -399,9 +399,9 @@
         t.deserted_return_s.to_string(),
         t.fleet_max.to_string(),
         t.leader_ttl_ms.to_string(),
-        (t.shares == Switch::On).to_string(),
+        (t.sharding == Switch::On).to_string(),
         d.enabled.to_string(),
-        d.most_moves.to_string(),
+        d.max_migrations.to_string(),
         d.lost_work_s.to_string(),
         d.again_after_s.to_string(),
         d.away_share.to_string(),
--- a/tests/simulated_cluster/mod.rs
+++ b/tests/simulated_cluster/mod.rs
@@ -451,7 +451,7 @@
     };
     let mut tuning = Tuning {
         leader_ttl_ms: 1500,
-        shares: world.lock().unwrap().shares[i],
+        sharding: world.lock().unwrap().shares[i],
         ..Tuning::default()
     };
     let tune = world.lock().unwrap().tune;
--- a/tests/wire_fingerprint.rs
+++ b/tests/wire_fingerprint.rs
@@ -489,7 +489,7 @@
             (16.0, Fault::CutWorker(1, 8.0)),
             (28.0, Fault::Outage(3.0)),
         ],
-        tune: |t| t.shares = Switch::Off,
+        tune: |t| t.sharding = Switch::Off,
         ..Day::default()
     };
     day.expect(0xe5a8_549d_ab0f_ff91);
