--- a/crates/fencing/src/page.rs
+++ b/crates/fencing/src/page.rs
@@ -26,7 +26,7 @@
 }
 
 impl Page {
-    /// Takes over what an earlier leader stored; `None` if that does not parse.
+    /// Restores what an earlier leader stored; `None` if that does not parse.
     pub(crate) fn restore(&mut self, version: u64, entries: Option<Vec<FencedEntry>>, now_ms: u64) {
         self.version = version;
         let Some(entries) = entries else {
--- a/crates/fencing/src/record.rs
+++ b/crates/fencing/src/record.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes over what an earlier leader stored: its fenced workers stay fenced.
+    /// Restores what an earlier leader stored: its fenced workers stay fenced.
     pub fn restore(&mut self, stored: StoredPage, now_ms: u64) {
         let page = self.page(stored.page);
         page.restore(stored.version, stored.entries, now_ms);
--- a/crates/fencing/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -47,7 +47,7 @@
     ForgetsItsExtendedLease,
     /// One that restarts takes it that it had not voted.
     ForgetsItsVoteInARestart,
-    /// The next leader does not take over whom the record fences.
+    /// The next leader does not restore whom the record fences.
     DropsFencedWorkers,
     /// A write of an earlier leader is carried out after the next has read the record.
     DoesNotGuardByTheLeaderKey,
--- a/crates/leadership/src/vote.rs
+++ b/crates/leadership/src/vote.rs
@@ -5,7 +5,7 @@
 pub enum Vote {
     /// The voter will not campaign for one TTL.
     Granted,
-    /// The voter has promised nothing.
+    /// The voter may still campaign.
     Denied,
 }
 
--- a/crates/leadership/tests/cancellation/main.rs
+++ b/crates/leadership/tests/cancellation/main.rs
@@ -3,8 +3,8 @@
 //! late.
 //!
 //! One worker runs the only task of one job. Whoever may answer it renews its lease, and stops
-//! the task if it knows that the job is to end. The property: if users were told at t that the
-//! job is cancelled, the task is gone after t + a shard owner's lease + the worker's lease. That
+//! the task if it knows that the job is to end. The property: if users were answered at t that
+//! the job is cancelled, the task is gone after t + a shard owner's lease + the worker's lease. That
 //! is the invariant of docs/notes/cancellation.md; each planted mistake breaks it.
 
 #[path = "../common/mod.rs"]
--- a/crates/leadership/tests/cancellation/steps.rs
+++ b/crates/leadership/tests/cancellation/steps.rs
@@ -171,7 +171,7 @@
         steps.add(of!(c, "cancels without a leader"), |w| {
             w.cancel_without_leader(c)
         });
-        steps.add(of!(c, "reads the outcome and tells the user"), |w| {
+        steps.add(of!(c, "reads the outcome and answers the user"), |w| {
             let news = w.cancellation_stored && w.reported_at.is_none() && w.faults.serves(c);
             w.reported_at.get_or_insert(w.now);
             news
--- a/crates/leadership/tests/cancellation/world.rs
+++ b/crates/leadership/tests/cancellation/world.rs
@@ -122,7 +122,7 @@
     pub term_marker: u8,
     pub cancellation_stored: bool,
     pub in_flight: Option<Transaction>,
-    /// When the first user was told that the job is cancelled.
+    /// When the first user received the answer that the job is cancelled.
     pub reported_at: Option<u64>,
     pub worker: Worker,
     pub shard_lease: ShardLease,
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -29,7 +29,7 @@
     },
     /// From the leader of this fencing token, which cannot renew its lease at the state service:
     /// asks for a vote that extends it. A voter cannot reach the state service either, and
-    /// promises not to campaign for one TTL.
+    /// agrees not to campaign for one TTL.
     VoteToExtendLease { token: u64 },
     /// Whether the controller can be reached. Answered by [`PeerReply::Pong`].
     Ping,
@@ -200,7 +200,7 @@
         running: u32,
     },
     /// Not in the leader's memory, or its outcome is just being stored: only the state service
-    /// can tell.
+    /// has the answer.
     NotInMemory,
     /// The state service was asked and knows no such job.
     NotFound,
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -68,7 +68,7 @@
     pub job: JobId,
     /// The number of the task in its job.
     pub task: u32,
-    /// Tells this instance of the task from any other.
+    /// Distinguishes this instance of the task from any other.
     pub attempt: u64,
     /// How far it has come.
     pub phase: TaskPhase,
@@ -83,7 +83,7 @@
     Waiting,
     /// It runs.
     Running,
-    /// It was told to stop and saves a checkpoint.
+    /// It received a stop command and saves a checkpoint.
     Saving,
     /// It runs no more.
     Exited(Exit),
@@ -255,7 +255,7 @@
     pub job: JobId,
     /// The number of the task in its job.
     pub task: u32,
-    /// Tells this instance of the task from any other.
+    /// Distinguishes this instance of the task from any other.
     pub attempt: u64,
 }
 
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -201,16 +201,16 @@
         let controller = &mut self.controllers[n];
         match self.mistake {
             Mistake::CountsFromArrival => {
-                let mut copy = controller.shard_owner.clone();
-                let last = copy.next_status(now, 9).number;
+                let mut shard_owner = controller.shard_owner.clone();
+                let last = shard_owner.next_status(now, 9).number;
                 if lease.process == controller.process && last > lease.number {
                     lease.number = last;
-                    controller.shard_owner = copy;
+                    controller.shard_owner = shard_owner;
                 }
             }
             Mistake::AcceptsLateLeases if lease.process == controller.process => {
-                let mut copy = controller.shard_owner.clone();
-                lease.number = copy.next_status(now, 9).number - 1;
+                let mut shard_owner = controller.shard_owner.clone();
+                lease.number = shard_owner.next_status(now, 9).number - 1;
             }
             _ => {}
         }
--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -345,7 +345,7 @@
         self.ticket += 1;
         let input = Input::Admin {
             ticket: self.ticket,
-            order,
+            request: order,
             unix_ms: (self.now * 1000.0) as u64,
         };
         self.later.push((self.now, input));
--- a/src/api/admin.rs
+++ b/src/api/admin.rs
@@ -87,18 +87,18 @@
 }
 
 fn parse_drain(node: &str, body: &[u8]) -> Result<AdminRequest, ApiError> {
-    let order = match body {
+    let drain = match body {
         b"" => DrainOrder::default(),
         body => serde_json::from_slice(body).map_err(ApiError::InvalidDrain)?,
     };
-    if let Some(deadline_s) = order.deadline_s
+    if let Some(deadline_s) = drain.deadline_s
         && !(0.0..=MAX_DRAIN_DEADLINE_S).contains(&deadline_s)
     {
         return Err(ApiError::DrainDeadline(deadline_s));
     }
     Ok(AdminRequest::Drain {
         node: node.into(),
-        deadline_s: order.deadline_s,
-        yes: order.yes,
+        deadline_s: drain.deadline_s,
+        yes: drain.yes,
     })
 }
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -115,7 +115,7 @@
     }
 
     /// Without a leader nobody starts anything or answers from memory, and the next one reads what
-    /// is stored here. With one, it must be the leader: else it might still tell users that the job
+    /// is stored here. With one, it must be the leader: else it might still answer users that the job
     /// is running.
     async fn cancel_without_leader(&self, id: JobId) -> Lookup {
         if !self.context.leadership.begin_leaderless_cancellation() {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -143,12 +143,12 @@
     timeout(deadline, answer).await.unwrap_or(Err(late))
 }
 
-/// What a user is told of a job of which nothing runs.
+/// The answer about a job of which nothing runs.
 fn outcome_answer(id: JobId, outcome: JobOutcome) -> Outgoing {
     phase_answer(id, outcome.phase, outcome.done, 0)
 }
 
-/// What a user is told of a job: its phase, and how many of its tasks are completed and run.
+/// The answer about a job: its phase, and how many of its tasks are completed and run.
 fn phase_answer(id: JobId, phase: Phase, done: u32, running: u32) -> Outgoing {
     let body = json!({
         "uid": id.to_string(),
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -138,7 +138,7 @@
 }
 
 /// Pings peers, for ever, while the state service does not answer this controller: their answers
-/// tell whether the controller is cut off or the service is down.
+/// show whether the controller is cut off or the service is down.
 pub(super) async fn monitor(context: Arc<ControllerContext>) {
     loop {
         sleep(MONITOR_INTERVAL).await;
--- a/src/controller/context/mod.rs
+++ b/src/controller/context/mod.rs
@@ -129,7 +129,7 @@
 /// Leadership.
 impl ControllerContext {
     /// Steps down and stays out of the election for a while, so that a controller that workers
-    /// can reach takes over.
+    /// can reach is elected.
     pub fn resign(&self, token: u64) {
         self.election_backoff.restart(ELECTION_BACKOFF_MS);
         self.leadership.step_down(token);
--- a/src/controller/effects/cloud.rs
+++ b/src/controller/effects/cloud.rs
@@ -65,7 +65,7 @@
     ScaleOutOutcome::Unknown
 }
 
-/// `None` if the response does not tell what was provisioned.
+/// `None` if the response does not state what was provisioned.
 fn scale_out_outcome(response: &Answer) -> Option<ScaleOutOutcome> {
     match response.status {
         STATUS_OK => {
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -301,10 +301,7 @@
             return;
         };
         let ticket = leading.register(PendingReply::ShardStatus(reply));
-        inputs.push(Input::ShardStatus {
-            ticket,
-            word: status,
-        });
+        inputs.push(Input::ShardStatus { ticket, status });
     }
 
     fn handle_admin(
@@ -320,7 +317,7 @@
         let ticket = leading.register(PendingReply::Admin(reply));
         inputs.push(Input::Admin {
             ticket,
-            order: request,
+            request,
             unix_ms: self.context.unix_ms(),
         });
     }
--- a/src/controller/pending_replies.rs
+++ b/src/controller/pending_replies.rs
@@ -10,7 +10,7 @@
 
 /// Where the answer to a request goes.
 ///
-/// A reply that is dropped tells the requester that this controller does not answer: a worker is
+/// A reply that is dropped signals to the requester that this controller does not answer: a worker is
 /// then redirected.
 pub enum PendingReply {
     Heartbeat(oneshot::Sender<Outgoing>),
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -231,7 +231,7 @@
                 message_id,
                 outcome,
             } => self.handle_command_outcome(&worker, message_id, outcome),
-            Input::ShardStatus { ticket, word } => self.handle_shard_status(ticket, word),
+            Input::ShardStatus { ticket, status } => self.handle_shard_status(ticket, status),
             Input::BufferedHeartbeats(forwarded) => self.handle_buffered_heartbeats(forwarded),
             Input::RelayFailed {
                 controller,
@@ -246,9 +246,9 @@
             Input::CancelSettled { job, end } => self.finish_cancellation(job, end),
             Input::Admin {
                 ticket,
-                order,
+                request,
                 unix_ms,
-            } => self.operate(ticket, order, unix_ms),
+            } => self.operate(ticket, request, unix_ms),
             Input::Written(results) => self.handle_write_results(results),
             Input::Types(types) => self.learn_types(types),
             Input::ListedWorker(list) => self.handle_worker_list(list),
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -96,7 +96,7 @@
         m: u32,
         message_id: u64,
         starts: Vec<InstanceId>,
-        orders: bool,
+        has_commands: bool,
     ) -> Option<u32> {
         let via = self.relay_for(m);
         if via.is_some() {
@@ -106,7 +106,7 @@
             id: message_id,
             since: self.now,
             starts,
-            orders,
+            has_commands,
             relayed: via.is_some(),
         });
         via
--- a/src/coordination/election/lease_extension.rs
+++ b/src/coordination/election/lease_extension.rs
@@ -19,7 +19,7 @@
 pub(super) enum VoteResult {
     /// All peers granted their votes.
     Unanimous,
-    /// This peer can reach the state service and take over leadership.
+    /// This peer can reach the state service and accept a leadership transfer.
     ReadyForTransfer(SocketAddr),
     /// A peer denied its vote or did not answer.
     Incomplete,
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -8,7 +8,7 @@
 //! all workers would expire. Two ways lead out of it:
 //!
 //! - `lease_extension`: a leader that cannot renew asks all peers for their votes. Each
-//!   confirms that the state service does not answer it either, and promises not to campaign for
+//!   confirms that the state service does not answer it either, and agrees not to campaign for
 //!   one TTL. With all votes, and only while it is still valid, the leader is valid for one
 //!   TTL - margin from when it asked.
 //! - `transfer`: a leader that alone cannot reach the state service gets no such votes. While
--- a/src/coordination/election/records.rs
+++ b/src/coordination/election/records.rs
@@ -19,7 +19,7 @@
 pub(super) struct LeaderKey {
     /// The leader's name.
     pub(super) member: Option<String>,
-    /// Drawn for one campaign: tells its key from one that an earlier process of the same
+    /// Drawn for one campaign: distinguishes its key from one that an earlier process of the same
     /// controller wrote.
     pub(super) nonce: Option<u64>,
     /// The key's version, which is the leader's fencing token.
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -30,8 +30,8 @@
 /// How a term ended.
 enum TermEnd {
     /// The leader stepped down, or its lease has expired at the state service.
-    Over,
-    /// A peer is to take over.
+    Ended,
+    /// Leadership is transferred to this peer.
     TransferTo(SocketAddr),
 }
 
@@ -45,7 +45,7 @@
         TermEnd::TransferTo(successor) => {
             transfer_leadership(context, handle, token, successor).await;
         }
-        TermEnd::Over => {
+        TermEnd::Ended => {
             context.leadership.step_down(token);
             // The next leader need not wait for the rest of the lease.
             context.store.end_lease(lease).await;
@@ -104,13 +104,13 @@
         loop {
             sleep(self.pause_before_renewal()).await;
             if !self.context.leadership.leads(self.token) {
-                return TermEnd::Over;
+                return TermEnd::Ended;
             }
             let requested_at = Instant::now();
             let deadline = self.renewal_deadline();
             match self.context.store.extend_lease(self.lease, deadline).await {
                 Ok(()) => self.record_renewal(requested_at),
-                Err(StoreError::NoLease) => return TermEnd::Over,
+                Err(StoreError::NoLease) => return TermEnd::Ended,
                 Err(error) => {
                     tracing::debug!(%error, "renewal failed");
                     if let Some(successor) = self.extend_by_votes(&error, deadline).await {
@@ -144,7 +144,7 @@
         leadership.record_renewal(requested_at);
     }
 
-    /// After a failed renewal. Returns the peer that is to take over, if one can and the failure
+    /// After a failed renewal. Returns the peer to transfer leadership to, if one is ready and the failure
     /// was not the first.
     async fn extend_by_votes(
         &mut self,
--- a/src/coordination/election/transfer.rs
+++ b/src/coordination/election/transfer.rs
@@ -23,7 +23,7 @@
 ) {
     context.leadership.step_down(token);
     tracing::info!(token, %successor, "leadership transfer started");
-    // Before the event loop is told who leads next.
+    // Before the event loop learns who leads next.
     handle.send(Command::LeadershipLost).await;
     let request = PeerRequest::TransferLeadership { token };
     call_peer(
--- a/src/coordination/fencing/mod.rs
+++ b/src/coordination/fencing/mod.rs
@@ -39,7 +39,7 @@
         self.config.cluster.clock_error_ms > 0.0
     }
 
-    /// Takes over the record of earlier leaders: its workers stay fenced, and were last answered
+    /// Restores the record of earlier leaders: its workers stay fenced, and were last answered
     /// when it says, or under a lease extension that this controller voted for.
     pub(super) fn restore_fencing(
         &mut self,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Copies to each worker whether it is fenced.
+    /// Updates each worker's `fenced` flag from the record.
     fn update_fenced_workers(&mut self) {
         for (_, worker) in self.workers.iter_mut() {
             worker.fenced = self.fencing.is_fenced(&worker.name);
--- a/src/coordination/fencing/state.rs
+++ b/src/coordination/fencing/state.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes over a stored page; `None` if it does not parse.
+    /// Restores a stored page; `None` if it does not parse.
     pub(super) fn restore(
         &mut self,
         page: u32,
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -25,7 +25,7 @@
         outcome: Outcome,
     },
     /// A shard owner reports what its workers have sent and how its messages ended.
-    ShardStatus { ticket: u64, word: ShardStatus },
+    ShardStatus { ticket: u64, status: ShardStatus },
     /// Heartbeats that came to this controller before it was elected.
     BufferedHeartbeats(Vec<ForwardedHeartbeat>),
     /// Another controller was to deliver these messages and has not accepted them.
@@ -44,7 +44,7 @@
     /// An operator's request.
     Admin {
         ticket: u64,
-        order: AdminRequest,
+        request: AdminRequest,
         /// The time of day, for what is stored.
         unix_ms: u64,
     },
--- a/src/coordination/model/instance.rs
+++ b/src/coordination/model/instance.rs
@@ -37,13 +37,13 @@
     pub phase: Option<TaskPhase>,
     /// A direct start without an answer may still arrive.
     pub unacknowledged: bool,
-    /// The order to stop, if there is one.
+    /// The command to stop, if there is one.
     pub stop: Option<Stop>,
     /// Since when it has been reported as running.
     pub running_since: Option<Time>,
 }
 
-/// An order to stop a task instance.
+/// A command to stop a task instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Stop {
     /// How long the task may take to save its work.
--- a/src/coordination/model/worker.rs
+++ b/src/coordination/model/worker.rs
@@ -29,7 +29,7 @@
     /// The starts in it.
     pub starts: Vec<InstanceId>,
     /// It carries commands; otherwise it only asks for a heartbeat.
-    pub orders: bool,
+    pub has_commands: bool,
     /// Another controller delivers it.
     pub relayed: bool,
 }
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Takes over a chunk that an earlier leader has stored. It may be longer than a chunk is
+    /// Restores a chunk that an earlier leader has stored. It may be longer than a chunk is
     /// now, if the state service took larger values then.
     pub(super) fn restore_progress(&mut self, stored: &StoredProgress) {
         let StoredProgress {
--- a/src/coordination/reconciliation/blocked_jobs.rs
+++ b/src/coordination/reconciliation/blocked_jobs.rs
@@ -74,7 +74,7 @@
     /// What workers may hold of each limited team that this leader does not know: all that is free
     /// of those that are unreconciled, and of those with orphaned tasks. Not only of jobs that it
     /// has read: a job that was cancelled before the election is stored as ended, and its tasks go
-    /// on where the order to stop has not arrived. So what is left of the known jobs is no bound.
+    /// on where the stop command has not arrived. So what is left of the known jobs is no bound.
     fn count_unknown_usage(&mut self, unreconciled: &[u32], unknown_workers: bool) {
         if !self.teams.iter().any(TeamUsage::is_limited) {
             return;
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -22,7 +22,8 @@
         let answered = !matches!(outcome, Outcome::Unsent | Outcome::Unknown);
         self.record_command_result(m, answered);
         let worker = &mut self.workers[m];
-        worker.commands_unanswered = !answered && (message.orders || worker.commands_unanswered);
+        worker.commands_unanswered =
+            !answered && (message.has_commands || worker.commands_unanswered);
         match outcome {
             Outcome::Unsent => {
                 self.record_missed_answer(m, &message);
@@ -122,7 +123,7 @@
         }
     }
 
-    /// A later heartbeat has arrived before the answer and could not yet tell what became of the
+    /// A later heartbeat has arrived before the answer and could not yet include the result of the
     /// starts in the message.
     fn settle_executed_starts(&mut self, m: u32, message: &InFlightMessage, heartbeat: &Heartbeat) {
         for id in &message.starts {
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -132,7 +132,7 @@
         )
     }
 
-    /// Whether a heartbeat tells more than the newest that was applied.
+    /// Whether a heartbeat is newer than the newest that was applied.
     pub(crate) fn is_newer(&self, m: u32, heartbeat: &Heartbeat) -> bool {
         HeartbeatSequence::of(heartbeat) > self.workers[m].sequence()
     }
@@ -185,8 +185,8 @@
         self.clear_worker(m);
     }
 
-    /// Copies what the heartbeat says of the worker itself. Whether it is news that the cloud will
-    /// reclaim the worker.
+    /// Applies the heartbeat's fields that describe the worker itself. Returns whether it is the
+    /// first to report that the cloud will reclaim the worker.
     fn update_worker(&mut self, m: u32, heartbeat: &Heartbeat) -> bool {
         let now = self.now;
         let worker = &mut self.workers[m];
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -95,7 +95,7 @@
         while total_gb > cache_gb && worker.images.len() > 1 {
             total_gb -= images.size_gb(worker.images.remove(0));
         }
-        // The worker registry tells the next leader which images are where.
+        // The next leader reads from the worker registry which images are where.
         if !known {
             self.images_changed(m);
         }
--- a/src/storage/store/relay.rs
+++ b/src/storage/store/relay.rs
@@ -37,7 +37,7 @@
             },
             Err(StoreError::Refused(status)) => refusal(status),
             Err(StoreError::NotReached) => refusal(UNAVAILABLE),
-            // A peer cannot tell "unknown" from "unable": it gets the worse of the two.
+            // A peer cannot distinguish "unknown" from "unable": it gets the worse of the two.
             Err(_) => PeerReply::Unable,
         }
     }
--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The key that tells what became of the write.
+    /// The key whose value shows whether the write was applied.
     fn evidence_key(&self) -> String {
         match self {
             Self::Finish { job, .. } => terminal_key(*job),
--- a/tests/shard_owners.rs
+++ b/tests/shard_owners.rs
@@ -126,8 +126,8 @@
             }
             let actions = self.forwarder.tick(ms);
             self.record(actions);
-            if let Some(word) = self.forwarder.next_status(ms) {
-                inputs.push(Input::ShardStatus { ticket: 0, word });
+            if let Some(status) = self.forwarder.next_status(ms) {
+                inputs.push(Input::ShardStatus { ticket: 0, status });
             }
             let now = self.now;
             inputs.extend(
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -442,14 +442,14 @@
     let executed = Outcome::Executed(heartbeat);
     trace.direct("vm-000001", 1, "executes the commands", executed);
     trace.note("an operator drains the machine: the answer comes after the record");
-    let order = AdminRequest::Drain {
+    let request = AdminRequest::Drain {
         node: "vm-000001".into(),
         deadline_s: Some(3.0),
         yes: false,
     };
     let input = Input::Admin {
         ticket: 9,
-        order,
+        request,
         unix_ms: 1_000_000,
     };
     trace.step("drain vm-000001, 3 s", vec![input]);
@@ -466,12 +466,12 @@
         json!([{"shard": "wk-000001/0", "try": a, "phase": "ended", "exit_reason": "stopped"}]);
     trace.send_heartbeat("vm-000001", 1, stopped);
     trace.note("taken back: the record goes first, then work comes again");
-    let order = AdminRequest::Undrain {
+    let request = AdminRequest::Undrain {
         node: "vm-000001".into(),
     };
     let input = Input::Admin {
         ticket: 10,
-        order,
+        request,
         unix_ms: 1_004_000,
     };
     trace.step("undrain vm-000001", vec![input]);
