--- a/crates/heartbeat-forwarder/src/lib.rs
+++ b/crates/heartbeat-forwarder/src/lib.rs
@@ -1,4 +1,5 @@
 #![doc = include_str!("../README.md")]
+#![warn(missing_docs)]
 
 mod answers;
 mod buffer;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -4,6 +4,8 @@
 //! Field names that other parties fix stay in this crate; the rest of the program uses the terms
 //! of the types defined here (job, task, gang, worker, lease, fencing token).
 
+#![warn(missing_docs)]
+
 pub mod cloud;
 mod id;
 pub mod job;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -30,7 +30,10 @@
     /// From the leader of this fencing token, which cannot renew its lease at the state service:
     /// asks for a vote that extends it. A voter cannot reach the state service either, and
     /// agrees not to campaign for one TTL.
-    VoteToExtendLease { token: u64 },
+    VoteToExtendLease {
+        /// The leader's fencing token.
+        token: u64,
+    },
     /// Whether the controller can be reached. Answered by [`PeerReply::Pong`].
     Ping,
     /// To the leader: an operator's request. Answered by [`PeerReply::AdminResponse`].
@@ -49,10 +52,16 @@
         messages: Vec<RelayedCommand>,
     },
     /// The sender leads now: shard owners forward their workers' heartbeats to it.
-    LeaderAnnouncement { member: String },
+    LeaderAnnouncement {
+        /// The sender's member name.
+        member: String,
+    },
     /// From the leader of this fencing token, which has stepped down: asks the receiver to remove
     /// its leader key and to campaign.
-    TransferLeadership { token: u64 },
+    TransferLeadership {
+        /// The sender's fencing token.
+        token: u64,
+    },
 }
 
 /// What a shard owner sends to the leader: it requests a lease and forwards its workers' heartbeats.
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -4,6 +4,8 @@
 //! Each kind of request has its own module. None of them keeps state: what a controller knows is
 //! asked of its event loop, and what is stored is read from the state service.
 
+#![warn(missing_docs)]
+
 mod admin;
 mod cancellation;
 mod error;
--- a/src/controller/effects/cloud.rs
+++ b/src/controller/effects/cloud.rs
@@ -25,9 +25,13 @@
 pub struct ScaleOutRequest {
     /// The name of the request. The cloud provisions nothing twice under one name.
     pub request: String,
+    /// The machine type of the workers.
     pub machine_type: String,
+    /// The zone to provision them in.
     pub zone: String,
+    /// Whether they are spot workers, which the cloud may reclaim.
     pub spot: bool,
+    /// How many workers.
     pub count: u32,
 }
 
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -32,7 +32,9 @@
 
 /// A heartbeat whose worker waits for the response.
 pub struct WaitingHeartbeat {
+    /// The heartbeat.
     pub heartbeat: Heartbeat,
+    /// Receives the response.
     pub reply: oneshot::Sender<Outgoing>,
 }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,6 +1,8 @@
 //! One controller process: the event loop that owns its state, its part as leader and as
 //! follower, and the effects that it carries out.
 
+#![warn(missing_docs)]
+
 pub mod commands;
 pub mod context;
 pub mod effects;
