--- a/benches/core.rs
+++ b/benches/core.rs
@@ -89,7 +89,7 @@
             _ => "small",
         };
         let zone = ["a", "b", "c"][i % 3];
-        crew.add(
+        crew.add_worker(
             &format!("vm-{i:06}"),
             flavor,
             zone,
@@ -123,8 +123,8 @@
     let total: f64 = crew.steps.iter().sum();
     println!(
         "{name}: {workers} machines, {SECONDS} s: {} starts, {} changes, {} steps",
-        crew.starts,
-        crew.changes,
+        crew.start_count,
+        crew.written_changes,
         crew.steps.len()
     );
     println!(
@@ -134,12 +134,12 @@
         quantiles(&crew.steps),
     );
     for i in (0..workers).filter(|i| i % 3 == 0) {
-        crew.silent.insert(format!("vm-{i:06}"));
+        crew.unreachable.insert(format!("vm-{i:06}"));
     }
     crew.run(10.0);
     let before = crew.steps.len();
     let began = std::time::Instant::now();
-    crew.next_leader();
+    crew.fail_over();
     let restored = began.elapsed();
     crew.run(2.0);
     println!(
@@ -147,12 +147,12 @@
         restored.as_secs_f64() * 1e3,
         quantiles(&crew.steps[before..]),
     );
-    let (before, starts) = (crew.steps.len(), crew.starts);
+    let (before, starts) = (crew.steps.len(), crew.start_count);
     crew.run(20.0);
     println!(
         "leases run out: {:.1} ms of processor time a second, {} starts; {}",
         crew.steps[before..].iter().sum::<f64>() * 1e3 / 20.0,
-        crew.starts - starts,
+        crew.start_count - starts,
         quantiles(&crew.steps[before..]),
     );
 }
--- a/crates/simulation/examples/fragmentation.rs
+++ b/crates/simulation/examples/fragmentation.rs
@@ -90,10 +90,10 @@
     fn new(case: Case) -> Self {
         let mut tuning = fixed_fleet();
         tuning.defragmentation.enabled = case.moves == Moves::Planner;
-        let mut crew = CoreHarness::tuned(TYPES, cluster(), 50, Snapshot::default(), tuning);
+        let mut crew = CoreHarness::with_tuning(TYPES, cluster(), 50, Snapshot::default(), tuning);
         for i in 0..case.nodes {
             let first = 0.1 + 2.4 * i as f64 / case.nodes as f64;
-            crew.add(&format!("n-{i:04}"), "gpu4", ZONES[i % 3], first);
+            crew.add_worker(&format!("n-{i:04}"), "gpu4", ZONES[i % 3], first);
         }
         crew.run(3.0);
         let mut play = Self { crew, next: 0 };
@@ -165,12 +165,12 @@
             waiting.push((id, now, tasks));
         }
         if now < warm {
-            lost_before = play.crew.lost_s;
+            lost_before = play.crew.lost_work_s;
         }
         play.crew.run(0.5);
         let now = play.crew.now;
         waiting.retain(|&(id, since, tasks)| {
-            let all = play.crew.places(id).len() == tasks || play.crew.over.contains(&id);
+            let all = play.crew.instances_of(id).len() == tasks || play.crew.finished.contains(&id);
             if all {
                 waits.record(millis(now - since)).expect("it resizes");
                 started += 1;
@@ -188,7 +188,7 @@
     Outcome {
         waits,
         never: waiting.len(),
-        lost_s: (play.crew.lost_s - lost_before) / f64::from(started.max(1)),
+        lost_s: (play.crew.lost_work_s - lost_before) / f64::from(started.max(1)),
         moved: play.crew.core.moves_ended(),
     }
 }
--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -1,8 +1,8 @@
-//! Workers that obey at once, and a state service and cloud that take
-//! everything: they drive the core alone, without a network or a process.
+//! Drives the core alone, without a network or a process, in simulated time.
 //!
-//! Single workers can be told to fall silent or to fail every task. A task that
-//! starts while another copy of it is on a worker ends the run.
+//! Fake workers carry out commands at once; the fake state service and the fake cloud accept every
+//! request. Single workers can be partitioned or made to fail every task. The run panics if a task
+//! starts while another instance of it is on a worker.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Instant;
@@ -26,53 +26,60 @@
 
 use crate::history::{History, What};
 
+/// Simulated time advances in steps of this.
 const TICK_S: f64 = 0.01;
+/// How long a worker takes to fetch an image that it does not have.
 pub const FETCH_S: f64 = 2.0;
 
 struct Worker {
-    flavor: &'static str,
+    machine_type: &'static str,
     zone: &'static str,
     incarnation: u64,
     counter: u64,
     token: u64,
-    next_report: f64,
-    reported_at: f64,
+    next_heartbeat_at: f64,
+    last_heartbeat_at: f64,
     answered_at: f64,
     images: BTreeSet<String>,
     tasks: BTreeMap<(JobId, u32, u64), (TaskPhase, f64)>,
 }
 
-/// What comes of the time that a task is given to save.
+/// How tasks save their checkpoints within the grace period of a stop.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum Saving {
-    /// It takes as long as the job says.
+pub enum CheckpointMode {
+    /// Takes as long as the job says.
     #[default]
     InTime,
-    /// It takes so many times as long.
+    /// Takes this many times as long.
     Slow(f64),
-    /// It takes its time and fails.
+    /// Takes as long as the job says, and fails.
     Fails,
 }
 
+/// The core of one leader, with fakes of everything around it.
 pub struct CoreHarness {
+    /// The core under test.
     pub core: Core,
+    /// The simulated time, in seconds.
     pub now: f64,
-    /// Workers that neither hear nor are heard.
-    pub silent: BTreeSet<String>,
-    /// Workers whose reports do not arrive, though they can be reached.
-    pub unreconciled: BTreeSet<String>,
+    /// Workers partitioned in both directions.
+    pub unreachable: BTreeSet<String>,
+    /// Workers whose heartbeats are lost, though commands reach them.
+    pub heartbeats_lost: BTreeSet<String>,
     /// Workers that fail every task.
-    pub sick: BTreeSet<String>,
+    pub failing_workers: BTreeSet<String>,
     /// Jobs that fail on every worker.
-    pub mistaken: BTreeSet<JobId>,
-    /// Workers that the cloud still has; those it rents never come up.
-    pub stock: u32,
-    /// When each of them was rented.
-    pub rented: Vec<f64>,
-    pub returned: Vec<String>,
+    pub failing_jobs: BTreeSet<JobId>,
+    /// How many workers the cloud can still provision; these never boot.
+    pub cloud_capacity: u32,
+    /// When each of them was provisioned.
+    pub provisioned_at: Vec<f64>,
+    /// Workers that the core has scaled in.
+    pub scaled_in: Vec<String>,
     /// Changes written so far.
-    pub changes: usize,
-    pub starts: u64,
+    pub written_changes: usize,
+    /// Start commands executed so far.
+    pub start_count: u64,
     /// Processor time of each step, in seconds.
     pub steps: Vec<f64>,
     /// The longest value written so far, in bytes.
@@ -81,55 +88,58 @@
     pub registry: BTreeMap<u32, Value>,
     /// Drains as they are stored.
     pub drains: BTreeMap<String, DrainRecord>,
-    /// The record of silent workers, as times of day.
+    /// The stored fencing record by page: workers, and the time of day of their last answer.
     pub fencing: BTreeMap<u32, Vec<(String, u64)>>,
-    /// What the next leader has given its word for.
+    /// Until when the next leader is bound by its lease extension vote.
     pub vote_binding_until: f64,
-    pub saving: Saving,
-    /// Workers that are gone for good.
-    pub dead: BTreeSet<String>,
+    /// How tasks save their checkpoints.
+    pub checkpointing: CheckpointMode,
+    /// Workers that were removed.
+    pub removed: BTreeSet<String>,
+    /// What happened to every task.
     pub history: History,
-    /// Jobs whose end is stored.
-    pub over: BTreeSet<JobId>,
-    /// The state service takes nothing.
+    /// Jobs whose terminal state is stored.
+    pub finished: BTreeSet<JobId>,
+    /// The state service is down: writes wait until it ends.
     pub outage: bool,
-    /// Answers to operators, by ticket.
-    pub told: BTreeMap<u64, (u16, Value)>,
-    progress: BTreeMap<(JobId, u32), Value>,
-    /// Work that was saved, in seconds.
-    saved: BTreeMap<(JobId, u32), f64>,
-    /// Seconds of work that stops have lost: unsaved, or spent on saving.
-    pub lost_s: f64,
-    /// Tasks whose result is there, whether the leader has heard of it or not.
+    /// Responses to operators (status, body), by ticket.
+    pub admin_responses: BTreeMap<u64, (u16, Value)>,
+    progress_records: BTreeMap<(JobId, u32), Value>,
+    /// Work saved in checkpoints, in seconds.
+    saved_work_s: BTreeMap<(JobId, u32), f64>,
+    /// Seconds of work lost by stops: unsaved, or spent on saving.
+    pub lost_work_s: f64,
+    /// Tasks that have completed, whether the leader knows it or not.
     completed: BTreeSet<(JobId, u32)>,
     tuning: Tuning,
     cluster: Cluster,
     types: String,
-    withheld: Vec<Vec<Write>>,
+    unwritten_batches: Vec<Vec<Write>>,
     cancelling: VecDeque<JobId>,
     revision: u64,
-    report_s: f64,
+    heartbeat_interval_s: f64,
     lease_s: f64,
     workers: BTreeMap<String, Worker>,
     specs: BTreeMap<JobId, JobSpec>,
-    later: Vec<(f64, Input)>,
-    asked: BTreeMap<u64, String>,
+    scheduled_inputs: Vec<(f64, Input)>,
+    awaiting_answer: BTreeMap<u64, String>,
     ticket: u64,
     next_step: f64,
 }
 
 impl CoreHarness {
+    /// A harness whose leader starts with an empty store.
     pub fn new(types: &str, cluster: Value, token: u64) -> Self {
-        Self::after(types, cluster, token, Snapshot::default())
+        Self::from_snapshot(types, cluster, token, Snapshot::default())
     }
 
-    /// A crew whose leader starts from what is stored.
-    pub fn after(types: &str, cluster: Value, token: u64, snapshot: Snapshot) -> Self {
-        Self::tuned(types, cluster, token, snapshot, Tuning::default())
+    /// A harness whose leader starts from a stored snapshot.
+    pub fn from_snapshot(types: &str, cluster: Value, token: u64, snapshot: Snapshot) -> Self {
+        Self::with_tuning(types, cluster, token, snapshot, Tuning::default())
     }
 
-    /// The same under settings of its own.
-    pub fn tuned(
+    /// A harness whose leader starts from a stored snapshot, with settings.
+    pub fn with_tuning(
         types: &str,
         cluster: Value,
         token: u64,
@@ -137,7 +147,7 @@
         tuning: Tuning,
     ) -> Self {
         let cluster: Cluster = serde_json::from_value(cluster).expect("valid");
-        let (report_s, lease_s) = (
+        let (heartbeat_interval_s, lease_s) = (
             cluster.workers.heartbeat_interval_s,
             cluster.workers.lease_s,
         );
@@ -152,73 +162,81 @@
             specs: specs.collect(),
             core: Core::new(config, token, 0.0, types, snapshot),
             now: 0.0,
-            silent: BTreeSet::new(),
-            unreconciled: BTreeSet::new(),
-            sick: BTreeSet::new(),
-            mistaken: BTreeSet::new(),
-            stock: 0,
-            rented: Vec::new(),
-            returned: Vec::new(),
-            changes: 0,
-            starts: 0,
+            unreachable: BTreeSet::new(),
+            heartbeats_lost: BTreeSet::new(),
+            failing_workers: BTreeSet::new(),
+            failing_jobs: BTreeSet::new(),
+            cloud_capacity: 0,
+            provisioned_at: Vec::new(),
+            scaled_in: Vec::new(),
+            written_changes: 0,
+            start_count: 0,
             steps: Vec::new(),
             largest_value: 0,
             registry: BTreeMap::new(),
             drains: BTreeMap::new(),
             fencing: BTreeMap::new(),
             vote_binding_until: 0.0,
-            saving: Saving::InTime,
-            dead: BTreeSet::new(),
+            checkpointing: CheckpointMode::InTime,
+            removed: BTreeSet::new(),
             history: History::default(),
-            over: BTreeSet::new(),
+            finished: BTreeSet::new(),
             outage: false,
-            told: BTreeMap::new(),
-            progress: BTreeMap::new(),
-            saved: BTreeMap::new(),
-            lost_s: 0.0,
+            admin_responses: BTreeMap::new(),
+            progress_records: BTreeMap::new(),
+            saved_work_s: BTreeMap::new(),
+            lost_work_s: 0.0,
             completed: BTreeSet::new(),
             tuning,
             cluster,
             types: text,
-            withheld: Vec::new(),
+            unwritten_batches: Vec::new(),
             cancelling: VecDeque::new(),
             revision: 500,
-            report_s,
+            heartbeat_interval_s,
             lease_s,
             workers: BTreeMap::new(),
-            later: Vec::new(),
-            asked: BTreeMap::new(),
+            scheduled_inputs: Vec::new(),
+            awaiting_answer: BTreeMap::new(),
             ticket: 0,
             next_step: 0.0,
         }
     }
 
-    pub fn add(&mut self, name: &str, flavor: &'static str, zone: &'static str, first_report: f64) {
+    /// Adds a running worker.
+    pub fn add_worker(
+        &mut self,
+        name: &str,
+        machine_type: &'static str,
+        zone: &'static str,
+        first_heartbeat_at: f64,
+    ) {
         let worker = Worker {
-            flavor,
+            machine_type,
             zone,
             incarnation: 1,
             counter: 0,
             token: 0,
-            next_report: first_report,
-            reported_at: f64::NEG_INFINITY,
-            answered_at: first_report,
+            next_heartbeat_at: first_heartbeat_at,
+            last_heartbeat_at: f64::NEG_INFINITY,
+            answered_at: first_heartbeat_at,
             images: BTreeSet::new(),
             tasks: BTreeMap::new(),
         };
         self.workers.insert(name.to_string(), worker);
     }
 
+    /// Submits a job; fields that the body leaves out have the values of [`stored`].
     pub fn submit(&mut self, body: &Value) -> JobId {
         let job = stored(body, self.core.token + 1);
         let id = job.spec.id;
         self.specs.insert(id, job.spec.clone());
-        self.later.push((self.now, Input::Job(job)));
+        self.scheduled_inputs.push((self.now, Input::Job(job)));
         id
     }
 
-    /// Where the tasks of a job are, be they fetching or running.
-    pub fn places(&self, job: JobId) -> Vec<(u32, &str)> {
+    /// The live instances of a job, as (task, worker).
+    pub fn instances_of(&self, job: JobId) -> Vec<(u32, &str)> {
         self.workers
             .iter()
             .flat_map(|(name, w)| {
@@ -248,6 +266,7 @@
             .collect()
     }
 
+    /// Runs for this long in simulated time.
     pub fn run(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
@@ -256,21 +275,21 @@
         }
     }
 
-    /// A worker's lease runs out. It counts from when the last answered report was
-    /// sent, which may be seconds before the leader received it.
-    pub fn end_incarnation(&mut self, name: &str) {
+    /// A worker's lease expires and a new incarnation starts. The lease counts from when the last
+    /// answered heartbeat was sent, which may be seconds before the leader received it.
+    pub fn restart_worker(&mut self, name: &str) {
         let w = self.workers.get_mut(name).expect("known");
         w.incarnation += 1;
         w.tasks.clear();
         w.answered_at = self.now;
     }
 
-    /// The worker is gone, and nobody is told.
-    pub fn die(&mut self, name: &str) {
+    /// Removes a worker without notifying the core.
+    pub fn remove_worker(&mut self, name: &str) {
         let Some(w) = self.workers.remove(name) else {
             return;
         };
-        self.dead.insert(name.to_string());
+        self.removed.insert(name.to_string());
         let now = self.now;
         for ((job, task, attempt), (phase, _)) in w.tasks {
             if on_worker(phase) {
@@ -280,11 +299,14 @@
         }
     }
 
-    /// The leader is no more. The next one reads what is stored; nothing that was on its
-    /// way to the last one reaches anybody.
-    pub fn next_leader(&mut self) {
+    /// Replaces the leader by one that reads what is stored. Everything in flight to the previous
+    /// leader is lost, except job submissions.
+    pub fn fail_over(&mut self) {
         let token = self.core.token + 1000;
-        let live = self.specs.iter().filter(|(id, _)| !self.over.contains(id));
+        let live = self
+            .specs
+            .iter()
+            .filter(|(id, _)| !self.finished.contains(id));
         let jobs: Vec<StoredJob> = live
             .map(|(id, spec)| StoredJob {
                 accepted_ms: id.0,
@@ -293,14 +315,17 @@
                 version: token - 1,
             })
             .collect();
-        let progress = self.progress.iter().filter_map(|(&(job, chunk), value)| {
-            Some(StoredProgress {
-                job,
-                chunk,
-                bitmap: TaskBitmap::from_record(value).ok()?,
-                version: self.revision,
-            })
-        });
+        let progress = self
+            .progress_records
+            .iter()
+            .filter_map(|(&(job, chunk), value)| {
+                Some(StoredProgress {
+                    job,
+                    chunk,
+                    bitmap: TaskBitmap::from_record(value).ok()?,
+                    version: self.revision,
+                })
+            });
         let drains = self.drains.iter().map(|(node, record)| StoredDrain {
             worker: node.clone(),
             record: Some(*record),
@@ -334,41 +359,45 @@
         };
         let types = parse_machine_types(self.types.as_bytes()).expect("valid");
         self.core = Core::new(config, token, self.now, types, snapshot);
-        self.later
+        self.scheduled_inputs
             .retain(|(_, input)| matches!(input, Input::Job(_)));
-        self.asked.clear();
-        self.withheld.clear();
+        self.awaiting_answer.clear();
+        self.unwritten_batches.clear();
     }
 
-    /// What an operator asks; the answer comes to `told` under this number.
-    pub fn operate(&mut self, order: AdminRequest) -> u64 {
+    /// Sends an operator's request. The response arrives in `admin_responses` under the returned
+    /// ticket.
+    pub fn send_admin_request(&mut self, request: AdminRequest) -> u64 {
         self.ticket += 1;
         let input = Input::Admin {
             ticket: self.ticket,
-            request: order,
+            request,
             unix_ms: (self.now * 1000.0) as u64,
         };
-        self.later.push((self.now, input));
+        self.scheduled_inputs.push((self.now, input));
         self.ticket
     }
 
-    /// Asks, and waits for the answer.
-    pub fn ask(&mut self, order: AdminRequest) -> (u16, Value) {
-        let ticket = self.operate(order);
+    /// Sends an operator's request and runs until the response has arrived.
+    pub fn admin_request(&mut self, request: AdminRequest) -> (u16, Value) {
+        let ticket = self.send_admin_request(request);
         self.run(0.3);
-        self.told.remove(&ticket).expect("answered at once")
+        self.admin_responses
+            .remove(&ticket)
+            .expect("answered at once")
     }
 
-    /// A user cancels a job: the leader stops starting it, stores that, and is told.
+    /// A user cancels a job: the leader stops starting it, and is notified once that is stored.
     pub fn cancel(&mut self, job: JobId) {
         self.cancelling.push_back(job);
         let (ticket, now) = (self.ticket, self.now);
         self.ticket += 1;
-        self.later.push((now, Input::CancelBegin { ticket, job }));
+        self.scheduled_inputs
+            .push((now, Input::CancelBegin { ticket, job }));
     }
 
-    /// Time passes without the core, as when its process stands still.
-    pub fn sleep(&mut self, seconds: f64) {
+    /// Simulated time passes without a step of the core: a process pause.
+    pub fn pause(&mut self, seconds: f64) {
         self.now += seconds;
     }
 
@@ -377,30 +406,30 @@
         let mut inputs = Vec::new();
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
-            self.progress(&name);
+            self.advance_worker(&name);
             let w = &self.workers[&name];
-            if w.next_report > now
-                || self.silent.contains(&name)
-                || self.unreconciled.contains(&name)
+            if w.next_heartbeat_at > now
+                || self.unreachable.contains(&name)
+                || self.heartbeats_lost.contains(&name)
             {
                 continue;
             }
             self.ticket += 1;
-            self.asked.insert(self.ticket, name.clone());
+            self.awaiting_answer.insert(self.ticket, name.clone());
             let heartbeat = self.heartbeat(&name);
             inputs.push(Input::Heartbeat {
                 ticket: self.ticket,
                 heartbeat,
             });
-            let report_s = self.report_s;
+            let heartbeat_interval_s = self.heartbeat_interval_s;
             let w = self.workers.get_mut(&name).expect("known");
-            w.reported_at = now;
-            w.next_report = now + report_s;
+            w.last_heartbeat_at = now;
+            w.next_heartbeat_at = now + heartbeat_interval_s;
         }
-        let (due, later) = std::mem::take(&mut self.later)
+        let (due, later) = std::mem::take(&mut self.scheduled_inputs)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.later = later;
+        self.scheduled_inputs = later;
         inputs.extend(due.into_iter().map(|(_, input): (f64, Input)| input));
         if inputs.is_empty() && now < self.next_step {
             return;
@@ -414,10 +443,10 @@
         }
     }
 
-    /// Lets images arrive, tasks end and leases run out.
-    fn progress(&mut self, name: &str) {
+    /// Advances one worker: images arrive, tasks end, and its lease may expire.
+    fn advance_worker(&mut self, name: &str) {
         let now = self.now;
-        let sick = self.sick.contains(name);
+        let sick = self.failing_workers.contains(name);
         let w = self.workers.get_mut(name).expect("known");
         if now - w.answered_at > self.lease_s {
             w.incarnation += 1;
@@ -438,13 +467,13 @@
             let id = format!("{job}/{task}");
             let next = match phase {
                 TaskPhase::Saving => TaskPhase::Exited(Exit::Stopped {
-                    saved: self.saving != Saving::Fails,
+                    saved: self.checkpointing != CheckpointMode::Fails,
                 }),
                 // The result is kept: it ends as soon as it has its image.
                 TaskPhase::Fetching if self.completed.contains(&(job, task)) => {
                     TaskPhase::Exited(Exit::Done)
                 }
-                TaskPhase::Fetching if sick || self.mistaken.contains(&job) => {
+                TaskPhase::Fetching if sick || self.failing_jobs.contains(&job) => {
                     TaskPhase::Exited(Exit::Error)
                 }
                 TaskPhase::Fetching => TaskPhase::Running,
@@ -464,7 +493,7 @@
                 self.history.note(now, &id, attempt, name, what);
             }
             *phase = next;
-            let saved = self.saved.get(&(job, task)).copied().unwrap_or(0.0);
+            let saved = self.saved_work_s.get(&(job, task)).copied().unwrap_or(0.0);
             *until = match spec.kind {
                 Kind::Service => f64::INFINITY,
                 _ => now + (spec.estimate_s - saved).max(0.0),
@@ -472,7 +501,7 @@
             changed = true;
         }
         if changed {
-            w.next_report = w.next_report.min(now.max(w.reported_at + 0.5));
+            w.next_heartbeat_at = w.next_heartbeat_at.min(now.max(w.last_heartbeat_at + 0.5));
         }
     }
 
@@ -482,7 +511,7 @@
         Heartbeat {
             worker: name.to_string(),
             address: "10.1.0.1:9000".into(),
-            machine_type: w.flavor.into(),
+            machine_type: w.machine_type.into(),
             zone: w.zone.into(),
             spot: false,
             incarnation: w.incarnation,
@@ -502,16 +531,17 @@
         }
     }
 
-    pub fn obey(&mut self, name: &str, commands: &[Command]) {
+    /// A worker executes commands. Panics if a task starts while another instance of it lives.
+    pub fn execute_commands(&mut self, name: &str, commands: &[Command]) {
         let now = self.now;
         for c in commands.iter().filter(|c| c.verb == Verb::Start) {
-            let redirects = self.workers.iter().any(|(other, w)| {
+            let runs_elsewhere = self.workers.iter().any(|(other, w)| {
                 other != name
                     && w.tasks.iter().any(|((job, task, _), (phase, _))| {
                         (*job, *task) == (c.job, c.task) && !matches!(phase, TaskPhase::Exited(_))
                     })
             });
-            assert!(!redirects, "{}/{} ran twice", c.job, c.task);
+            assert!(!runs_elsewhere, "{}/{} ran twice", c.job, c.task);
         }
         let token = self.core.token;
         let w = self.workers.get_mut(name).expect("known");
@@ -520,7 +550,7 @@
             let key = (c.job, c.task, c.attempt);
             match c.verb {
                 Verb::Start => {
-                    self.starts += 1;
+                    self.start_count += 1;
                     let here = w.images.contains(&self.specs[&c.job].image);
                     let fetch = if here { 0.0 } else { FETCH_S };
                     w.tasks
@@ -536,24 +566,24 @@
                     match t.0 {
                         TaskPhase::Exited(_) => {}
                         TaskPhase::Running if saves => {
-                            let takes = match self.saving {
-                                Saving::Slow(times) => spec.save_s * times,
+                            let save_s = match self.checkpointing {
+                                CheckpointMode::Slow(times) => spec.save_s * times,
                                 _ => spec.save_s,
                             };
-                            self.lost_s += takes;
-                            if self.saving != Saving::Fails {
+                            self.lost_work_s += save_s;
+                            if self.checkpointing != CheckpointMode::Fails {
                                 let left = (t.1 - now).max(0.0);
                                 let did = (spec.estimate_s - left).max(0.0);
-                                self.saved.insert((c.job, c.task), did);
+                                self.saved_work_s.insert((c.job, c.task), did);
                             }
-                            *t = (TaskPhase::Saving, now + takes);
+                            *t = (TaskPhase::Saving, now + save_s);
                         }
                         TaskPhase::Saving if grace_s > 0.0 => {}
                         phase => {
                             if phase == TaskPhase::Running && spec.kind != Kind::Service {
-                                let saved = self.saved.get(&(c.job, c.task)).copied();
+                                let saved = self.saved_work_s.get(&(c.job, c.task)).copied();
                                 let done = spec.estimate_s - (t.1 - now) - saved.unwrap_or(0.0);
-                                self.lost_s += done.max(0.0);
+                                self.lost_work_s += done.max(0.0);
                             }
                             if on_worker(phase) {
                                 let task = format!("{}/{}", c.job, c.task);
@@ -569,7 +599,7 @@
             }
         }
         if !commands.is_empty() {
-            w.next_report = w.next_report.min(now.max(w.reported_at + 0.5));
+            w.next_heartbeat_at = w.next_heartbeat_at.min(now.max(w.last_heartbeat_at + 0.5));
         }
     }
 
@@ -577,9 +607,9 @@
         let now = self.now;
         match effect {
             Effect::Answer { ticket, body } => {
-                let name = self.asked.remove(&ticket).expect("asked once");
+                let name = self.awaiting_answer.remove(&ticket).expect("answered once");
                 self.workers.get_mut(&name).expect("known").answered_at = now;
-                self.obey(&name, &commands_of(&body));
+                self.execute_commands(&name, &commands_of(&body));
             }
             Effect::Direct {
                 worker,
@@ -588,7 +618,7 @@
                 commands,
                 ..
             } => {
-                self.take_orders(worker, incarnation, message_id, &commands);
+                self.deliver_message(worker, incarnation, message_id, &commands);
             }
             Effect::Inspect {
                 worker,
@@ -596,9 +626,9 @@
                 message_id,
                 ..
             } => {
-                self.take_orders(worker, incarnation, message_id, &[]);
+                self.deliver_message(worker, incarnation, message_id, &[]);
             }
-            Effect::Write(batch) if self.outage => self.withheld.push(batch),
+            Effect::Write(batch) if self.outage => self.unwritten_batches.push(batch),
             Effect::Write(batch) => self.store(batch),
             Effect::AdminAnswered {
                 ticket,
@@ -606,28 +636,28 @@
                 body,
             } => {
                 let body = serde_json::from_slice(&body).expect("JSON");
-                self.told.insert(ticket, (status, body));
+                self.admin_responses.insert(ticket, (status, body));
             }
             Effect::Cancel { begin, .. } => {
-                // Stored at once: these users do not give up.
+                // Stored at once: these users wait as long as it takes.
                 if let CancelBegin::Go { done } = begin
                     && let Some(job) = self.cancelling.pop_front()
                 {
-                    self.over.insert(job);
+                    self.finished.insert(job);
                     let phase = Phase::Cancelled;
                     let end = Some(JobOutcome { phase, done });
-                    self.later
+                    self.scheduled_inputs
                         .push((now + 0.05, Input::CancelSettled { job, end }));
                 } else {
                     self.cancelling.pop_front();
                 }
             }
             Effect::ScaleOut { request, count, .. } => {
-                let count = count.min(self.stock);
-                self.stock -= count;
-                let first = self.rented.len();
-                self.rented.extend((0..count).map(|_| now));
-                let names: Vec<String> = (first..self.rented.len())
+                let count = count.min(self.cloud_capacity);
+                self.cloud_capacity -= count;
+                let first = self.provisioned_at.len();
+                self.provisioned_at.extend((0..count).map(|_| now));
+                let names: Vec<String> = (first..self.provisioned_at.len())
                     .map(|i| format!("rented-{i}"))
                     .collect();
                 let outcome = if names.is_empty() {
@@ -636,27 +666,27 @@
                     ScaleOutOutcome::Workers(names)
                 };
                 let input = Input::ScaledOut { request, outcome };
-                self.later.push((now + 0.1, input));
+                self.scheduled_inputs.push((now + 0.1, input));
             }
             Effect::ScaleIn(workers) => {
                 for name in &workers {
-                    self.die(name);
-                    self.returned.push(name.clone());
+                    self.remove_worker(name);
+                    self.scaled_in.push(name.clone());
                 }
                 let input = Input::ScaledIn { workers, ok: true };
-                self.later.push((now + 0.1, input));
+                self.scheduled_inputs.push((now + 0.1, input));
             }
             Effect::List => self
-                .later
+                .scheduled_inputs
                 .push((now + 0.1, Input::ListedWorker(Vec::new()))),
             _ => {}
         }
     }
 
-    /// The state service is there again, and carries out what waited.
+    /// Ends the outage of the state service, and writes what waited.
     pub fn end_outage(&mut self) {
         self.outage = false;
-        for batch in std::mem::take(&mut self.withheld) {
+        for batch in std::mem::take(&mut self.unwritten_batches) {
             self.store(batch);
         }
     }
@@ -665,7 +695,7 @@
         let mut results = Vec::new();
         self.revision += 1;
         for write in batch {
-            self.changes += write.changes();
+            self.written_changes += write.changes();
             match &write {
                 Write::WorkerRegistry { page, value, .. } => {
                     self.largest_value = self.largest_value.max(value.to_string().len());
@@ -675,13 +705,13 @@
                     job, chunk, value, ..
                 } => {
                     self.largest_value = self.largest_value.max(value.to_string().len());
-                    self.progress.insert((*job, *chunk), value.clone());
+                    self.progress_records.insert((*job, *chunk), value.clone());
                 }
                 Write::DropProgress { job, chunk, .. } => {
-                    self.progress.remove(&(*job, *chunk));
+                    self.progress_records.remove(&(*job, *chunk));
                 }
                 Write::Finish { job, .. } => {
-                    self.over.insert(*job);
+                    self.finished.insert(*job);
                 }
                 Write::FencingRecord { page, workers, .. } => {
                     let now_ms = (self.now * 1000.0) as u64;
@@ -699,24 +729,25 @@
             let version = self.revision;
             results.push((write, Written::Stored { version }));
         }
-        self.later.push((self.now + 0.05, Input::Written(results)));
+        self.scheduled_inputs
+            .push((self.now + 0.05, Input::Written(results)));
     }
 
-    /// A silent worker is known to be so only when the time to connect is over.
-    /// What was sent to a worker's own address; a question is orders without an order.
-    fn take_orders(
+    /// Delivers a direct message to a worker; a probe carries no commands. An unreachable worker
+    /// is reported as such only after the connect timeout.
+    fn deliver_message(
         &mut self,
         worker: String,
         incarnation: u64,
         message_id: u64,
-        orders: &[Command],
+        commands: &[Command],
     ) {
         let known = self.workers.contains_key(&worker);
-        let reached = known && !self.silent.contains(&worker);
+        let reached = known && !self.unreachable.contains(&worker);
         let outcome = if !reached {
             Outcome::Unsent
         } else if self.workers[&worker].incarnation == incarnation {
-            self.obey(&worker, orders);
+            self.execute_commands(&worker, commands);
             Outcome::Executed(self.heartbeat(&worker))
         } else {
             Outcome::Rejected(Some(self.heartbeat(&worker)))
@@ -730,11 +761,11 @@
             message_id,
             outcome,
         };
-        self.later.push((self.now + after, input));
+        self.scheduled_inputs.push((self.now + after, input));
     }
 }
 
-/// Whether a task is on its worker, as the aims and the rules count it.
+/// Whether a task occupies its worker: it has its image and has not exited.
 fn on_worker(phase: TaskPhase) -> bool {
     matches!(
         phase,
@@ -742,7 +773,7 @@
     )
 }
 
-/// Settings under which the core rents one worker at most and returns none for being idle.
+/// Settings under which the core provisions one worker at most and scales in none for being idle.
 pub fn fixed_fleet() -> Tuning {
     Tuning {
         fleet_max: 1,
@@ -752,7 +783,7 @@
     }
 }
 
-/// A job as the state service keeps it.
+/// A job as the state service stores it: the body's fields over those of a small default job.
 pub fn stored(body: &Value, version: u64) -> StoredJob {
     let mut whole = json!({"jobclass": "c", "owner": "team", "shape": "sweep", "rank": "normal",
         "shards": 1, "cpus": 1.0, "memory_gb": 2.0, "bundle": "img", "pull_gb": 0.5, "runtime_s": 20.0});
--- a/tests/behaviours.rs
+++ b/tests/behaviours.rs
@@ -29,7 +29,7 @@
         for i in 0..count {
             let name = format!("{zone}-{flavor}-{i}");
             // Heartbeats are spread over the interval, as they are in life.
-            harness.add(&name, flavor, zone, 0.1 + i as f64 * 1.9 / count as f64);
+            harness.add_worker(&name, flavor, zone, 0.1 + i as f64 * 1.9 / count as f64);
         }
     }
     harness
@@ -48,7 +48,7 @@
 
 fn tasks_placed(harness: &CoreHarness, job: JobId) -> usize {
     let tasks: BTreeSet<u32> = harness
-        .places(job)
+        .instances_of(job)
         .into_iter()
         .map(|(task, _)| task)
         .collect();
@@ -65,16 +65,16 @@
     assert_eq!(tasks_placed(&harness, job), 8);
     let partitioned: BTreeSet<String> = (0..8).map(|i| format!("b-small-{i}")).collect();
     let there = harness
-        .places(job)
+        .instances_of(job)
         .iter()
         .filter(|(_, m)| partitioned.contains(*m))
         .count();
     assert_eq!(there, 4, "spread over the zones");
-    harness.silent = partitioned.clone();
+    harness.unreachable = partitioned.clone();
     harness.run(16.0);
-    assert_eq!(harness.returned, Vec::<String>::new());
+    assert_eq!(harness.scaled_in, Vec::<String>::new());
     // Spread allows no more than half in one zone, so these wait for theirs.
-    harness.silent.clear();
+    harness.unreachable.clear();
     harness.run(4.0);
     assert_eq!(tasks_placed(&harness, job), 8);
 }
@@ -86,10 +86,10 @@
     let mut harness = harness_with(&[("a", "small", 8), ("b", "small", 8)]);
     let job = harness.submit(&service(1, 8));
     harness.run(20.0);
-    let hung = harness.places(job)[0].1.to_string();
-    harness.silent.insert(hung.clone());
+    let hung = harness.instances_of(job)[0].1.to_string();
+    harness.unreachable.insert(hung.clone());
     harness.run(5.0);
-    assert_eq!(harness.returned, vec![hung]);
+    assert_eq!(harness.scaled_in, vec![hung]);
     assert_eq!(tasks_placed(&harness, job), 8);
 }
 
@@ -100,12 +100,12 @@
     let mut harness = harness_with(&[("a", "small", 3), ("b", "small", 3)]);
     let job = harness.submit(&service(1, 4));
     harness.run(20.0);
-    let lost = harness.places(job)[0].1.to_string();
-    harness.sick = (0..3).map(|i| format!("a-small-{i}")).collect();
-    harness.sick.remove(&lost);
-    harness.silent.insert(lost);
+    let lost = harness.instances_of(job)[0].1.to_string();
+    harness.failing_workers = (0..3).map(|i| format!("a-small-{i}")).collect();
+    harness.failing_workers.remove(&lost);
+    harness.unreachable.insert(lost);
     harness.run(25.0);
-    harness.sick.clear();
+    harness.failing_workers.clear();
     harness.run(30.0);
     assert_eq!(tasks_placed(&harness, job), 4);
 }
@@ -161,7 +161,7 @@
     );
     harness.run(40.0);
     for i in 0..2 {
-        harness.add(&format!("a-small-{i}"), "small", "a", harness.now + 0.1);
+        harness.add_worker(&format!("a-small-{i}"), "small", "a", harness.now + 0.1);
     }
     let gang = harness.submit(&bake(2, 2, 60.0));
     harness.run(15.0);
@@ -176,9 +176,9 @@
     let mut harness = harness_with(&[("a", "small", 60), ("b", "small", 60)]);
     harness.run(10.0);
     assert!(
-        harness.changes <= 60,
+        harness.written_changes <= 60,
         "{} changes for 120 workers",
-        harness.changes
+        harness.written_changes
     );
     let stored: usize = harness
         .registry
@@ -195,7 +195,7 @@
 fn worker_with_an_expired_lease_leaves_the_registry() {
     let mut harness = harness_with(&[("a", "small", 3)]);
     harness.run(5.0);
-    harness.silent.insert("a-small-1".into());
+    harness.unreachable.insert("a-small-1".into());
     harness.run(15.0);
     let names: Vec<&String> = harness
         .registry
@@ -203,7 +203,7 @@
         .flat_map(|v| v.as_object().expect("a map").keys())
         .collect();
     assert_eq!(names, ["a-small-0", "a-small-2"]);
-    harness.silent.clear();
+    harness.unreachable.clear();
     harness.run(4.0);
     let job = harness.submit(&json!({"uid": "wk-000001", "shards": 12, "memory_gb": 1.0}));
     harness.run(3.0);
@@ -230,8 +230,8 @@
         registry: page(pages),
         ..Snapshot::default()
     };
-    let mut harness = CoreHarness::after(TYPES, cluster(), 60, snapshot);
-    harness.add("a-small-0", "small", "a", 0.2);
+    let mut harness = CoreHarness::from_snapshot(TYPES, cluster(), 60, snapshot);
+    harness.add_worker("a-small-0", "small", "a", 0.2);
     harness.run(2.0);
     (harness, JobId(1))
 }
@@ -280,7 +280,7 @@
         &json!({"uid": "wk-000001", "shards": 100_000, "runtime_s": 2.0, "memory_gb": 1.0}),
     );
     harness.run(20.0);
-    assert!(harness.starts > 200, "{} starts", harness.starts);
+    assert!(harness.start_count > 200, "{} starts", harness.start_count);
     assert!(harness.largest_value > 1000, "its bits are stored");
     assert!(
         harness.largest_value <= 8 * 1024,
@@ -298,7 +298,7 @@
     let mut harness = harness_with(&[("a", "small", 2)]);
     let job = harness.submit(&json!({"uid": "wk-000001"}));
     harness.run(3.0);
-    let there = harness.places(job)[0].1.to_string();
+    let there = harness.instances_of(job)[0].1.to_string();
     let other = if there == "a-small-0" {
         "a-small-1"
     } else {
@@ -310,7 +310,7 @@
         task: 0,
         attempt: 7,
     };
-    harness.obey(other, &[start]);
+    harness.execute_commands(other, &[start]);
 }
 
 /// A leader whose process had been paused found every worker unresponsive afterwards: it resigned, and
@@ -321,23 +321,23 @@
         let mut harness = harness_with(&[("a", "small", 8), ("b", "small", 8)]);
         let job = harness.submit(&service(1, 12));
         harness.run(30.0);
-        harness.sleep(pause_s);
+        harness.pause(pause_s);
         if pause_reported {
             harness.core.paused(pause_s);
         }
         // The first step after it comes before anything has been read.
-        harness.silent = ["a", "b"]
+        harness.unreachable = ["a", "b"]
             .iter()
             .flat_map(|zone| (0..8).map(move |i| format!("{zone}-small-{i}")))
             .collect();
         harness.run(0.06);
         assert_eq!(harness.core.has_lost_all_workers(), !pause_reported);
-        harness.silent.clear();
+        harness.unreachable.clear();
         harness.run(1.0);
         assert!(
-            !pause_reported || harness.returned.is_empty(),
+            !pause_reported || harness.scaled_in.is_empty(),
             "{:?}",
-            harness.returned
+            harness.scaled_in
         );
         harness.run(20.0);
         assert_eq!(tasks_placed(&harness, job), 12);
@@ -356,29 +356,41 @@
             body["shards"] = json!(4);
         }
         let job = harness.submit(&body);
-        harness.mistaken.insert(job);
+        harness.failing_jobs.insert(job);
     }
     harness.run(60.0);
-    assert!(harness.returned.is_empty(), "{:?}", harness.returned);
-    assert!(harness.starts < 12 * 30, "{} starts", harness.starts);
+    assert!(harness.scaled_in.is_empty(), "{:?}", harness.scaled_in);
+    assert!(
+        harness.start_count < 12 * 30,
+        "{} starts",
+        harness.start_count
+    );
     let good = harness.submit(&json!({"uid": "wk-000099", "shards": 32}));
     harness.run(1.0);
     assert_eq!(tasks_placed(&harness, good), 32, "every worker is used");
-    let before = harness.starts;
+    let before = harness.start_count;
     harness.run(120.0);
-    assert!(harness.starts - before < 12 * 10, "tried ever more seldom");
+    assert!(
+        harness.start_count - before < 12 * 10,
+        "tried ever more seldom"
+    );
 }
 
 /// Whether the worker or the job is at fault is decided by where the job runs well.
 #[test]
 fn faulty_worker_is_recognized_by_a_job_that_runs_elsewhere() {
     let mut harness = harness_with(&[("a", "small", 1), ("b", "small", 2)]);
-    harness.sick.insert("a-small-0".into());
+    harness.failing_workers.insert("a-small-0".into());
     let first = harness.submit(&json!({"uid": "wk-000001", "shards": 9, "runtime_s": 15.0}));
     harness.run(20.0);
     let next = harness.submit(&json!({"uid": "wk-000002", "shards": 8, "runtime_s": 15.0}));
     harness.run(3.0);
-    let on_sick = |job| harness.places(job).iter().any(|(_, m)| *m == "a-small-0");
+    let on_sick = |job| {
+        harness
+            .instances_of(job)
+            .iter()
+            .any(|(_, m)| *m == "a-small-0")
+    };
     assert!(!on_sick(first) && !on_sick(next));
 }
 
@@ -386,19 +398,19 @@
 #[test]
 fn worker_that_never_boots_is_replaced_once_and_scaled_in() {
     let mut harness = harness_with(&[("a", "small", 1)]);
-    harness.stock = 100;
+    harness.cloud_capacity = 100;
     harness.submit(&json!({"uid": "wk-000001", "shards": 8, "runtime_s": 400.0}));
     harness.run(10.0);
-    let wanted = harness.rented.len();
+    let wanted = harness.provisioned_at.len();
     assert_eq!(wanted, 1, "4 of 8 tasks have no room");
     harness.run(20.0);
     assert_eq!(
-        harness.rented.len(),
+        harness.provisioned_at.len(),
         2,
         "replaced once overdue, not twice over"
     );
     harness.run(30.0);
-    assert!(harness.returned.contains(&"rented-0".to_string()));
+    assert!(harness.scaled_in.contains(&"rented-0".to_string()));
 }
 
 /// Tasks that take checkpoints are given the time for one when they are preempted; replicas that were to
@@ -462,13 +474,13 @@
     let mut harness = harness_with(&[("a", "small", 24), ("b", "small", 24)]);
     let job = harness.submit(&service(1, 60));
     harness.run(20.0);
-    harness.unreconciled = (0..24).map(|i| format!("a-small-{i}")).collect();
+    harness.heartbeats_lost = (0..24).map(|i| format!("a-small-{i}")).collect();
     harness.run(7.0);
-    for name in harness.unreconciled.clone() {
-        harness.end_incarnation(&name);
+    for name in harness.heartbeats_lost.clone() {
+        harness.restart_worker(&name);
     }
     harness.run(8.0);
-    harness.unreconciled.clear();
+    harness.heartbeats_lost.clear();
     harness.run(20.0);
     assert_eq!(tasks_placed(&harness, job), 60);
 }
@@ -482,19 +494,19 @@
     limited["teams"] = json!([{"name": "team", "cpus_max": 12.0}]);
     let mut harness = CoreHarness::new(TYPES, limited, 50);
     for i in 0..4 {
-        harness.add(&format!("a-small-{i}"), "small", "a", 0.1 + i as f64 * 0.4);
+        harness.add_worker(&format!("a-small-{i}"), "small", "a", 0.1 + i as f64 * 0.4);
     }
     harness.run(3.0);
     let old = harness.submit(&json!({"uid": "wk-000001", "shards": 8, "runtime_s": 100.0}));
     harness.run(5.0);
     assert_eq!(tasks_placed(&harness, old), 8);
     let hidden: Vec<String> = harness
-        .places(old)
+        .instances_of(old)
         .into_iter()
         .map(|p| p.1.into())
         .collect();
-    harness.silent.insert(hidden[0].clone());
-    harness.next_leader();
+    harness.unreachable.insert(hidden[0].clone());
+    harness.fail_over();
     harness.run(0.5);
     let later = harness.submit(&json!({"uid": "wk-000002", "shards": 12, "runtime_s": 100.0}));
     for _ in 0..60 {
@@ -521,11 +533,11 @@
         assert_eq!(tasks_placed(&harness, job), 16);
         for i in 0..lost {
             let zone = ["a", "b"][i % 2];
-            harness.die(&format!("{zone}-small-{}", i / 2));
+            harness.remove_worker(&format!("{zone}-small-{}", i / 2));
         }
-        harness.next_leader();
+        harness.fail_over();
         harness.run(4.2);
-        assert_eq!(harness.returned.len(), if scaled_in { lost } else { 0 });
+        assert_eq!(harness.scaled_in.len(), if scaled_in { lost } else { 0 });
         let up = tasks_placed(&harness, job);
         assert_eq!(
             up == 16,
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -31,7 +31,7 @@
     for zone in ["a", "b"] {
         for i in 0..8 {
             let name = format!("{zone}-{i}");
-            harness.add(&name, "small", zone, 0.1 + f64::from(i) * 0.2);
+            harness.add_worker(&name, "small", zone, 0.1 + f64::from(i) * 0.2);
         }
     }
     let job = harness.submit(
@@ -52,20 +52,20 @@
 impl Service {
     /// How many tasks are on some worker.
     fn placed_tasks(&self) -> usize {
-        let places = self.harness.places(self.job).into_iter();
+        let places = self.harness.instances_of(self.job).into_iter();
         let tasks: BTreeSet<u32> = places.map(|(task, _)| task).collect();
         tasks.len()
     }
 
     /// How many task instances are in zone b.
     fn instances_in_zone_b(&self) -> usize {
-        let places = self.harness.places(self.job);
+        let places = self.harness.instances_of(self.job);
         let in_b = places.iter().filter(|(_, w)| self.zone_b.contains(*w));
         in_b.count()
     }
 
     fn instances(&self) -> usize {
-        self.harness.places(self.job).len()
+        self.harness.instances_of(self.job).len()
     }
 
     /// How many workers the stored fencing record names.
@@ -74,7 +74,7 @@
     }
 
     fn cut_zone_b(&mut self) {
-        self.harness.silent = self.zone_b.clone();
+        self.harness.unreachable = self.zone_b.clone();
     }
 
     fn check_history(&self) {
@@ -90,7 +90,7 @@
     service.cut_zone_b();
     for delay_s in failovers_after_s {
         service.harness.run(*delay_s);
-        service.harness.next_leader();
+        service.harness.fail_over();
     }
     while service.placed_tasks() < 8 || service.harness.now - began < LEASE_S {
         service.harness.run(0.1);
@@ -124,10 +124,10 @@
     service.harness.run(9.0);
     assert_eq!(service.fenced_workers(), 8, "the whole zone is fenced");
     let instances = service.instances();
-    service.harness.silent.clear();
+    service.harness.unreachable.clear();
     service.harness.run(3.0);
     assert_eq!(service.fenced_workers(), 0, "off the record again");
-    service.harness.next_leader();
+    service.harness.fail_over();
     service.harness.run(3.0 * LEASE_S);
     assert_eq!(
         service.instances(),
@@ -148,7 +148,7 @@
         service.cut_zone_b();
         service.harness.run(9.0);
         service.harness.outage = true;
-        service.harness.silent.clear();
+        service.harness.unreachable.clear();
         for _ in 0..40 {
             if extended {
                 let now = service.harness.now;
@@ -161,7 +161,7 @@
         assert_eq!(kept, if extended { in_zone_b } else { 0 });
         // Nothing was stored: the record still names them.
         service.harness.outage = false;
-        service.harness.next_leader();
+        service.harness.fail_over();
         service.harness.run(2.0 * LEASE_S);
         assert_eq!(service.placed_tasks(), 8);
         service.check_history();
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -5,7 +5,7 @@
 use copperfield::protocol::peer::AdminRequest;
 use copperfield::settings::{Class, Tuning};
 use copperfield::storage::Snapshot;
-use copperfield_simulation::core_harness::{CoreHarness, Saving, fixed_fleet};
+use copperfield_simulation::core_harness::{CheckpointMode, CoreHarness, fixed_fleet};
 use serde_json::{Value, json};
 
 const TYPES: &str = r#"{"flavors":[
@@ -52,10 +52,10 @@
 
 /// Eight GPUs are free, two on each worker.
 fn scattered(extra: Value, tuning: Tuning) -> Scattered {
-    let mut crew = CoreHarness::tuned(TYPES, cluster(), 50, Snapshot::default(), tuning);
+    let mut crew = CoreHarness::with_tuning(TYPES, cluster(), 50, Snapshot::default(), tuning);
     for (i, name) in names().into_iter().enumerate() {
         let zone = if name.starts_with('a') { "a" } else { "b" };
-        crew.add(name, "gpu4", zone, 0.1 + i as f64 * 0.4);
+        crew.add_worker(name, "gpu4", zone, 0.1 + i as f64 * 0.4);
     }
     crew.run(3.0);
     // Two that end and two that stay on each, in turn, so that what stays is spread.
@@ -82,14 +82,14 @@
     /// How many of the small tasks each worker holds.
     fn held(&self) -> Vec<usize> {
         let on = |name: &str| {
-            let places = self.small.iter().flat_map(|j| self.crew.places(*j));
+            let places = self.small.iter().flat_map(|j| self.crew.instances_of(*j));
             places.filter(|(_, m)| *m == name).count()
         };
         names().map(on).to_vec()
     }
 
     fn placed(&self, job: JobId) -> usize {
-        self.crew.places(job).len()
+        self.crew.instances_of(job).len()
     }
 
     fn problems(&self) -> Vec<String> {
@@ -98,7 +98,7 @@
     }
 
     fn moves(&mut self) -> Value {
-        let (status, moves) = self.crew.ask(AdminRequest::Moves);
+        let (status, moves) = self.crew.admin_request(AdminRequest::Moves);
         assert_eq!(status, 200);
         moves
     }
@@ -185,7 +185,7 @@
     site.crew.run(45.0);
     let before: Vec<String> = site
         .crew
-        .places(gang)
+        .instances_of(gang)
         .into_iter()
         .map(|p| p.1.into())
         .collect();
@@ -195,9 +195,9 @@
         deadline_s: None,
         yes: false,
     };
-    assert_eq!(site.crew.ask(order).0, 200);
+    assert_eq!(site.crew.admin_request(order).0, 200);
     site.crew.run(20.0);
-    let after = site.crew.places(gang);
+    let after = site.crew.instances_of(gang);
     assert_eq!(after.len(), 2);
     assert!(after.iter().all(|(_, m)| *m != before[0]), "{after:?}");
     let story = |task: u32| {
@@ -213,17 +213,17 @@
 fn a_move_that_fails_partway_leaves_one_answer_and_no_claim() {
     type Fault = fn(&mut Scattered, &str, &str);
     let faults: [(&str, Fault); 12] = [
-        ("the target dies", |s, _, to| s.crew.die(to)),
-        ("the source dies", |s, from, _| s.crew.die(from)),
+        ("the target dies", |s, _, to| s.crew.remove_worker(to)),
+        ("the source dies", |s, from, _| s.crew.remove_worker(from)),
         ("the target hangs", |s, _, to| {
-            s.crew.silent.insert(to.into());
+            s.crew.unreachable.insert(to.into());
         }),
         ("the source hangs", |s, from, _| {
-            s.crew.silent.insert(from.into());
+            s.crew.unreachable.insert(from.into());
         }),
         ("the target drains", |s, _, to| {
             let node = to.to_string();
-            s.crew.operate(AdminRequest::Drain {
+            s.crew.send_admin_request(AdminRequest::Drain {
                 node,
                 deadline_s: None,
                 yes: false,
@@ -232,19 +232,21 @@
         ("the source's zone is cut", |s, from, _| {
             let zone = &from[..1];
             let there = names().into_iter().filter(|n| n.starts_with(zone));
-            s.crew.silent.extend(there.map(String::from));
+            s.crew.unreachable.extend(there.map(String::from));
+        }),
+        ("the save fails", |s, _, _| {
+            s.crew.checkpointing = CheckpointMode::Fails
         }),
-        ("the save fails", |s, _, _| s.crew.saving = Saving::Fails),
         ("the save is slow", |s, _, _| {
-            s.crew.saving = Saving::Slow(30.0);
+            s.crew.checkpointing = CheckpointMode::Slow(30.0);
         }),
-        ("the leader is killed", |s, _, _| s.crew.next_leader()),
+        ("the leader is killed", |s, _, _| s.crew.fail_over()),
         ("all controllers are killed", |s, _, _| {
-            s.crew.sleep(6.0);
-            s.crew.next_leader();
+            s.crew.pause(6.0);
+            s.crew.fail_over();
         }),
         ("the leader stands still", |s, _, _| {
-            s.crew.sleep(20.0);
+            s.crew.pause(20.0);
             s.crew.core.paused(20.0);
         }),
         ("the state service is out", |s, _, _| s.crew.outage = true),
@@ -263,12 +265,12 @@
                 fault(&mut site, &from, &to);
             }
             site.crew.run(40.0);
-            site.crew.silent.clear();
-            site.crew.saving = Saving::InTime;
+            site.crew.unreachable.clear();
+            site.crew.checkpointing = CheckpointMode::InTime;
             site.crew.end_outage();
             for node in names() {
                 site.crew
-                    .operate(AdminRequest::Undrain { node: node.into() });
+                    .send_admin_request(AdminRequest::Undrain { node: node.into() });
             }
             site.crew.run(1200.0);
             let case = format!("{what}, {after} s on");
@@ -282,12 +284,12 @@
             );
             assert_eq!(site.moves()["live"], json!([]), "{case}");
             // Nothing is claimed: every GPU that is left can be had at once.
-            let left = names().len() - site.crew.dead.len();
+            let left = names().len() - site.crew.removed.len();
             let all = gpu_task(900, json!({"shards": 4 * left, "runtime_s": 5.0}));
             let all = site.crew.submit(&all);
             site.crew.run(8.0);
             assert!(
-                site.crew.over.contains(&all) || site.placed(all) == 4 * left,
+                site.crew.finished.contains(&all) || site.placed(all) == 4 * left,
                 "{case}"
             );
         }
@@ -310,13 +312,13 @@
         .as_str()
         .expect("a task")
         .to_string();
-    site.crew.silent.insert(from);
+    site.crew.unreachable.insert(from);
     site.crew.run(8.0);
-    site.crew.silent.clear();
+    site.crew.unreachable.clear();
     site.crew.run(120.0);
     assert_eq!(site.problems(), [""; 0]);
     assert!(site.crew.history.done().contains(task.as_str()));
-    assert!(site.crew.over.contains(&job));
+    assert!(site.crew.finished.contains(&job));
     assert_eq!(site.moves()["live"], json!([]));
 }
 
@@ -350,7 +352,7 @@
 #[test]
 fn moves_that_come_to_nothing_are_not_started_over_without_end() {
     let mut site = scattered(json!({}), tuning());
-    site.crew.saving = Saving::Slow(1e6);
+    site.crew.checkpointing = CheckpointMode::Slow(1e6);
     site.crew.submit(&whole(1, 20.0));
     site.crew.run(900.0);
     let moves = site.moves();
@@ -366,19 +368,25 @@
         deadline_s,
         yes: false,
     };
-    let (status, node) = site.crew.ask(drain(None));
+    let (status, node) = site.crew.admin_request(drain(None));
     assert_eq!((status, &node["state"]), (200, &json!("draining")));
-    assert_eq!(site.crew.ask(drain(None)).0, 200, "the same once more");
+    assert_eq!(
+        site.crew.admin_request(drain(None)).0,
+        200,
+        "the same once more"
+    );
     site.crew.run(15.0);
     assert_eq!(site.held()[0], 0, "what may move has moved");
     let state = |site: &mut Scattered| {
-        let (_, nodes) = site.crew.ask(AdminRequest::Nodes { since: "".into() });
+        let (_, nodes) = site
+            .crew
+            .admin_request(AdminRequest::Nodes { since: "".into() });
         nodes["nodes"][0]["state"].clone()
     };
     assert_eq!(state(&mut site), json!("drained"));
     // All controllers are restarted, twice.
     for _ in 0..2 {
-        site.crew.next_leader();
+        site.crew.fail_over();
         site.crew.run(15.0);
         assert_eq!(state(&mut site), json!("drained"));
     }
@@ -387,13 +395,15 @@
         .crew
         .submit(&gpu_task(500, json!({"shards": 20, "runtime_s": 5.0})));
     site.crew.run(30.0);
-    assert!(site.crew.over.contains(&fill));
+    assert!(site.crew.finished.contains(&fill));
     let news = &site.crew.history.events()[before..];
     assert!(
         news.iter().all(|e| e.worker != "a-0"),
         "nothing new starts there"
     );
-    let (status, node) = site.crew.ask(AdminRequest::Undrain { node: "a-0".into() });
+    let (status, node) = site
+        .crew
+        .admin_request(AdminRequest::Undrain { node: "a-0".into() });
     assert_eq!((status, &node["state"]), (200, &json!("ready")));
     assert!(site.crew.drains.is_empty());
     let refill = gpu_task(501, json!({"shards": 20, "runtime_s": 5.0}));
@@ -413,9 +423,9 @@
         deadline_s: Some(60.0),
         yes: false,
     };
-    assert_eq!(site.crew.ask(order).0, 200);
+    assert_eq!(site.crew.admin_request(order).0, 200);
     site.crew.run(20.0);
-    site.crew.next_leader();
+    site.crew.fail_over();
     site.crew.run(30.0);
     assert_eq!(site.held()[3], 2, "before the deadline");
     site.crew.run(15.0);
@@ -434,12 +444,12 @@
         deadline_s: None,
         yes,
     };
-    let (status, body) = site.crew.ask(drain("nowhere", false));
+    let (status, body) = site.crew.admin_request(drain("nowhere", false));
     assert_eq!(
         (status, body),
         (404, json!({"error": "there is no node \"nowhere\""}))
     );
-    let (status, body) = site.crew.ask(drain("a-0", false));
+    let (status, body) = site.crew.admin_request(drain("a-0", false));
     assert_eq!(status, 409);
     assert_eq!(
         body["protected"].as_array().map(Vec::len),
@@ -448,10 +458,10 @@
     );
     assert!(site.crew.drains.is_empty(), "nothing was changed");
     let before = site.held();
-    assert_eq!(site.crew.ask(drain("a-0", true)).0, 200);
+    assert_eq!(site.crew.admin_request(drain("a-0", true)).0, 200);
     // All nodes of a zone, and then all there are: replicas stay where they are.
     for node in ["a-1", "b-0", "b-1"] {
-        assert_eq!(site.crew.ask(drain(node, true)).0, 200);
+        assert_eq!(site.crew.admin_request(drain(node, true)).0, 200);
     }
     site.crew.run(60.0);
     assert_eq!(site.held(), before);
@@ -460,7 +470,7 @@
     assert_eq!(site.placed(job), 0, "there is nowhere to start");
     assert_eq!(
         site.crew
-            .ask(AdminRequest::Undrain { node: "b-0".into() })
+            .admin_request(AdminRequest::Undrain { node: "b-0".into() })
             .0,
         200
     );
@@ -468,14 +478,14 @@
     assert_eq!(site.placed(job), 1);
     assert_eq!(
         site.crew
-            .ask(AdminRequest::Undrain { node: "b-0".into() })
+            .admin_request(AdminRequest::Undrain { node: "b-0".into() })
             .0,
         200,
         "the same once more"
     );
     assert_eq!(
         site.crew
-            .ask(AdminRequest::Undrain {
+            .admin_request(AdminRequest::Undrain {
                 node: "nowhere".into()
             })
             .0,
@@ -494,12 +504,12 @@
         deadline_s: None,
         yes: false,
     };
-    let ticket = site.crew.operate(order);
+    let ticket = site.crew.send_admin_request(order);
     site.crew.run(8.0);
-    assert!(!site.crew.told.contains_key(&ticket));
+    assert!(!site.crew.admin_responses.contains_key(&ticket));
     site.crew.end_outage();
     site.crew.run(1.0);
-    assert_eq!(site.crew.told[&ticket].0, 200);
+    assert_eq!(site.crew.admin_responses[&ticket].0, 200);
     assert_eq!(site.crew.drains.len(), 1);
 }
 
@@ -521,5 +531,5 @@
     assert_eq!(site.held().iter().sum::<usize>(), 8, "what moved runs on");
     site.crew.run(2000.0);
     assert_eq!(site.problems(), [""; 0]);
-    assert!(site.crew.over.contains(&guests));
+    assert!(site.crew.finished.contains(&guests));
 }
--- a/tests/migration_random.rs
+++ b/tests/migration_random.rs
@@ -6,7 +6,7 @@
 use copperfield::protocol::JobId;
 use copperfield::protocol::peer::AdminRequest;
 use copperfield::storage::Snapshot;
-use copperfield_simulation::core_harness::{CoreHarness, Saving, fixed_fleet};
+use copperfield_simulation::core_harness::{CheckpointMode, CoreHarness, fixed_fleet};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -47,7 +47,7 @@
     NextLeader,
     Sleep(u8),
     Outage(bool),
-    Saving(Saving),
+    Saving(CheckpointMode),
 }
 
 /// What is needed to choose steps that mean something.
@@ -75,9 +75,9 @@
         let worker = || 0..NAMES.len();
         let job = 0..model.jobs.max(1);
         let saving = prop_oneof![
-            Just(Saving::InTime),
-            Just(Saving::Fails),
-            Just(Saving::Slow(4.0))
+            Just(CheckpointMode::InTime),
+            Just(CheckpointMode::Fails),
+            Just(CheckpointMode::Slow(4.0))
         ];
         prop_oneof![
             8 => proptest::sample::select(shapes).prop_map(Step::Submit),
@@ -159,7 +159,7 @@
         assert!(problems.is_empty(), "{problems:?}");
         let mut used = 0.0;
         for (job, shape) in &self.jobs {
-            let places = self.crew.places(*job);
+            let places = self.crew.instances_of(*job);
             used += self.needs[job] * places.len() as f64;
             let zones: BTreeSet<&str> = places.iter().map(|(_, m)| &m[..1]).collect();
             match shape {
@@ -185,26 +185,28 @@
 
     /// All faults are over: everything ends, once, and nothing stays claimed.
     fn come_to_rest(&mut self) {
-        self.crew.silent.clear();
-        self.crew.saving = Saving::InTime;
+        self.crew.unreachable.clear();
+        self.crew.checkpointing = CheckpointMode::InTime;
         self.crew.end_outage();
         // What died, or was given back as it did not answer, is replaced.
-        for name in self.crew.dead.clone() {
+        for name in self.crew.removed.clone() {
             let zone = if name.starts_with('a') { "a" } else { "b" };
             let now = self.crew.now;
-            self.crew.add(&format!("{name}-new"), "gpu4", zone, now);
+            self.crew
+                .add_worker(&format!("{name}-new"), "gpu4", zone, now);
         }
         self.crew.run(15.0);
         for node in NAMES {
             self.crew
-                .operate(AdminRequest::Undrain { node: node.into() });
+                .send_admin_request(AdminRequest::Undrain { node: node.into() });
         }
         self.run(900.0);
-        let (status, moves) = self.crew.ask(AdminRequest::Moves);
+        let (status, moves) = self.crew.admin_request(AdminRequest::Moves);
         assert_eq!((status, &moves["live"]), (200, &json!([])));
         assert!(self.crew.drains.is_empty());
         for (job, shape) in &self.jobs {
-            let over = self.crew.over.contains(job) || matches!(shape, LargeTaskProfile::Service);
+            let over =
+                self.crew.finished.contains(job) || matches!(shape, LargeTaskProfile::Service);
             assert!(over, "{job} {shape:?} is not over: {moves}");
         }
         for (job, shape) in self.jobs.clone() {
@@ -236,7 +238,7 @@
         let all = self.crew.submit(&all);
         self.run(10.0);
         assert_eq!(
-            self.crew.places(all).len(),
+            self.crew.instances_of(all).len(),
             left,
             "something is claimed for nobody"
         );
@@ -264,10 +266,10 @@
         let mut tuning = fixed_fleet();
         tuning.defragmentation.enabled = true;
         tuning.defragmentation.again_after_s = 30.0;
-        let mut crew = CoreHarness::tuned(TYPES, cluster, 50, Snapshot::default(), tuning);
+        let mut crew = CoreHarness::with_tuning(TYPES, cluster, 50, Snapshot::default(), tuning);
         for (i, name) in NAMES.into_iter().enumerate() {
             let zone = if name.starts_with('a') { "a" } else { "b" };
-            crew.add(name, "gpu4", zone, 0.1 + i as f64 * 0.3);
+            crew.add_worker(name, "gpu4", zone, 0.1 + i as f64 * 0.3);
         }
         crew.run(3.0);
         Site {
@@ -285,37 +287,37 @@
             Step::Cancel(at) => {
                 let (job, _) = site.jobs[at % site.jobs.len()];
                 // Without a state service nobody can be told that a job is cancelled.
-                if !site.crew.outage && !site.crew.over.contains(&job) {
+                if !site.crew.outage && !site.crew.finished.contains(&job) {
                     site.crew.cancel(job);
                     site.cancelled.insert(job);
                     site.crew.run(0.2);
                 }
             }
-            Step::Die(m) => site.crew.die(NAMES[m]),
+            Step::Die(m) => site.crew.remove_worker(NAMES[m]),
             Step::FencingRecord(m) => {
-                site.crew.silent.insert(NAMES[m].into());
+                site.crew.unreachable.insert(NAMES[m].into());
             }
-            Step::Heal => site.crew.silent.clear(),
+            Step::Heal => site.crew.unreachable.clear(),
             Step::Drain(m, deadline) => {
-                site.crew.operate(AdminRequest::Drain {
+                site.crew.send_admin_request(AdminRequest::Drain {
                     node: NAMES[m].into(),
                     deadline_s: deadline.map(f64::from),
                     yes: true,
                 });
             }
             Step::Undrain(m) => {
-                site.crew.operate(AdminRequest::Undrain {
+                site.crew.send_admin_request(AdminRequest::Undrain {
                     node: NAMES[m].into(),
                 });
             }
-            Step::NextLeader => site.crew.next_leader(),
+            Step::NextLeader => site.crew.fail_over(),
             Step::Sleep(seconds) => {
-                site.crew.sleep(seconds.into());
+                site.crew.pause(seconds.into());
                 site.crew.core.paused(seconds.into());
             }
             Step::Outage(true) => site.crew.outage = true,
             Step::Outage(false) => site.crew.end_outage(),
-            Step::Saving(saving) => site.crew.saving = saving,
+            Step::Saving(saving) => site.crew.checkpointing = saving,
         }
         site.check();
         site
--- a/tests/service_levels.rs
+++ b/tests/service_levels.rs
@@ -97,7 +97,7 @@
         let count = (count * size) as usize;
         for i in 0..count {
             let name = format!("{zone}-{flavor}-{i}");
-            crew.add(&name, flavor, zone, 0.1 + i as f64 * 1.9 / count as f64);
+            crew.add_worker(&name, flavor, zone, 0.1 + i as f64 * 1.9 / count as f64);
             names.push(name);
         }
     }
@@ -145,15 +145,15 @@
         }
         let of = |part: &'static str| names.iter().filter(move |n| n.contains(part)).cloned();
         match starves {
-            Starves::Cut if at == 40.0 => crew.silent.extend(of("b-")),
-            Starves::Cut if at == 80.0 => crew.silent.clear(),
-            Starves::Sick if at == 40.0 => crew.sick.extend(of("-big-")),
-            Starves::Sick if at == 80.0 => crew.sick.clear(),
+            Starves::Cut if at == 40.0 => crew.unreachable.extend(of("b-")),
+            Starves::Cut if at == 80.0 => crew.unreachable.clear(),
+            Starves::Sick if at == 40.0 => crew.failing_workers.extend(of("-big-")),
+            Starves::Sick if at == 80.0 => crew.failing_workers.clear(),
             Starves::Taken if at == 40.0 => {
                 let taken: Vec<String> = of("-small-").step_by(3).collect();
-                taken.iter().for_each(|name| crew.die(name));
+                taken.iter().for_each(|name| crew.remove_worker(name));
             }
-            Starves::Leaders if within(40.0, 85.0) && second % 3 == 0 => crew.next_leader(),
+            Starves::Leaders if within(40.0, 85.0) && second % 3 == 0 => crew.fail_over(),
             _ => {}
         }
         crew.run(1.0);
