--- a/crates/simulation/examples/fragmentation.rs
+++ b/crates/simulation/examples/fragmentation.rs
@@ -183,7 +183,7 @@
             .record(millis(play.crew.now - since))
             .expect("it resizes");
     }
-    let problems = play.crew.history.problems([]);
+    let problems = play.crew.history.violations([]);
     assert!(problems.is_empty(), "{problems:?}");
     Outcome {
         waits,
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Value, json};
 
-use crate::history::{History, What};
+use crate::history::{EventKind, History};
 
 pub const TYPES: &str = r#"{"flavors":[
  {"name":"small","cpus":4,"gpus":0,"memory_gb":16,"local_gb":50,"pull_gb_per_s":0.5,"price":0.2,"market_price":0.07,"ready_s":5,"regions":["a","b"]},
@@ -243,7 +243,7 @@
             .get(task)
             .map_or(0, |t| t.attempt);
         self.history
-            .note(self.now, task, attempt, worker, What::Starts);
+            .record(self.now, task, attempt, worker, EventKind::Started);
         let job = &self.jobs[&job_name];
         let me = &self.workers[worker];
         let b = &job.body;
@@ -397,7 +397,7 @@
 
     fn leaves(&mut self, worker: &str, task: &str, attempt: u64) {
         self.history
-            .note(self.now, task, attempt, worker, What::Leaves);
+            .record(self.now, task, attempt, worker, EventKind::Left);
     }
 
     pub fn execute(&mut self, worker: &str, orders: &Value) {
@@ -606,7 +606,8 @@
             self.leaves(name, &task, attempt);
         }
         for (task, attempt) in ended {
-            self.history.note(now, &task, attempt, name, What::Done);
+            self.history
+                .record(now, &task, attempt, name, EventKind::Completed);
             let (job, number) = task.split_once('/').expect("a task");
             let job = self.jobs.get_mut(job).expect("known");
             let before = job.done.iter().all(|d| *d);
--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -24,7 +24,7 @@
 use copperfield_protocol::{JobId, parse_task};
 use serde_json::{Value, json};
 
-use crate::history::{History, What};
+use crate::history::{EventKind, History};
 
 /// Simulated time advances in steps of this.
 const TICK_S: f64 = 0.01;
@@ -294,7 +294,8 @@
         for ((job, task, attempt), (phase, _)) in w.tasks {
             if on_worker(phase) {
                 let task = format!("{job}/{task}");
-                self.history.note(now, &task, attempt, name, What::Leaves);
+                self.history
+                    .record(now, &task, attempt, name, EventKind::Left);
             }
         }
     }
@@ -453,7 +454,8 @@
             for ((job, task, attempt), (phase, _)) in std::mem::take(&mut w.tasks) {
                 if on_worker(phase) {
                     let task = format!("{job}/{task}");
-                    self.history.note(now, &task, attempt, name, What::Leaves);
+                    self.history
+                        .record(now, &task, attempt, name, EventKind::Left);
                 }
             }
             w.answered_at = now;
@@ -482,15 +484,16 @@
             };
             w.images.insert(spec.image.clone());
             let what = match next {
-                TaskPhase::Running => Some(What::Starts),
-                TaskPhase::Exited(Exit::Done) => {
-                    self.completed.insert((job, task)).then_some(What::Done)
-                }
-                _ if on_worker(*phase) => Some(What::Leaves),
+                TaskPhase::Running => Some(EventKind::Started),
+                TaskPhase::Exited(Exit::Done) => self
+                    .completed
+                    .insert((job, task))
+                    .then_some(EventKind::Completed),
+                _ if on_worker(*phase) => Some(EventKind::Left),
                 _ => None,
             };
             if let Some(what) = what {
-                self.history.note(now, &id, attempt, name, what);
+                self.history.record(now, &id, attempt, name, what);
             }
             *phase = next;
             let saved = self.saved_work_s.get(&(job, task)).copied().unwrap_or(0.0);
@@ -587,7 +590,8 @@
                             }
                             if on_worker(phase) {
                                 let task = format!("{}/{}", c.job, c.task);
-                                self.history.note(now, &task, c.attempt, name, What::Leaves);
+                                self.history
+                                    .record(now, &task, c.attempt, name, EventKind::Left);
                             }
                             t.0 = TaskPhase::Exited(Exit::Stopped { saved: false });
                         }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,60 +1,71 @@
-//! What happened to every task of a run, and whether it may have.
+//! What happened to every task of a run, and whether it was allowed to.
 //!
-//! Stand-ins note what workers see; [`History::problems`] looks at the whole of it
-//! afterwards. It knows nothing of how the controllers decide.
+//! Fakes record what workers observe; [`History::violations`] checks all of it afterwards,
+//! independently of how the controllers decide.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One thing a worker saw. Times are in seconds.
+/// What a worker observed of a task.
 #[derive(Debug, Clone, PartialEq)]
-pub enum What {
-    /// The task got on the worker.
-    Starts,
+pub enum EventKind {
+    /// The task started on the worker.
+    Started,
     /// It completed.
-    Done,
-    /// It left without completing: stopped, killed, or its worker gone.
-    Leaves,
+    Completed,
+    /// It left without completing: stopped, killed, or its worker was lost.
+    Left,
 }
 
+/// An event of a task on a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Event {
+    /// Simulated time in seconds.
     pub at: f64,
     /// As in `wk-000412/3`.
     pub task: String,
+    /// The attempt of the task.
     pub attempt: u64,
+    /// The worker's name.
     pub worker: String,
-    pub what: What,
+    /// What happened.
+    pub kind: EventKind,
 }
 
+/// All events of a run.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     events: Vec<Event>,
 }
 
 impl History {
-    pub fn note(&mut self, at: f64, task: &str, attempt: u64, worker: &str, what: What) {
+    /// Records an event; events are recorded in the order of their times.
+    pub fn record(&mut self, at: f64, task: &str, attempt: u64, worker: &str, kind: EventKind) {
         self.events.push(Event {
             at,
             task: task.to_string(),
             attempt,
             worker: worker.to_string(),
-            what,
+            kind,
         });
     }
 
+    /// All events, in the order in which they were recorded.
     pub fn events(&self) -> &[Event] {
         &self.events
     }
 
     /// Tasks that completed.
-    pub fn done(&self) -> BTreeSet<&str> {
-        let done = self.events.iter().filter(|e| e.what == What::Done);
+    pub fn completed(&self) -> BTreeSet<&str> {
+        let done = self
+            .events
+            .iter()
+            .filter(|e| e.kind == EventKind::Completed);
         done.map(|e| e.task.as_str()).collect()
     }
 
     /// Workers on which a task started, in order.
-    pub fn places(&self, task: &str) -> Vec<&str> {
-        let of = |e: &&Event| e.task == task && e.what == What::Starts;
+    pub fn workers_of(&self, task: &str) -> Vec<&str> {
+        let of = |e: &&Event| e.task == task && e.kind == EventKind::Started;
         self.events
             .iter()
             .filter(of)
@@ -62,100 +73,45 @@
             .collect()
     }
 
-    /// Everything that must not have been: a task on two workers, an attempt used
-    /// twice, a task that completed twice or was started after it had, and those of
-    /// `must_end` that did not complete.
-    pub fn problems<'a>(&self, must_end: impl IntoIterator<Item = &'a str>) -> Vec<String> {
-        let mut problems = Vec::new();
+    /// Every violation: a task on two workers at once, an attempt started twice, a task that
+    /// completed twice or started after it had completed, and tasks of `must_end` that did not
+    /// complete.
+    pub fn violations<'a>(&self, must_end: impl IntoIterator<Item = &'a str>) -> Vec<String> {
+        let mut violations = Vec::new();
         let mut on: BTreeMap<&str, (&str, u64)> = BTreeMap::new();
         let mut attempts: BTreeSet<(&str, u64)> = BTreeSet::new();
-        let mut done: BTreeSet<&str> = BTreeSet::new();
+        let mut completed: BTreeSet<&str> = BTreeSet::new();
         for e in &self.events {
             let (task, worker) = (e.task.as_str(), e.worker.as_str());
-            let mut problem = |what: String| problems.push(format!("{:.1} {task}: {what}", e.at));
-            match e.what {
-                What::Starts => {
+            let mut violation =
+                |what: String| violations.push(format!("{:.1} {task}: {what}", e.at));
+            match e.kind {
+                EventKind::Started => {
                     if let Some((other, _)) = on.insert(task, (worker, e.attempt)) {
-                        problem(format!("starts on {worker} while on {other}"));
+                        violation(format!("starts on {worker} while on {other}"));
                     }
                     if !attempts.insert((task, e.attempt)) {
-                        problem(format!("attempt {} starts again on {worker}", e.attempt));
+                        violation(format!("attempt {} starts again on {worker}", e.attempt));
                     }
-                    if done.contains(task) {
-                        problem(format!("starts on {worker} after it was done"));
+                    if completed.contains(task) {
+                        violation(format!("starts on {worker} after it was done"));
                     }
                 }
-                What::Done | What::Leaves => {
+                EventKind::Completed | EventKind::Left => {
                     if on.remove(task) != Some((worker, e.attempt)) {
-                        problem(format!("ends on {worker}, where it was not"));
+                        violation(format!("ends on {worker}, where it was not"));
                     }
-                    if e.what == What::Done && !done.insert(task) {
-                        problem(format!("is done once more on {worker}"));
+                    if e.kind == EventKind::Completed && !completed.insert(task) {
+                        violation(format!("is done once more on {worker}"));
                     }
                 }
             }
         }
         for task in must_end {
-            if !done.contains(task) {
-                problems.push(format!("{task}: never done"));
-            }
-        }
-        problems
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A checker that finds nothing is worth nothing: each fault is found.
-    #[test]
-    fn each_fault_is_found() {
-        let story = |events: &[(&str, u64, What)]| {
-            let mut history = History::default();
-            for (at, (worker, attempt, what)) in events.iter().enumerate() {
-                history.note(at as f64, "t/0", *attempt, worker, what.clone());
+            if !completed.contains(task) {
+                violations.push(format!("{task}: never done"));
             }
-            history.problems(["t/0"]).join("; ")
-        };
-        use What::{Done, Leaves, Starts};
-        assert_eq!(
-            story(&[
-                ("a", 1, Starts),
-                ("a", 1, Leaves),
-                ("b", 2, Starts),
-                ("b", 2, Done)
-            ]),
-            ""
-        );
-        for (events, fault) in [
-            (
-                vec![("a", 1, Starts), ("b", 2, Starts), ("b", 2, Done)],
-                "while on a",
-            ),
-            (
-                vec![
-                    ("a", 1, Starts),
-                    ("a", 1, Leaves),
-                    ("a", 1, Starts),
-                    ("a", 1, Done),
-                ],
-                "attempt 1",
-            ),
-            (
-                vec![
-                    ("a", 1, Starts),
-                    ("a", 1, Done),
-                    ("b", 2, Starts),
-                    ("b", 2, Done),
-                ],
-                "once more",
-            ),
-            (vec![("a", 1, Starts), ("a", 1, Leaves)], "never done"),
-            (vec![("a", 1, Starts), ("b", 1, Done)], "where it was not"),
-        ] {
-            let found = story(&events);
-            assert!(found.contains(fault), "{fault}: {found}");
         }
+        violations
     }
 }
--- a/crates/simulation/src/loopback.rs
+++ b/crates/simulation/src/loopback.rs
@@ -227,7 +227,7 @@
                 }
                 sleep(Duration::from_millis(10)).await;
             }
-            return reply(self.world().state.now_empty());
+            return reply(self.world().state.watch_timeout());
         }
         let mut w = self.world();
         let now = w.start.elapsed().as_secs_f64();
--- a/crates/simulation/src/state_service.rs
+++ b/crates/simulation/src/state_service.rs
@@ -1,67 +1,102 @@
-//! A stand-in for the state service, written from the published protocol.
+//! A fake state service, written from the published protocol: keys with versions, leases, guarded
+//! transactions and watches.
 
 use std::collections::BTreeMap;
 
 use serde_json::{Value, json};
 
+/// A stored key.
+struct Entry {
+    value: Value,
+    /// The revision of the last write.
+    version: u64,
+    /// The lease whose end deletes the key.
+    lease: Option<u64>,
+}
+
+/// A lease, in simulated seconds.
+struct Lease {
+    ttl_s: f64,
+    expires_at: f64,
+}
+
+/// A change of a key; `value` is `None` if it was deleted.
+struct Change {
+    revision: u64,
+    key: String,
+    value: Option<Value>,
+}
+
+/// The fake state service.
 #[derive(Default)]
 pub struct StateService {
-    keys: BTreeMap<String, (Value, u64, Option<u64>)>,
-    /// Lease -> (time to live, end).
-    leases: BTreeMap<u64, (f64, f64)>,
-    epoch: u64,
-    next_lease: u64,
-    events: Vec<(u64, String, Option<Value>)>,
+    keys: BTreeMap<String, Entry>,
+    leases: BTreeMap<u64, Lease>,
+    revision: u64,
+    last_lease: u64,
+    changes: Vec<Change>,
+    /// The service is down: it answers every request with an error.
     pub outage: bool,
 }
 
+/// An HTTP status and a JSON body.
 type Reply = (u16, Value);
 
 impl StateService {
-    /// Ends what is due. In an outage time stands still for leases.
+    /// Expires leases. In an outage leases do not age: `passed` seconds are added to them.
     pub fn tick(&mut self, now: f64, passed: f64) {
         if self.outage {
-            for (_, end) in self.leases.values_mut() {
-                *end += passed;
+            for lease in self.leases.values_mut() {
+                lease.expires_at += passed;
             }
             return;
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, (_, end))| *end <= now)
-            .map(|(l, _)| *l)
+            .filter(|(_, lease)| lease.expires_at <= now)
+            .map(|(id, _)| *id)
             .collect();
-        for lease in over {
-            self.end(lease);
+        for lease in expired {
+            self.end_lease(lease);
         }
     }
 
-    /// After an outage every lease has its full time again.
+    /// Ends an outage: every lease has its full time to live again.
     pub fn recover(&mut self, now: f64) {
         self.outage = false;
-        for (ttl, end) in self.leases.values_mut() {
-            *end = now + *ttl;
+        for lease in self.leases.values_mut() {
+            lease.expires_at = now + lease.ttl_s;
         }
     }
 
-    fn end(&mut self, lease: u64) {
+    fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let attached: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, (_, _, l))| *l == Some(lease))
-            .map(|(k, _)| k.clone())
+            .filter(|(_, entry)| entry.lease == Some(lease))
+            .map(|(key, _)| key.clone())
             .collect();
         if !attached.is_empty() {
-            self.epoch += 1;
+            self.revision += 1;
         }
         for key in attached {
             self.keys.remove(&key);
-            self.events.push((self.epoch, key, None));
+            self.record_change(key, None);
         }
     }
 
+    fn record_change(&mut self, key: String, value: Option<Value>) {
+        let revision = self.revision;
+        self.changes.push(Change {
+            revision,
+            key,
+            value,
+        });
+    }
+
+    /// Answers any request but a watch.
     pub fn handle(&mut self, now: f64, method: &str, path: &str, body: &[u8]) -> Reply {
         if self.outage {
             return (503, json!({"error": "trouble"}));
@@ -72,18 +107,23 @@
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         if let Some(key) = path.strip_prefix("/kv/") {
             return match self.keys.get(key) {
-                Some((data, stamp, _)) => (200, json!({"path": key, "data": data, "stamp": stamp})),
-                None => (404, json!({"epoch": self.epoch})),
+                Some(entry) => {
+                    let (data, stamp) = (&entry.value, entry.version);
+                    (200, json!({"path": key, "data": data, "stamp": stamp}))
+                }
+                None => (404, json!({"epoch": self.revision})),
             };
         }
         match (method, path) {
             ("GET", "/kv") => self.list(&query),
             ("POST", "/multi") => self.multi(&body),
             ("POST", "/leases") => {
-                let ttl = body["ttl_ms"].as_f64().unwrap_or(0.0) / 1000.0;
-                self.next_lease += 1;
-                self.leases.insert(self.next_lease, (ttl, now + ttl));
-                (200, json!({"grant": self.next_lease}))
+                let ttl_s = body["ttl_ms"].as_f64().unwrap_or(0.0) / 1000.0;
+                let expires_at = now + ttl_s;
+                self.last_lease += 1;
+                self.leases
+                    .insert(self.last_lease, Lease { ttl_s, expires_at });
+                (200, json!({"grant": self.last_lease}))
             }
             _ => {
                 let id = path.strip_prefix("/leases/").unwrap_or("");
@@ -91,11 +131,11 @@
                 match (self.leases.get_mut(&id), method) {
                     (None, _) => (404, json!({})),
                     (Some(_), "DELETE") => {
-                        self.end(id);
+                        self.end_lease(id);
                         (200, json!({}))
                     }
-                    (Some((ttl, end)), _) => {
-                        *end = now + *ttl;
+                    (Some(lease), _) => {
+                        lease.expires_at = now + lease.ttl_s;
                         (200, json!({}))
                     }
                 }
@@ -114,11 +154,11 @@
             .keys
             .iter()
             .filter(|(k, _)| k.starts_with(prefix) && k.as_str() > since)
-            .map(|(k, (data, stamp, _))| json!({"path": k, "data": data, "stamp": stamp}));
+            .map(|(key, entry)| json!({"path": key, "data": entry.value, "stamp": entry.version}));
         let items: Vec<Value> = all.by_ref().take(page).collect();
         (
             200,
-            json!({"items": items, "more": all.next().is_some(), "epoch": self.epoch}),
+            json!({"items": items, "more": all.next().is_some(), "epoch": self.revision}),
         )
     }
 
@@ -138,31 +178,36 @@
             .iter()
             .filter_map(|g| {
                 let key = g["path"].as_str()?;
-                let stamp = self.keys.get(key).map_or(0, |(_, s, _)| *s);
+                let stamp = self.keys.get(key).map_or(0, |entry| entry.version);
                 (Some(stamp) != g["stamp"].as_u64()).then_some(key)
             })
             .collect();
         if !failed.is_empty() {
-            return (409, json!({"failed": failed, "epoch": self.epoch}));
+            return (409, json!({"failed": failed, "epoch": self.revision}));
         }
         if !apply.is_empty() {
-            self.epoch += 1;
+            self.revision += 1;
         }
         for op in apply {
             if let Some(key) = op["set"].as_str() {
-                let entry = (op["data"].clone(), self.epoch, op["grant"].as_u64());
-                self.events
-                    .push((self.epoch, key.into(), Some(entry.0.clone())));
+                let value = op["data"].clone();
+                self.record_change(key.into(), Some(value.clone()));
+                let (version, lease) = (self.revision, op["grant"].as_u64());
+                let entry = Entry {
+                    value,
+                    version,
+                    lease,
+                };
                 self.keys.insert(key.into(), entry);
             } else if let Some(key) = op["drop"].as_str() {
                 self.keys.remove(key);
-                self.events.push((self.epoch, key.into(), None));
+                self.record_change(key.into(), None);
             }
         }
-        (200, json!({"epoch": self.epoch}))
+        (200, json!({"epoch": self.revision}))
     }
 
-    /// What a watch would answer now; none while it has to wait.
+    /// The answer to a watch; `None` while nothing has changed and it has to wait.
     pub fn changes(&self, path: &str) -> Option<Reply> {
         let query = path.split_once('?')?.1;
         let query: BTreeMap<&str, &str> =
@@ -170,19 +215,22 @@
         let prefix = query.get("prefix")?;
         let since: u64 = query.get("since")?.parse().ok()?;
         let events: Vec<Value> = self
-            .events
+            .changes
             .iter()
-            .filter(|(at, key, _)| *at > since && key.starts_with(prefix))
-            .map(|(at, key, value)| match value {
-                Some(v) => json!({"set": key, "data": v, "stamp": at}),
-                None => json!({"drop": key, "stamp": at}),
+            .filter(|change| change.revision > since && change.key.starts_with(prefix))
+            .map(|change| match &change.value {
+                Some(value) => {
+                    json!({"set": change.key, "data": value, "stamp": change.revision})
+                }
+                None => json!({"drop": change.key, "stamp": change.revision}),
             })
             .collect();
         (!events.is_empty() && !self.outage)
-            .then(|| (200, json!({"epoch": self.epoch, "events": events})))
+            .then(|| (200, json!({"epoch": self.revision, "events": events})))
     }
 
-    pub fn now_empty(&self) -> Reply {
-        (200, json!({"epoch": self.epoch, "events": []}))
+    /// The answer to a watch that has waited long enough without a change.
+    pub fn watch_timeout(&self) -> Reply {
+        (200, json!({"epoch": self.revision, "events": []}))
     }
 }
--- /dev/null
+++ b/crates/simulation/tests/history.rs
@@ -0,0 +1,57 @@
+//! Each kind of violation is found by the checker of histories.
+
+use copperfield_simulation::history::{EventKind, History};
+
+/// A checker that never finds a violation would prove nothing.
+#[test]
+fn each_kind_of_violation_is_found() {
+    let violations = |events: &[(&str, u64, EventKind)]| {
+        let mut history = History::default();
+        for (at, (worker, attempt, kind)) in events.iter().enumerate() {
+            history.record(at as f64, "t/0", *attempt, worker, kind.clone());
+        }
+        history.violations(["t/0"]).join("; ")
+    };
+    use EventKind::{Completed, Left, Started};
+    assert_eq!(
+        violations(&[
+            ("a", 1, Started),
+            ("a", 1, Left),
+            ("b", 2, Started),
+            ("b", 2, Completed)
+        ]),
+        ""
+    );
+    for (events, fault) in [
+        (
+            vec![("a", 1, Started), ("b", 2, Started), ("b", 2, Completed)],
+            "while on a",
+        ),
+        (
+            vec![
+                ("a", 1, Started),
+                ("a", 1, Left),
+                ("a", 1, Started),
+                ("a", 1, Completed),
+            ],
+            "attempt 1",
+        ),
+        (
+            vec![
+                ("a", 1, Started),
+                ("a", 1, Completed),
+                ("b", 2, Started),
+                ("b", 2, Completed),
+            ],
+            "once more",
+        ),
+        (vec![("a", 1, Started), ("a", 1, Left)], "never done"),
+        (
+            vec![("a", 1, Started), ("b", 1, Completed)],
+            "where it was not",
+        ),
+    ] {
+        let found = violations(&events);
+        assert!(found.contains(fault), "{fault}: {found}");
+    }
+}
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -78,7 +78,7 @@
     }
 
     fn check_history(&self) {
-        assert_eq!(self.harness.history.problems([]), Vec::<String>::new());
+        assert_eq!(self.harness.history.violations([]), Vec::<String>::new());
     }
 }
 
--- a/tests/leadership_transfer.rs
+++ b/tests/leadership_transfer.rs
@@ -62,7 +62,7 @@
         sleep(Duration::from_secs_f64(60.0)).await;
         let w = world.lock().unwrap();
         assert!(w.site.broken.is_empty(), "{:#?}", w.site.broken);
-        w.site.history.places("wk-000001/0").len() - 1
+        w.site.history.workers_of("wk-000001/0").len() - 1
     })
 }
 
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -94,7 +94,9 @@
 
     fn problems(&self) -> Vec<String> {
         let live: Vec<String> = self.small.iter().map(|j| format!("{j}/0")).collect();
-        self.crew.history.problems(live.iter().map(String::as_str))
+        self.crew
+            .history
+            .violations(live.iter().map(String::as_str))
     }
 
     fn moves(&mut self) -> Value {
@@ -123,7 +125,7 @@
     assert_eq!(site.placed(job), 1, "{}", site.moves());
     site.crew.run(600.0);
     assert_eq!(site.problems(), [""; 0]);
-    assert!(site.crew.history.done().contains("wk-000001/0"));
+    assert!(site.crew.history.completed().contains("wk-000001/0"));
 }
 
 #[test]
@@ -202,7 +204,7 @@
     assert!(after.iter().all(|(_, m)| *m != before[0]), "{after:?}");
     let story = |task: u32| {
         let task = format!("{gang}/{task}");
-        site.crew.history.places(&task).len()
+        site.crew.history.workers_of(&task).len()
     };
     assert_eq!((story(0), story(1)), (2, 2), "both were moved, once");
 }
@@ -278,7 +280,7 @@
             assert!(
                 site.crew
                     .history
-                    .done()
+                    .completed()
                     .contains(format!("{job}/0").as_str()),
                 "{case}"
             );
@@ -317,7 +319,7 @@
     site.crew.unreachable.clear();
     site.crew.run(120.0);
     assert_eq!(site.problems(), [""; 0]);
-    assert!(site.crew.history.done().contains(task.as_str()));
+    assert!(site.crew.history.completed().contains(task.as_str()));
     assert!(site.crew.finished.contains(&job));
     assert_eq!(site.moves()["live"], json!([]));
 }
@@ -342,7 +344,7 @@
         let problems = site
             .crew
             .history
-            .problems(others.iter().map(String::as_str));
+            .violations(others.iter().map(String::as_str));
         assert_eq!(problems, [""; 0]);
     }
 }
--- a/tests/migration_random.rs
+++ b/tests/migration_random.rs
@@ -155,7 +155,7 @@
 
     /// Rules that hold at any moment.
     fn check(&self) {
-        let problems = self.crew.history.problems([]);
+        let problems = self.crew.history.violations([]);
         assert!(problems.is_empty(), "{problems:?}");
         let mut used = 0.0;
         for (job, shape) in &self.jobs {
@@ -215,7 +215,7 @@
             }
         }
         self.run(20.0);
-        let done = self.crew.history.done();
+        let done = self.crew.history.completed();
         for (job, shape) in self
             .jobs
             .iter()
--- a/tests/one_way_partitions.rs
+++ b/tests/one_way_partitions.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use copperfield_simulation::cluster::LEASE_S;
-use copperfield_simulation::history::What;
+use copperfield_simulation::history::EventKind;
 use serde_json::json;
 use tokio::time::sleep;
 
@@ -104,7 +104,8 @@
             assert!(w.site.broken.is_empty(), "{:#?}", w.site.broken);
             let unusable = PARTITION_AT_S + LEASE_S / 2.0 + 1.0..PARTITION_AT_S + partition_s;
             let events = w.site.history.events().iter();
-            let on_them = events.filter(|e| unusable.contains(&e.at) && e.what == What::Starts);
+            let on_them =
+                events.filter(|e| unusable.contains(&e.at) && e.kind == EventKind::Started);
             let on_them =
                 on_them.filter(|e| ["vm-000001", "vm-000002"].contains(&e.worker.as_str()));
             on_them.map(|e| (e.at, e.task.clone())).collect::<Vec<_>>()
--- a/tests/pinned_exchange.rs
+++ b/tests/pinned_exchange.rs
@@ -228,7 +228,7 @@
                             break found;
                         }
                         if Instant::now() >= until {
-                            break self.world.lock().expect("no panic").state.now_empty();
+                            break self.world.lock().expect("no panic").state.watch_timeout();
                         }
                         sleep(Duration::from_millis(10)).await;
                     }
--- a/tests/service_levels.rs
+++ b/tests/service_levels.rs
@@ -3,7 +3,7 @@
 //! again, wherever there was room for it.
 
 use copperfield_simulation::core_harness::CoreHarness;
-use copperfield_simulation::service_levels::{Asked, served};
+use copperfield_simulation::service_levels::{RequestedJob, service_levels};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -127,8 +127,8 @@
                 let until = if service { at + 60.0 } else { DAY_S + AFTER_S };
                 asked.push((
                     job,
-                    Asked {
-                        job: job.to_string(),
+                    RequestedJob {
+                        id: job.to_string(),
                         class: class.name.into(),
                         team: class.team.into(),
                         tasks: body["shards"].as_u64().expect("a number") as u32,
@@ -158,10 +158,12 @@
         }
         crew.run(1.0);
     }
-    let asked: Vec<Asked> = asked.into_iter().map(|(_, asked)| asked).collect();
+    let asked: Vec<RequestedJob> = asked.into_iter().map(|(_, asked)| asked).collect();
     assert!(asked.len() > 60, "{} jobs", asked.len());
-    let all = served(&crew.history, &asked);
-    all.into_iter().map(|(name, s)| (name, s.least())).collect()
+    let all = service_levels(&crew.history, &asked);
+    all.into_iter()
+        .map(|(name, s)| (name, s.min_share()))
+        .collect()
 }
 
 fn everybody_gets_half(starves: Starves) {
--- a/tests/simulated_cluster/mod.rs
+++ b/tests/simulated_cluster/mod.rs
@@ -323,7 +323,7 @@
                         break answer(changes);
                     }
                     if Instant::now() >= until && serves {
-                        break answer(w.state.now_empty());
+                        break answer(w.state.watch_timeout());
                     }
                 }
                 sleep(Duration::from_millis(10)).await;
--- a/tests/whole_nodes.rs
+++ b/tests/whole_nodes.rs
@@ -10,7 +10,7 @@
 use copperfield_admin::client::{Client, ClientError};
 use copperfield_admin::views::{DrainOrder, NodeState};
 use copperfield_simulation::cluster::Site;
-use copperfield_simulation::history::What;
+use copperfield_simulation::history::EventKind;
 use copperfield_simulation::loopback::{Loopback, NODES, free_address};
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
@@ -168,7 +168,7 @@
             .iter()
             .filter(|e| !e.task.starts_with("wk-0009"))
         {
-            *on.entry(&e.worker).or_default() += if e.what == What::Starts { 1 } else { -1 };
+            *on.entry(&e.worker).or_default() += if e.kind == EventKind::Started { 1 } else { -1 };
         }
         w.site
             .workers
@@ -192,7 +192,7 @@
     }
 
     fn started(&self, task: &str) -> bool {
-        !self.site.world().site.history.places(task).is_empty()
+        !self.site.world().site.history.workers_of(task).is_empty()
     }
 
     /// All jobs end, and everything that happened is looked at.
@@ -200,7 +200,7 @@
         let tasks = self.tasks.clone();
         let all_done = |p: &Self| {
             let w = p.site.world();
-            let done = w.site.history.done();
+            let done = w.site.history.completed();
             tasks.iter().all(|t| done.contains(t.as_str()))
         };
         self.until("every task ends", 120.0, all_done).await;
@@ -227,7 +227,7 @@
         let problems = w
             .site
             .history
-            .problems(self.tasks.iter().map(String::as_str));
+            .violations(self.tasks.iter().map(String::as_str));
         assert_eq!(problems, [""; 0]);
         assert_eq!(w.site.broken, [""; 0]);
     }
@@ -289,7 +289,7 @@
         let w = p.site.world();
         w.site.history.events()[before..]
             .iter()
-            .any(|e| e.what == What::Leaves)
+            .any(|e| e.kind == EventKind::Left)
     };
     deployment.until("a task leaves", 30.0, stopped).await;
     let leader = deployment.site.world().leader;
