--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the cloud and the workers, with a checker of the rules.
+//! A fake cloud and fake workers, and the invariants that controllers must keep, checked on each
+//! event.
 
 use std::collections::BTreeMap;
 
@@ -6,35 +7,46 @@
 
 use crate::history::{EventKind, History};
 
-pub const TYPES: &str = r#"{"flavors":[
+/// The machine types of the fake cloud.
+pub const MACHINE_TYPES: &str = r#"{"flavors":[
  {"name":"small","cpus":4,"gpus":0,"memory_gb":16,"local_gb":50,"pull_gb_per_s":0.5,"price":0.2,"market_price":0.07,"ready_s":5,"regions":["a","b"]},
  {"name":"big","cpus":12,"gpus":2,"memory_gb":48,"local_gb":100,"pull_gb_per_s":0.5,"price":5.0,"market_price":1.8,"ready_s":8,"regions":["a","b"]}]}"#;
+/// Interval of heartbeats.
 pub const REPORT_S: f64 = 1.0;
+/// Length of a worker's lease.
 pub const LEASE_S: f64 = 6.0;
-/// Clocks drift apart by this much: workers keep their leases for longer than the
-/// controllers think.
+/// Clock drift: workers keep their leases for longer than controllers assume, by this factor.
 const DRIFT: f64 = 1.001;
+/// Every task of a job must have ended this long after its cancellation was answered.
 pub const CANCEL_S: f64 = 16.0;
+/// How soon a task notices that a member of its gang is gone.
 const GANG_PEER_S: f64 = 2.0;
+/// How long a task waits for the rest of its gang.
 pub const GANG_WAIT_S: f64 = 20.0;
 
+/// A job, as its user knows it.
 #[derive(Clone, Debug)]
 pub struct Job {
+    /// The submitted body.
     pub body: Value,
+    /// How long each task runs.
     pub runtime_s: f64,
-    /// When its user was told that it is accepted.
+    /// When its user received the answer that it is accepted.
     pub accepted: Option<f64>,
-    /// When its user was told that it is cancelled.
+    /// When its user received the answer that it is cancelled.
     pub cancelled_at: Option<f64>,
+    /// Which of its tasks have completed.
     pub done: Vec<bool>,
+    /// The terminal phase that its user received, if one.
     pub told: Option<&'static str>,
+    /// When its user received the terminal phase.
     pub told_at: f64,
-    /// When a question about it was last answered.
+    /// When a poll of it was last answered.
     pub answered_at: f64,
 }
 
 impl Job {
-    /// As its user has uploaded it; nobody has accepted it yet.
+    /// A job that is not accepted yet.
     pub fn uploaded(body: &Value, runtime_s: f64) -> Self {
         let tasks = body["shards"].as_u64().unwrap_or(1) as usize;
         Self {
@@ -62,7 +74,7 @@
     Running {
         left: f64,
     },
-    /// Was told to stop and saves.
+    /// Received a stop command and saves a checkpoint.
     Saving {
         until: f64,
         left: f64,
@@ -109,8 +121,8 @@
     pub now: f64,
     pub workers: BTreeMap<String, Worker>,
     pub jobs: BTreeMap<String, Job>,
-    pub broken: Vec<String>,
-    rentals: BTreeMap<String, Vec<String>>,
+    pub violations: Vec<String>,
+    provisioned: BTreeMap<String, Vec<String>>,
     pub capacity: usize,
     /// From a rental until the worker is up, in seconds.
     pub boot_s: f64,
@@ -136,8 +148,8 @@
             now: 0.0,
             workers: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            broken: Vec::new(),
-            rentals: BTreeMap::new(),
+            violations: Vec::new(),
+            provisioned: BTreeMap::new(),
             capacity: 16,
             boot_s: 6.0,
             limits: BTreeMap::new(),
@@ -145,7 +157,7 @@
             overtaken: 0,
             starts: 0,
             history: History::default(),
-            types: serde_json::from_str(TYPES).expect("our own"),
+            types: serde_json::from_str(MACHINE_TYPES).expect("our own"),
             saved: BTreeMap::new(),
             next: 0,
         }
@@ -217,15 +229,16 @@
         name
     }
 
-    pub fn breaks(&mut self, rule: &str, what: &str) {
-        self.broken.push(format!("{:.1} {rule}: {what}", self.now));
+    pub fn record_violation(&mut self, rule: &str, what: &str) {
+        self.violations
+            .push(format!("{:.1} {rule}: {what}", self.now));
     }
 
     fn job_of(task: &str) -> &str {
         task.split_once('/').map_or(task, |(j, _)| j)
     }
 
-    /// A task gets on a worker: every rule that a start can break is checked here.
+    /// A task starts on a worker: checks every invariant that a start can violate.
     pub fn check_start(&mut self, worker: &str, task: &str) {
         self.starts += 1;
         let job_name = Self::job_of(task).to_string();
@@ -283,7 +296,7 @@
             }
         }
         for (rule, what) in broken {
-            self.breaks(rule, &what);
+            self.record_violation(rule, &what);
         }
     }
 
@@ -303,9 +316,9 @@
             .sum()
     }
 
-    /// Orders that came with an answer, which is at most so many seconds old: none starts anything
-    /// of a job whose user had been told by then that it is cancelled. A start that is stopped by
-    /// the next order is none: it makes a start that may still arrive mean nothing.
+    /// Checks commands of an answer that is at most `answer_s` old: none starts a task of a job whose
+    /// user had received the cancellation by then. A start followed at once by its stop is allowed:
+    /// it cancels a start that may still arrive.
     pub fn check_orders(&mut self, orders: &Value, answer_s: f64) {
         let orders = orders.as_array().map_or(&[][..], Vec::as_slice);
         let is = |o: &Value, verb: &str| o["verb"] == verb;
@@ -319,13 +332,13 @@
             let job = self.jobs.get(Self::job_of(&task));
             let told = job.and_then(|j| j.cancelled_at);
             if told.is_some_and(|at| self.now > at + answer_s) {
-                self.breaks("started_cancelled", &task);
+                self.record_violation("started_cancelled", &task);
             }
         }
     }
 
-    /// No trouble is left: an accepted job that was not cancelled has not waited for so long with
-    /// a task that is nowhere while a worker that fits has room and its team is under its limit.
+    /// Without faults, checks that no accepted job has waited this long with an unplaced task while a
+    /// worker that fits has room and its team is under its limit.
     pub fn check_waiting(&mut self, within_s: f64) {
         let mut waits = Vec::new();
         for (id, job) in &self.jobs {
@@ -377,7 +390,7 @@
             }
         }
         for what in waits {
-            self.breaks("waits", &what);
+            self.record_violation("waits", &what);
         }
     }
 
@@ -395,7 +408,7 @@
         whole - held.filter_map(|(name, _)| needs(name)).sum::<f64>()
     }
 
-    fn leaves(&mut self, worker: &str, task: &str, attempt: u64) {
+    fn record_left(&mut self, worker: &str, task: &str, attempt: u64) {
         self.history
             .record(self.now, task, attempt, worker, EventKind::Left);
     }
@@ -408,7 +421,7 @@
                 Some("start") => self.start(worker, &task, attempt),
                 Some("halt") => {
                     let drain_s = order["drain_s"].as_f64().unwrap_or(0.0);
-                    self.halt(worker, &task, attempt, drain_s);
+                    self.stop(worker, &task, attempt, drain_s);
                 }
                 Some("clear") => {
                     let m = self.workers.get_mut(worker).expect("exists");
@@ -420,12 +433,12 @@
                         m.changed = true;
                     }
                 }
-                _ => self.breaks("protocol", "an order without a verb"),
+                _ => self.record_violation("protocol", "an order without a verb"),
             }
         }
     }
 
-    fn halt(&mut self, worker: &str, task: &str, attempt: u64, drain_s: f64) {
+    fn stop(&mut self, worker: &str, task: &str, attempt: u64, drain_s: f64) {
         let now = self.now;
         let Some(job) = self.jobs.get(Self::job_of(task)) else {
             return;
@@ -450,13 +463,13 @@
         m.changed = true;
         let ended = matches!(t.state, State::Ended(_));
         if was_on && ended {
-            self.leaves(worker, task, attempt);
+            self.record_left(worker, task, attempt);
         }
     }
 
     fn start(&mut self, worker: &str, task: &str, attempt: u64) {
         let Some(job) = self.jobs.get(Self::job_of(task)) else {
-            self.breaks("protocol", "a start of a job that nobody submitted");
+            self.record_violation("protocol", "a start of a job that nobody submitted");
             return;
         };
         let needs = |what: &str| job.body[what].as_f64().unwrap_or(0.0);
@@ -492,8 +505,8 @@
         );
     }
 
-    /// Whether a response to a report, or a direct message, is to be obeyed.
-    pub fn obey(&mut self, worker: &str, fence: Option<u64>) -> bool {
+    /// Whether a worker accepts commands under this fencing token; it stores a newer one.
+    pub fn accept_fencing_token(&mut self, worker: &str, fence: Option<u64>) -> bool {
         let m = self.workers.get_mut(worker).expect("exists");
         match fence {
             Some(f) if f >= m.fence => {
@@ -510,9 +523,8 @@
         m.answered_sent = m.answered_sent.max(sent);
     }
 
-    /// Ends a session whose lease has run out, also of a worker that hangs: only within its
-    /// lease may that go on with what it had. It once kept its tasks until it woke, and a
-    /// start elsewhere after the end of its lease was taken for a broken rule.
+    /// Ends the incarnation of a worker whose lease has expired, also while the worker hangs: it may
+    /// run its tasks only within its lease.
     pub fn end_lease(&mut self, name: &str) {
         let now = self.now;
         let m = self.workers.get_mut(name).expect("exists");
@@ -522,13 +534,13 @@
             m.answered_sent = now;
             m.changed = true;
             for (task, t) in tasks.iter().filter(|(_, t)| t.state.on_worker()) {
-                self.leaves(name, task, t.attempt);
+                self.record_left(name, task, t.attempt);
             }
         }
     }
 
-    /// One step of a worker's own life.
-    pub fn live(&mut self, name: &str, passed: f64) {
+    /// Advances a worker by one step: images arrive, tasks run and end.
+    pub fn advance_worker(&mut self, name: &str, passed: f64) {
         let now = self.now;
         self.end_lease(name);
         let m = self.workers.get_mut(name).expect("exists");
@@ -603,7 +615,7 @@
             }
         }
         for (task, attempt) in left_early {
-            self.leaves(name, &task, attempt);
+            self.record_left(name, &task, attempt);
         }
         for (task, attempt) in ended {
             self.history
@@ -622,8 +634,8 @@
         }
     }
 
-    /// Gangs start together and notice when one of them is gone.
-    pub fn gangs(&mut self) {
+    /// Starts complete gangs, and lets gangs notice the loss of a member.
+    pub fn advance_gangs(&mut self) {
         let now = self.now;
         let mut attempts: BTreeMap<(String, u64), Vec<(String, String)>> = BTreeMap::new();
         for m in self.workers.values().filter(|m| !m.dead) {
@@ -667,17 +679,17 @@
         }
     }
 
-    /// A worker stops for good, or is given back.
+    /// Removes a worker: it is lost or scaled in.
     pub fn remove(&mut self, name: &str) {
         let Some(m) = self.workers.remove(name) else {
             return;
         };
         for (task, t) in m.tasks.iter().filter(|(_, t)| t.state.on_worker()) {
-            self.leaves(name, task, t.attempt);
+            self.record_left(name, task, t.attempt);
         }
     }
 
-    pub fn cloud(&mut self, method: &str, path: &str, body: &[u8]) -> (u16, Value) {
+    pub fn handle_cloud_request(&mut self, method: &str, path: &str, body: &[u8]) -> (u16, Value) {
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         match (method, path.split('?').next().unwrap_or("")) {
             ("GET", "/machine_types") => (200, self.types.clone()),
@@ -703,7 +715,7 @@
             }
             ("POST", "/rentals") => {
                 let request = body["rental"].as_str().unwrap_or("").to_string();
-                if let Some(hosts) = self.rentals.get(&request) {
+                if let Some(hosts) = self.provisioned.get(&request) {
                     return (200, json!({"hosts": hosts}));
                 }
                 let wanted = body["number"].as_u64().unwrap_or(0) as usize;
@@ -718,7 +730,7 @@
                 let hosts: Vec<String> = (0..wanted.min(free))
                     .map(|_| self.add_worker(&flavor, zone, spot, up))
                     .collect();
-                self.rentals.insert(request, hosts.clone());
+                self.provisioned.insert(request, hosts.clone());
                 (200, json!({"hosts": hosts}))
             }
             ("POST", "/rentals/return") => {
@@ -731,11 +743,11 @@
         }
     }
 
-    /// What a user was told, checked against all that was told before.
-    pub fn user_told(&mut self, id: &str, asked_at: f64, status: u16, phase: Option<&str>) {
+    /// Checks an answer to a user against all earlier answers about the job.
+    pub fn check_user_answer(&mut self, id: &str, asked_at: f64, status: u16, phase: Option<&str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             if status == 200 {
-                self.breaks("invented", id);
+                self.record_violation("invented", id);
             }
             return;
         };
@@ -783,7 +795,7 @@
             job.told_at = self.now;
         }
         for rule in broken {
-            self.breaks(rule, id);
+            self.record_violation(rule, id);
         }
     }
 
@@ -801,8 +813,8 @@
         all.into_iter().collect()
     }
 
-    /// No trouble is left, and users have gone on asking: an accepted job about which no question
-    /// was answered for so long is forgotten.
+    /// Without faults and with users polling, checks that every accepted job was answered within this
+    /// time.
     pub fn check_answered(&mut self, within_s: f64) {
         let now = self.now;
         let forgotten = |j: &Job| {
@@ -811,7 +823,7 @@
         };
         let all = self.jobs.iter().filter(|(_, j)| forgotten(j));
         for id in all.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
-            self.breaks("forgotten", &format!("{id}, unanswered for {within_s} s"));
+            self.record_violation("forgotten", &format!("{id}, unanswered for {within_s} s"));
         }
     }
 
@@ -828,11 +840,11 @@
         let on = m.tasks.keys().filter(|t| m.on(t));
         let kept: Vec<String> = on.filter(long_cancelled).cloned().collect();
         for task in kept {
-            self.breaks("renewed_cancelled", &format!("{task} on {worker}"));
+            self.record_violation("renewed_cancelled", &format!("{task} on {worker}"));
         }
     }
 
-    /// Tasks that are somewhere although their job was cancelled long ago.
+    /// Checks that no task occupies a worker longer than [`CANCEL_S`] after its job's cancellation.
     pub fn check_cancelled(&mut self) {
         let late: Vec<String> = self
             .workers
@@ -847,7 +859,7 @@
             .cloned()
             .collect();
         for task in late {
-            self.breaks("ran_cancelled", &task);
+            self.record_violation("ran_cancelled", &task);
         }
     }
 }
--- a/crates/simulation/src/loopback.rs
+++ b/crates/simulation/src/loopback.rs
@@ -1,6 +1,6 @@
-//! The stand-ins as real servers on loopback: a state service, a cloud, and workers that
-//! report and run tasks, beside settings for real controllers. `examples/site.rs` serves
-//! them for people, `tests/whole_nodes.rs` for proofs.
+//! The fakes as HTTP servers on loopback: a state service, a cloud, and workers that send
+//! heartbeats and run tasks, and settings files for real controller processes.
+//! `tests/whole_nodes.rs` runs the deployment against them.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -25,7 +25,7 @@
 const MOST: usize = 6144;
 /// What their requests may hold.
 const MAX_BYTES: usize = 1 << 30;
-/// The workers live in steps of so many seconds.
+/// Workers advance in steps of this many seconds.
 const STEP_S: f64 = 0.1;
 
 pub struct World {
@@ -34,9 +34,9 @@
     start: Instant,
     /// Where each worker is served.
     workers: BTreeMap<String, SocketAddr>,
-    /// Which node last answered a worker as leader.
+    /// The controller that last answered a worker as leader.
     pub leader: usize,
-    /// Jobs that nobody uploaded run for so long; `None`: they are unknown.
+    /// Jobs that nobody submitted run for this long; `None`: they are unknown.
     pub anything_runs_s: Option<f64>,
 }
 
@@ -181,7 +181,7 @@
         }
     }
 
-    /// What a user is told of a job, by any controller; checked as the rules have it.
+    /// Polls a job at any controller, and checks the answer.
     pub async fn poll(&self, id: &str) -> Option<Value> {
         for &node in &self.public {
             let asked_at = self.world().site.now;
@@ -192,7 +192,7 @@
             let value: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
             let mut w = self.world();
             w.site
-                .user_told(id, asked_at, answer.status, value["phase"].as_str());
+                .check_user_answer(id, asked_at, answer.status, value["phase"].as_str());
             if answer.status == 200 {
                 return Some(value);
             }
@@ -240,7 +240,10 @@
     async fn answer_cloud(self, request: Incoming) -> Outgoing {
         let path = full_path(&request);
         let mut w = self.world();
-        reply(w.site.cloud(request.method.as_str(), &path, &request.body))
+        reply(
+            w.site
+                .handle_cloud_request(request.method.as_str(), &path, &request.body),
+        )
     }
 
     async fn answer_worker(self, name: String, request: Incoming) -> Outgoing {
@@ -253,7 +256,7 @@
             let orders: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
             w.learn_jobs(&orders["orders"]);
             let same = orders["tenure"].as_u64() == Some(w.site.workers[&name].tenure);
-            if same && w.site.obey(&name, orders["fence"].as_u64()) {
+            if same && w.site.accept_fencing_token(&name, orders["fence"].as_u64()) {
                 w.site.execute(&name, &orders["orders"]);
             } else {
                 status = 409;
@@ -262,7 +265,7 @@
         reply((status, w.heartbeat(&name)))
     }
 
-    /// The workers' own lives: they run tasks and report to whoever leads.
+    /// Advances the workers: they run tasks and send heartbeats to the leader.
     async fn live(&self) {
         let mut due: BTreeMap<String, (f64, usize)> = BTreeMap::new();
         loop {
@@ -291,7 +294,7 @@
             .collect();
         let mut heartbeats = Vec::new();
         for name in up {
-            w.site.live(&name, passed);
+            w.site.advance_worker(&name, passed);
             if !due.contains_key(&name) {
                 println!("machine {name} is up");
                 due.insert(name.clone(), (now, 0));
@@ -318,12 +321,12 @@
                 heartbeats.push((name.clone(), node, w.heartbeat(&name), now));
             }
         }
-        w.site.gangs();
+        w.site.advance_gangs();
         w.site.check_cancelled();
         heartbeats
     }
 
-    /// To which node a worker reports next.
+    /// Handles the answer to a heartbeat; returns the controller for the next one.
     fn answered(&self, name: &str, node: usize, sent: f64, answer: Option<Answer>) -> usize {
         let other = (node + 1) % NODES;
         let Some(answer) = answer else { return other };
@@ -332,7 +335,9 @@
             let mut w = self.world();
             w.leader = node;
             w.learn_jobs(&value["orders"]);
-            if w.site.workers.contains_key(name) && w.site.obey(name, value["fence"].as_u64()) {
+            if w.site.workers.contains_key(name)
+                && w.site.accept_fencing_token(name, value["fence"].as_u64())
+            {
                 w.site.answered(name, sent);
                 w.site.execute(name, &value["orders"]);
             }
--- a/tests/cancellation.rs
+++ b/tests/cancellation.rs
@@ -59,7 +59,7 @@
         let w = world.lock().unwrap();
         let cancelled = |j: &&Job| j.told == Some("withdrawn");
         (
-            w.site.broken.clone(),
+            w.site.violations.clone(),
             w.site.jobs.values().filter(cancelled).count(),
         )
     })
--- a/tests/compound_failures.rs
+++ b/tests/compound_failures.rs
@@ -154,7 +154,7 @@
             let w = world.lock().unwrap();
             let told = w.site.jobs.values().filter(|j| j.told.is_some());
             assert_eq!(told.count(), 3);
-            w.site.broken.clone()
+            w.site.violations.clone()
         });
         assert!(broken.is_empty(), "{later_s} s after the end: {broken:#?}");
     }
--- a/tests/leadership_transfer.rs
+++ b/tests/leadership_transfer.rs
@@ -61,7 +61,7 @@
         tokio::spawn(inflict(world.clone(), later_s, outage, seed));
         sleep(Duration::from_secs_f64(60.0)).await;
         let w = world.lock().unwrap();
-        assert!(w.site.broken.is_empty(), "{:#?}", w.site.broken);
+        assert!(w.site.violations.is_empty(), "{:#?}", w.site.violations);
         w.site.history.workers_of("wk-000001/0").len() - 1
     })
 }
--- a/tests/one_way_partitions.rs
+++ b/tests/one_way_partitions.rs
@@ -46,7 +46,7 @@
         }
         sleep(Duration::from_secs_f64(PARTITION_AT_S + partition_s + 40.0)).await;
         let w = world.lock().unwrap();
-        assert!(w.site.broken.is_empty(), "{:#?}", w.site.broken);
+        assert!(w.site.violations.is_empty(), "{:#?}", w.site.violations);
         let mut times: Vec<f64> = w
             .site
             .jobs
@@ -101,7 +101,7 @@
             }
             sleep(Duration::from_secs_f64(PARTITION_AT_S + partition_s + 30.0)).await;
             let w = world.lock().unwrap();
-            assert!(w.site.broken.is_empty(), "{:#?}", w.site.broken);
+            assert!(w.site.violations.is_empty(), "{:#?}", w.site.violations);
             let unusable = PARTITION_AT_S + LEASE_S / 2.0 + 1.0..PARTITION_AT_S + partition_s;
             let events = w.site.history.events().iter();
             let on_them =
--- a/tests/sharding.rs
+++ b/tests/sharding.rs
@@ -46,7 +46,7 @@
         tokio::spawn(inflict(world.clone(), 5.0, fault, seed));
         sleep(Duration::from_secs(65)).await;
         let w = world.lock().unwrap();
-        assert_eq!(w.site.broken, [""; 0], "seed {seed}");
+        assert_eq!(w.site.violations, [""; 0], "seed {seed}");
         assert_eq!(w.site.starts, 16, "seed {seed}");
         for id in [2, 3] {
             let told = w.site.jobs[&format!("wk-{id:06}")].told;
--- a/tests/simulated_cluster/mod.rs
+++ b/tests/simulated_cluster/mod.rs
@@ -346,7 +346,7 @@
                 .lock()
                 .unwrap()
                 .site
-                .cloud(method.as_str(), &path, &body),
+                .handle_cloud_request(method.as_str(), &path, &body),
         )
     } else if to.starts_with("vm-") {
         loop {
@@ -369,7 +369,7 @@
         if path == "/orders" {
             let orders: Value = serde_json::from_slice(&body).unwrap();
             let same = site.workers[&to].tenure == orders["tenure"].as_u64().unwrap();
-            if same && site.obey(&to, orders["fence"].as_u64()) {
+            if same && site.accept_fencing_token(&to, orders["fence"].as_u64()) {
                 site.execute(&to, &orders["orders"]);
             } else {
                 status = 409;
@@ -507,7 +507,7 @@
                 w.site.end_lease(name);
                 continue;
             }
-            w.site.live(name, step);
+            w.site.advance_worker(name, step);
             let m = &w.site.workers[name];
             let due = next.entry(name.clone()).or_insert(now);
             let early = m.changed && now > *due - REPORT_S + 0.3;
@@ -522,7 +522,7 @@
                 });
             }
         }
-        w.site.gangs();
+        w.site.advance_gangs();
         w.site.check_cancelled();
         let share = w.cancel_at_end;
         for id in std::mem::take(&mut w.site.completed) {
@@ -602,7 +602,7 @@
                 .workers
                 .get(name)
                 .is_some_and(|m| m.tenure == tenure && !m.hung && !m.dead);
-            if fits && w.site.obey(name, value["fence"].as_u64()) {
+            if fits && w.site.accept_fencing_token(name, value["fence"].as_u64()) {
                 w.site.answered(name, sent);
                 let by = w.answered_by.entry(name.to_string()).or_default();
                 if by.last() != Some(&node) {
@@ -747,7 +747,8 @@
         let answer = ask(world, Method::POST, "/work", body).await;
         if let Some((200 | 201, _)) = answer {
             let mut w = world.lock().unwrap();
-            w.site.breaks("accepted_wrong", &wrong.to_string());
+            w.site
+                .record_violation("accepted_wrong", &wrong.to_string());
         }
         return;
     }
@@ -843,7 +844,7 @@
     w.site.now = w.now();
     let phase = value["phase"].as_str();
     let before = w.site.jobs.get(id).and_then(|j| j.told);
-    w.site.user_told(id, asked_at, status, phase);
+    w.site.check_user_answer(id, asked_at, status, phase);
     let after = w.site.jobs.get(id).and_then(|j| j.told);
     drop(w);
     if before != after {
@@ -1064,7 +1065,7 @@
         .iter()
         .map(|(k, j)| (k.clone(), j.told))
         .collect();
-    (w.site.broken.clone(), w.site.starts, told)
+    (w.site.violations.clone(), w.site.starts, told)
 }
 
 pub async fn inflict(world: SharedCluster, at: f64, fault: Fault, seed: u64) {
--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -313,8 +313,8 @@
 fn start_task(site: &mut Site, worker: &str, task: &str, attempt: u64) -> Vec<String> {
     let order = json!([{"verb": "start", "shard": task, "try": attempt}]);
     site.execute(worker, &order);
-    site.live(worker, 0.0);
-    site.broken
+    site.advance_worker(worker, 0.0);
+    site.violations
         .drain(..)
         .map(|b| b.split(' ').nth(1).unwrap().to_string())
         .collect()
@@ -386,12 +386,12 @@
         start_task(&mut site, &d, "wk-000005/0", 8),
         ["ran_cancelled:"]
     );
-    site.user_told("wk-000001", 1.0, 200, Some("done"));
-    site.user_told("wk-000001", 1.0, 200, Some("running"));
-    site.user_told("wk-000002", 1.0, 404, None);
-    site.user_told("wk-999999", 1.0, 200, Some("pending"));
+    site.check_user_answer("wk-000001", 1.0, 200, Some("done"));
+    site.check_user_answer("wk-000001", 1.0, 200, Some("running"));
+    site.check_user_answer("wk-000002", 1.0, 404, None);
+    site.check_user_answer("wk-999999", 1.0, 200, Some("pending"));
     let rules: Vec<&str> = site
-        .broken
+        .violations
         .iter()
         .filter_map(|b| b.split(' ').nth(1))
         .collect();
@@ -402,24 +402,24 @@
     site.now = 80.0;
     site.jobs.get_mut("wk-000002").unwrap().answered_at = 70.0;
     site.check_answered(75.0);
-    let broken = site.broken.split_off(4);
+    let broken = site.violations.split_off(4);
     let forgotten = |id: &str| format!("80.0 forgotten: {id}, unanswered for 75 s");
     let unanswered = ["wk-000001", "wk-000003", "wk-000004", "wk-000005"];
     assert_eq!(broken, unanswered.map(forgotten));
     // The lease of `d` is renewed while a task of the cancelled job is on it.
     site.check_renewed(&d);
-    let renewed = site.broken.pop().expect("it is broken");
+    let renewed = site.violations.pop().expect("it is broken");
     assert_eq!(
         renewed,
         format!("80.0 renewed_cancelled: wk-000005/0 on {d}")
     );
-    assert_eq!(site.broken.len(), 4);
+    assert_eq!(site.violations.len(), 4);
 }
 
 /// The rules that a site has violated since the last call.
 fn violated_rules(site: &mut Site) -> Vec<String> {
     let rule = |b: String| b.split(' ').nth(1).unwrap().to_string();
-    site.broken.drain(..).map(rule).collect()
+    site.violations.drain(..).map(rule).collect()
 }
 
 /// The same for the rules that compound failures may violate.
@@ -458,10 +458,10 @@
     site.now = 91.0;
     site.check_waiting(90.0);
     assert_eq!(
-        site.broken,
+        site.violations,
         ["91.0 waits: wk-000004, for 90 s beside free room"]
     );
-    site.broken.clear();
+    site.violations.clear();
     site.limits.insert("team".into(), 1.0);
     site.check_waiting(90.0);
     assert_eq!(violated_rules(&mut site), Vec::<String>::new());
@@ -475,13 +475,13 @@
 
     // A repeated submission that is refused, and one that is answered with something older; what
     // was asked before the newer answer arrived is only counted.
-    site.user_told("wk-000004", 91.0, 422, None);
+    site.check_user_answer("wk-000004", 91.0, 422, None);
     site.jobs.get_mut("wk-000004").unwrap().body["asked"] = json!(true);
-    site.user_told("wk-000004", 91.0, 200, Some("withdrawn"));
+    site.check_user_answer("wk-000004", 91.0, 200, Some("withdrawn"));
     assert_eq!(violated_rules(&mut site), ["forgotten:"]);
     site.now = 92.0;
-    site.user_told("wk-000004", 90.9, 201, Some("pending"));
+    site.check_user_answer("wk-000004", 90.9, 201, Some("pending"));
     assert_eq!((violated_rules(&mut site).len(), site.overtaken), (0, 1));
-    site.user_told("wk-000004", 91.1, 201, Some("pending"));
+    site.check_user_answer("wk-000004", 91.1, 201, Some("pending"));
     assert_eq!(violated_rules(&mut site), ["went_back:"]);
 }
--- a/tests/whole_nodes.rs
+++ b/tests/whole_nodes.rs
@@ -229,7 +229,7 @@
             .history
             .violations(self.tasks.iter().map(String::as_str));
         assert_eq!(problems, [""; 0]);
-        assert_eq!(w.site.broken, [""; 0]);
+        assert_eq!(w.site.violations, [""; 0]);
     }
 }
 
