--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -151,7 +151,7 @@
             if !self.is_whole_gang(ix)
                 || self.jobs[ix].active > 0
                 || self.jobs[ix].waiting() == 0
-                || !self.is_rescued(ix)
+                || !self.has_deadline_boost(ix)
             {
                 continue;
             }
--- /dev/null
+++ b/src/coordination/placement/leftovers.rs
@@ -0,0 +1,50 @@
+//! Exact fit: tasks take the room that the auction's slots are too coarse to sell.
+
+use crate::coordination::state::Core;
+
+use super::MAX_TASKS_PER_JOB;
+
+impl Core {
+    /// Starts tasks of a job wherever they fit, on the workers it values most first.
+    pub(super) fn place_leftovers(&mut self, ix: u32) {
+        if self.is_whole_gang(ix) {
+            return;
+        }
+        let mut left = self.jobs[ix]
+            .waiting()
+            .min(MAX_TASKS_PER_JOB)
+            .min(self.canaries(ix));
+        if left == 0 {
+            return;
+        }
+        let needs = self.jobs[ix].spec.needs;
+        for m in self.workers_with_room(ix) {
+            while left > 0
+                && needs.fits_in(&self.room_after_reservations(m, ix))
+                && self.start_one(ix, m)
+            {
+                left -= 1;
+            }
+        }
+    }
+
+    /// The workers that have room for a task of a job and suit it, the most valued first.
+    fn workers_with_room(&self, ix: u32) -> Vec<u32> {
+        let needs = self.jobs[ix].spec.needs;
+        let tier = self.best_tier(ix);
+        let mut workers: Vec<(u32, f64)> = self
+            .workers
+            .indices()
+            .into_iter()
+            .filter(|&m| {
+                self.worker_usable(m)
+                    && needs.fits_in(&self.room_after_reservations(m, ix))
+                    && self.worker_allowed(ix, m)
+                    && self.in_tier(ix, m, tier)
+            })
+            .map(|m| (m, self.value(ix, m)))
+            .collect();
+        workers.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
+        workers.into_iter().map(|(m, _)| m).collect()
+    }
+}
--- /dev/null
+++ b/src/coordination/placement/market.rs
@@ -0,0 +1,182 @@
+//! The market of a batch: free room of workers as the auction's lots, waiting tasks as its groups,
+//! and the starts that its awards stand for.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use crate::coordination::auction::{self, Group, Lot};
+use crate::coordination::state::Core;
+
+use super::MAX_TASKS_PER_JOB;
+
+/// No job: room for it is what is reserved for nobody.
+const NO_JOB: u32 = u32::MAX;
+
+/// The lots of an auction, and which worker each belongs to.
+#[derive(Default)]
+struct Supply {
+    lots: Vec<Lot>,
+    worker_of: Vec<u32>,
+}
+
+/// The groups of an auction, and the jobs of each in their order.
+#[derive(Default)]
+struct Demand {
+    groups: Vec<Group>,
+    jobs_of: Vec<VecDeque<u32>>,
+    group_of_class: BTreeMap<u32, usize>,
+}
+
+impl Core {
+    /// Sells the free room of all workers to the jobs of a batch, and starts what they bought.
+    pub(super) fn run_market(&mut self, batch: &[u32]) {
+        let supply = self.market_supply();
+        if supply.lots.is_empty() {
+            return;
+        }
+        let Demand {
+            groups,
+            mut jobs_of,
+            ..
+        } = self.market_demand(batch, &supply);
+        let cap = self.config.tuning.auction_cap;
+        let (awards, outcome) = auction::clear(&supply.lots, &groups, cap);
+        if outcome.capped {
+            tracing::debug!(bids = outcome.bids, groups = groups.len(), "auction capped");
+        }
+        for award in awards {
+            let jobs = &mut jobs_of[award.group as usize];
+            while jobs.len() > 1 && self.jobs[jobs[0]].waiting() == 0 {
+                jobs.pop_front();
+            }
+            self.start_one(jobs[0], supply.worker_of[award.lot as usize]);
+        }
+    }
+
+    /// The free room of every usable worker.
+    fn market_supply(&self) -> Supply {
+        let slot_cpus = self.config.tuning.slot_cpus;
+        let mut supply = Supply::default();
+        for m in self.workers.indices() {
+            if !self.worker_usable(m) {
+                continue;
+            }
+            let room = self.room_after_reservations(m, NO_JOB);
+            let lot = Lot {
+                cpu_slots: (room.cpus as f64 / 1000.0 / slot_cpus).floor().max(0.0) as u32,
+                gpu_slots: (room.gpus / 1000).max(0) as u32,
+                memory: room.memory.max(0),
+                zone: self.workers[m].zone,
+            };
+            if lot.cpu_slots > 0 {
+                supply.worker_of.push(m);
+                supply.lots.push(lot);
+            }
+        }
+        supply
+    }
+
+    /// The waiting tasks of a batch; jobs of one scheduling class bid as one group.
+    fn market_demand(&self, batch: &[u32], supply: &Supply) -> Demand {
+        let mut demand = Demand::default();
+        for &ix in batch {
+            let class = self.bidding_class(ix);
+            if let Some(&at) = class.and_then(|class| demand.group_of_class.get(&class)) {
+                let group = &mut demand.groups[at];
+                group.demand = (group.demand + self.jobs[ix].waiting()).min(MAX_TASKS_PER_JOB);
+                demand.jobs_of[at].push_back(ix);
+                continue;
+            }
+            let Some(group) = self.bidding_group(ix, supply) else {
+                continue;
+            };
+            if let Some(class) = class {
+                demand.group_of_class.insert(class, demand.groups.len());
+            }
+            demand.jobs_of.push(VecDeque::from([ix]));
+            demand.groups.push(group);
+        }
+        demand
+    }
+
+    /// What a job bids for; nothing if no lot suits it, or if it is placed as a whole.
+    fn bidding_group(&self, ix: u32, supply: &Supply) -> Option<Group> {
+        let job = &self.jobs[ix];
+        let demand = job.waiting().min(MAX_TASKS_PER_JOB).min(self.canaries(ix));
+        if demand == 0 || self.is_whole_gang(ix) {
+            return None;
+        }
+        let (cpu_slots, gpu_slots) = Group::sized(&job.spec.needs, self.config.tuning.slot_cpus);
+        let mut group = Group {
+            demand,
+            cpu_slots,
+            gpu_slots,
+            memory: job.spec.needs.memory,
+            values: Vec::new(),
+            zone_room: None,
+        };
+        group.values = self.lot_values(ix, &group, supply);
+        if group.values.is_empty() {
+            return None;
+        }
+        if job.spec.one_zone && self.bound_zone(ix).is_none() && job.spec.tasks > 1 {
+            self.keep_best_zone(&supply.lots, &mut group.values);
+        }
+        group.zone_room = job.spec.spread.then(|| self.zone_room(ix));
+        Some(group)
+    }
+
+    /// What one task of a job is worth on each lot that suits it, by the lot's index.
+    fn lot_values(&self, ix: u32, group: &Group, supply: &Supply) -> Vec<(u32, f64)> {
+        let zone = self.bound_zone(ix);
+        let tier = self.best_tier(ix);
+        let mut values = Vec::new();
+        for (at, (lot, &m)) in (0u32..).zip(supply.lots.iter().zip(&supply.worker_of)) {
+            let fits = lot.cpu_slots >= group.cpu_slots
+                && lot.gpu_slots >= group.gpu_slots
+                && lot.memory >= group.memory;
+            if fits
+                && self.worker_allowed(ix, m)
+                && self.zone_allows(ix, lot.zone)
+                && zone.is_none_or(|zone| zone == lot.zone)
+                && self.in_tier(ix, m, tier)
+            {
+                values.push((at, self.value(ix, m)));
+            }
+        }
+        values
+    }
+
+    /// How many more tasks of a job each zone may get.
+    fn zone_room(&self, ix: u32) -> Vec<u32> {
+        let job = &self.jobs[ix];
+        (0..self.zones.len())
+            .map(|zone| {
+                let here = job.by_zone.get(zone).copied().unwrap_or(0);
+                job.zone_cap().saturating_sub(here)
+            })
+            .collect()
+    }
+
+    /// The zone that a `one_zone` job is bound to by its task instances.
+    fn bound_zone(&self, ix: u32) -> Option<u32> {
+        let job = &self.jobs[ix];
+        if !job.spec.one_zone {
+            return None;
+        }
+        let zone = job.by_zone.iter().position(|&instances| instances > 0);
+        zone.map(|zone| zone as u32)
+    }
+
+    /// Drops all lots but those of the zone whose free room is worth most.
+    fn keep_best_zone(&self, lots: &[Lot], values: &mut Vec<(u32, f64)>) {
+        let mut worth = vec![0.0; self.zones.len()];
+        for &(at, value) in values.iter() {
+            let lot = &lots[at as usize];
+            worth[lot.zone as usize] += value * f64::from(lot.cpu_slots);
+        }
+        let best = (0..worth.len())
+            .max_by(|&a, &b| worth[a].total_cmp(&worth[b]))
+            .unwrap_or(0) as u32;
+        values.retain(|(at, _)| lots[*at as usize].zone == best);
+    }
+}
--- /dev/null
+++ b/src/coordination/placement/start.rs
@@ -0,0 +1,48 @@
+//! Starting a job's next task on a worker.
+
+use crate::coordination::state::Core;
+
+impl Core {
+    /// Starts one more task of a job on a worker, if every condition holds.
+    pub(in crate::coordination) fn start_one(&mut self, ix: u32, m: u32) -> bool {
+        let Some(task) = self.take_next_task(ix) else {
+            return false;
+        };
+        if !self.may_start(ix, task, m) {
+            self.jobs[ix].retry.push_front(task);
+            return false;
+        }
+        let attempt = self.new_attempt();
+        if self.jobs[ix].is_gang() {
+            self.jobs[ix].attempt = Some(attempt);
+        }
+        self.start(ix, task, m, attempt);
+        true
+    }
+
+    /// Takes the next task of a job that may be tried: one to retry, else one never started.
+    fn take_next_task(&mut self, ix: u32) -> Option<u32> {
+        let now = self.now;
+        let job = &mut self.jobs[ix];
+        for _ in 0..job.retry.len() {
+            let task = job.retry.pop_front()?;
+            let state = &job.tasks[task as usize];
+            if state.done || state.instances > 0 {
+                continue;
+            }
+            if f64::from(state.not_before) <= now {
+                return Some(task);
+            }
+            job.retry.push_back(task);
+        }
+        while job.fresh < job.spec.tasks {
+            let task = job.fresh;
+            job.fresh += 1;
+            let state = &job.tasks[task as usize];
+            if !state.done && state.instances == 0 {
+                return Some(task);
+            }
+        }
+        None
+    }
+}
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -139,7 +139,7 @@
             if budget == 0 {
                 break;
             }
-            let scheduling_class = self.bids_as(ix);
+            let scheduling_class = self.bidding_class(ix);
             let in_vain = scheduling_class.is_some_and(|a| tried.contains(&a));
             // Good work is not stopped for a job that fails everywhere.
             if in_vain || self.is_mistaken(ix) {
