--- a/src/coordination/migration.rs
+++ b/src/coordination/migration.rs
@@ -492,7 +492,7 @@
             if large_task_profile.is_some() && self.workers[to].reserved_for == large_task_profile {
                 self.workers[to].reserved_for = None;
             }
-            let Some((_, victims)) = self.victims(job, to) else {
+            let Some(victims) = self.victims(job, to).map(|p| p.victims) else {
                 for (m, job) in held {
                     self.drop_hold(m, job);
                 }
--- /dev/null
+++ b/src/coordination/preemption/reservations.rs
@@ -0,0 +1,172 @@
+//! Reservations: room on a worker that is kept for tasks of one job.
+
+use std::collections::BTreeSet;
+
+use crate::coordination::model::*;
+use crate::coordination::state::Core;
+use crate::protocol::job::Resources;
+
+impl Core {
+    /// Reserves room for one more task of a job on a worker.
+    pub(in crate::coordination) fn reserve(&mut self, m: u32, ix: u32, for_s: f64) {
+        let until = self.now + for_s;
+        let reservations = &mut self.workers[m].reservations;
+        match reservations.iter_mut().find(|own| own.job == ix) {
+            Some(own) => {
+                own.count += 1;
+                own.until = own.until.max(until);
+            }
+            None => reservations.push(Reservation {
+                job: ix,
+                count: 1,
+                until,
+                held: false,
+            }),
+        }
+    }
+
+    /// Keeps what is reserved for a job on a worker for at least this long.
+    pub(in crate::coordination) fn renew_reservation(&mut self, m: u32, ix: u32, for_s: f64) {
+        let until = self.now + for_s;
+        let reservations = self.workers[m].reservations.iter_mut();
+        for own in reservations.filter(|reservation| reservation.job == ix) {
+            own.until = own.until.max(until);
+        }
+    }
+
+    /// Drops reservations that have lapsed, and those that are of no use any more.
+    pub(in crate::coordination) fn expire_reservations(&mut self) {
+        let now = self.now;
+        for m in self.workers.indices() {
+            if self.workers[m].reservations.is_empty() {
+                continue;
+            }
+            let usable = self.worker_usable(m);
+            let jobs = &self.jobs;
+            let wanted = |reservation: &Reservation| {
+                jobs.get(reservation.job).is_some_and(|job| {
+                    job.state == JobState::Live && (reservation.held || job.waiting() > 0)
+                })
+            };
+            self.workers[m]
+                .reservations
+                .retain(|reservation| usable && reservation.until > now && wanted(reservation));
+        }
+    }
+
+    /// For how many tasks of a job room is reserved.
+    pub(super) fn reserved_tasks(&self, ix: u32) -> u32 {
+        self.reserved_by_zone(ix).iter().sum()
+    }
+
+    /// The same by zone.
+    pub(in crate::coordination) fn reserved_by_zone(&self, ix: u32) -> Vec<u32> {
+        let mut by_zone = vec![0; self.zones.len()];
+        for (_, worker) in self.workers.iter() {
+            for own in worker.reservations.iter().filter(|r| r.job == ix) {
+                by_zone[worker.zone as usize] += own.count;
+            }
+        }
+        by_zone
+    }
+
+    /// Free room of a worker less what is reserved for other jobs.
+    pub(in crate::coordination) fn room_after_reservations(&self, m: u32, ix: u32) -> Resources {
+        let mut room = self.free_room(m);
+        if let Some(kept) = self.kept_from(m, ix) {
+            room.sub(&kept);
+        }
+        for reservation in &self.workers[m].reservations {
+            if reservation.job != ix {
+                self.subtract_reserved(&mut room, reservation);
+            }
+        }
+        room
+    }
+
+    /// Room for one more task of a job, beside what is reserved for it and for others.
+    pub(super) fn room_for_one_more(&self, ix: u32, m: u32) -> Resources {
+        let mut room = self.room_after_reservations(m, ix);
+        for reservation in &self.workers[m].reservations {
+            if reservation.job == ix {
+                self.subtract_reserved(&mut room, reservation);
+            }
+        }
+        room
+    }
+
+    fn subtract_reserved(&self, room: &mut Resources, reservation: &Reservation) {
+        let needs = &self.jobs[reservation.job].spec.needs;
+        for _ in 0..reservation.count {
+            room.sub(needs);
+        }
+    }
+
+    /// Whether room for a task of a job may be reserved on a worker at all.
+    pub(in crate::coordination) fn reservable(&self, ix: u32, m: u32) -> bool {
+        self.worker_usable(m)
+            && self.worker_allowed(ix, m)
+            && self.zone_allows(ix, self.workers[m].zone)
+    }
+
+    /// Starts the tasks that room was reserved for, as soon as the room is there.
+    pub(in crate::coordination) fn serve_reservations(&mut self, batch: &[u32]) {
+        self.reassign_reservations(batch);
+        let workers = self.workers.indices();
+        let reservations = workers.iter().flat_map(|&m| &self.workers[m].reservations);
+        let with_reservations: BTreeSet<u32> = reservations.map(|r| r.job).collect();
+        for &ix in batch {
+            if self.is_whole_gang(ix) || !with_reservations.contains(&ix) {
+                continue;
+            }
+            for m in self.workers.indices() {
+                while self.has_reservation(m, ix)
+                    && self.jobs[ix]
+                        .spec
+                        .needs
+                        .fits_in(&self.room_after_reservations(m, ix))
+                    && self.start_one(ix, m)
+                {}
+            }
+        }
+    }
+
+    fn has_reservation(&self, m: u32, ix: u32) -> bool {
+        self.workers[m].reservations.iter().any(|r| r.job == ix)
+    }
+
+    /// Room that is reserved for a whole-worker task goes to the most urgent single task of its
+    /// large-task profile, whoever asked for it first.
+    fn reassign_reservations(&mut self, batch: &[u32]) {
+        for m in self.workers.indices() {
+            for at in 0..self.workers[m].reservations.len() {
+                let holder = self.workers[m].reservations[at].job;
+                if let Some(best) = self.most_urgent_like(holder, m, batch)
+                    && best != holder
+                    && self.free_room(m).cpus >= self.jobs[best].spec.needs.cpus
+                    && !self.has_reservation(m, best)
+                {
+                    self.workers[m].reservations[at].job = best;
+                }
+            }
+        }
+    }
+
+    /// The first job of the batch with single tasks of the holder's large-task profile. A gang that
+    /// gathers workers gives way only to what comes before it.
+    fn most_urgent_like(&self, holder: u32, m: u32, batch: &[u32]) -> Option<u32> {
+        let profile = self.jobs[holder].large_task_profile?;
+        let holder_is_gang = self.is_whole_gang(holder);
+        batch
+            .iter()
+            .copied()
+            .take_while(|&ix| !holder_is_gang || ix != holder)
+            .find(|&ix| {
+                let job = &self.jobs[ix];
+                job.large_task_profile == Some(profile)
+                    && !self.is_whole_gang(ix)
+                    && job.waiting() > 0
+                    && self.worker_allowed(ix, m)
+            })
+    }
+}
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -133,7 +133,7 @@
                 "replica moves off a whole machine"
             );
             self.move_credit -= MOVE_S + self.fetch_s(key.job, to);
-            self.stop_for(key.job, to, &victims);
+            self.preempt_and_reserve(key.job, to, &victims);
             self.stop_instance(m, key, 0.0);
         }
         self.workers[m].reserved_for = Some(s);
@@ -158,7 +158,7 @@
             // In its own zone it takes its own place.
             .filter(|&m| self.workers[m].zone == zone || self.zone_allows(ix, self.workers[m].zone))
             .filter(|&m| !self.breaks_whole(ix, m))
-            .filter_map(|m| self.victims(ix, m).map(|(cost, v)| (cost, m, v)))
+            .filter_map(|m| self.victims(ix, m).map(|p| (p.cost, m, p.victims)))
             .filter(|(_, _, v)| !v.iter().any(|k| self.jobs[k.job].is_gang()))
             .map(|(cost, m, v)| (self.fetch_s(ix, m), cost, m, v))
             .min_by(|a, b| {
