--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -19,13 +19,14 @@
 pub use super::messages::*;
 use super::model::*;
 use super::persistence::WriteQueue;
+use super::provisioning::Provisioning;
 use super::reconciliation::Reconciliation;
 pub use super::state::{Config, Core, TeamUsage};
 use super::team_table::TeamTable;
 use super::worker_table::WorkerTable;
 
 use super::registry::WorkerRegistry;
-use super::state::{Migrations, Provisioning, WINDOW_S};
+use super::state::{Migrations, WINDOW_S};
 
 /// Unresponsive workers and expired leases are looked for so often, and before every batch.
 const WATCH_S: Time = 0.05;
@@ -154,7 +155,7 @@
     }
 
     fn run_each_second(&mut self) {
-        self.every_second();
+        self.run_provisioning();
         self.advance_migrations();
         self.advance_drains();
         if self.config.tuning.defragmentation.enabled {
--- /dev/null
+++ b/src/coordination/provisioning/scale_in.rs
@@ -0,0 +1,121 @@
+//! Scaling in: idle, quarantined and unbooted workers, and those that other modules release.
+
+use crate::coordination::messages::Effect;
+use crate::coordination::model::*;
+use crate::coordination::state::Core;
+
+/// Workers in one request; the cloud takes no more than 100.
+const MAX_WORKERS_PER_REQUEST: usize = 100;
+/// An empty worker that was quarantined this often in a row is returned.
+const QUARANTINES_BEFORE_RETURN: u32 = 2;
+
+impl Core {
+    /// The cloud has answered a request to scale in; `ok`: it has taken all of these back.
+    pub(crate) fn handle_scale_in_result(&mut self, names: Vec<String>, ok: bool) {
+        self.provisioning.scale_in_pending = false;
+        if !ok {
+            return;
+        }
+        let mut removed = Vec::new();
+        for name in names {
+            self.provisioning.booting.remove(&name);
+            self.workers.record_scaled_in(&name);
+            let Some(m) = self.workers.index_of(&name) else {
+                continue;
+            };
+            self.clear_worker(m);
+            self.unregister_worker(m);
+            self.remove_worker_from_shards(m);
+            self.workers.remove(m);
+            self.forget_drain(&name);
+            removed.push(name);
+        }
+        log_scaled_in(&removed);
+    }
+
+    /// Marks the workers that are not needed, and requests their return.
+    pub(super) fn scale_in(&mut self) {
+        let now = self.now;
+        let is_live = |job: &Job| job.state == JobState::Live;
+        let waiting = self
+            .jobs
+            .iter()
+            .any(|(_, job)| is_live(job) && job.waiting() > 0);
+        // While there is work, more can be expected.
+        let idle_return_s = if self.jobs.iter().any(|(_, job)| is_live(job)) {
+            self.config.tuning.idle_return_s
+        } else {
+            self.config.tuning.deserted_return_s
+        };
+        for (_, worker) in self.workers.iter_mut() {
+            if !is_empty(worker) {
+                continue;
+            }
+            let idle = worker.idle_since.is_some_and(|t| now - t > idle_return_s);
+            let unused = idle && !waiting && !worker.draining;
+            let faulty =
+                worker.quarantined_until > now && worker.quarantines >= QUARANTINES_BEFORE_RETURN;
+            if unused || faulty {
+                worker.returning = true;
+            }
+        }
+        self.send_scale_in();
+    }
+
+    /// Requests the return of workers that are marked or did not boot, unless a request is pending.
+    pub(super) fn send_scale_in(&mut self) {
+        if self.provisioning.scale_in_pending {
+            return;
+        }
+        let mut names: Vec<String> = self
+            .workers
+            .iter()
+            .filter(|(_, worker)| worker.returning)
+            .map(|(_, worker)| worker.name.clone())
+            .take(MAX_WORKERS_PER_REQUEST)
+            .collect();
+        let left = MAX_WORKERS_PER_REQUEST - names.len();
+        let unbooted: Vec<String> = self.unbooted_workers().take(left).cloned().collect();
+        log_unbooted(&unbooted);
+        names.extend(unbooted);
+        if !names.is_empty() {
+            self.provisioning.scale_in_pending = true;
+            self.effects.push(Effect::ScaleIn(names));
+        }
+    }
+}
+
+/// Whether nothing is on a worker or on its way to it.
+fn is_empty(worker: &Worker) -> bool {
+    worker.instances.is_empty()
+        && worker.orphaned_tasks == OrphanedTasks::None
+        && worker.in_flight.is_none()
+}
+
+/// Logs one worker by name, several by their number and by name at debug level.
+fn log_scaled_in(workers: &[String]) {
+    if let [worker] = workers {
+        tracing::info!(worker, "scaled in");
+        return;
+    }
+    for worker in workers {
+        tracing::debug!(worker, "scaled in");
+    }
+    if !workers.is_empty() {
+        tracing::info!(workers = workers.len(), "scaled in");
+    }
+}
+
+/// Logs one worker by name, several by their number and by name at debug level.
+fn log_unbooted(workers: &[String]) {
+    if let [worker] = workers {
+        tracing::info!(worker, "worker did not boot, returned");
+        return;
+    }
+    for worker in workers {
+        tracing::debug!(worker, "worker did not boot, returned");
+    }
+    if !workers.is_empty() {
+        tracing::info!(workers = workers.len(), "workers did not boot, returned");
+    }
+}
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -51,7 +51,7 @@
         // A replica never ends, so running is all it can prove. Without this, a service that
         // failed on one faulty worker waited for ever although its other replicas ran.
         if runs_well {
-            self.job_proved(id.job);
+            self.mark_job_proved(id.job);
         }
         if matches!(phase, TaskPhase::Exited(_)) {
             self.handle_task_exit(m, id, phase);
@@ -135,8 +135,8 @@
 
     fn handle_task_done(&mut self, m: u32, id: InstanceId) {
         self.record_image(m, id.job);
-        self.worker_worked(m, id.job);
-        self.job_proved(id.job);
+        self.record_task_success(m, id.job);
+        self.mark_job_proved(id.job);
         if !self.jobs[id.job].is_gang() {
             return self.mark_done(id.job, id.task);
         }
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -7,11 +7,9 @@
 
 mod drain;
 mod migrations;
-mod provisioning;
 
 pub(super) use drain::Drain;
 pub(super) use migrations::{Migrations, TaskMigration};
-pub(super) use provisioning::{BootingWorker, Provisioning, ProvisioningRequest};
 
 use super::failover::FailoverStats;
 use super::fencing::Fencing;
@@ -19,6 +17,7 @@
 use super::messages::Effect;
 use super::model::*;
 use super::persistence::WriteQueue;
+use super::provisioning::Provisioning;
 use super::reconciliation::Reconciliation;
 use super::registry::WorkerRegistry;
 use super::sharding::Sharding;
