--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -83,7 +83,7 @@
     wanted: BTreeMap<CapacityPool, u32>,
 }
 
-/// What tasks wait or will soon be lost, and where no workers are requested for them.
+/// The replicas that will soon be lost, and the zones in which no workers are requested.
 struct ScaleOutDemand {
     /// By zone index: most of its workers are unresponsive.
     zones_unresponsive: Vec<bool>,
@@ -322,9 +322,7 @@
                 }
                 for spot in [true, false] {
                     let pool = CapacityPool { kind, zone, spot };
-                    if (spot && !job.spec.spot)
-                        || self.provisioning.no_capacity_until.contains_key(&pool)
-                    {
+                    if !self.may_request(job, pool) {
                         continue;
                     }
                     let price = if spot {
@@ -342,6 +340,12 @@
         best.map(|(_, pool)| pool)
     }
 
+    /// Whether the job allows spot workers if these are, and the pool has not just lacked capacity.
+    fn may_request(&self, job: &Job, pool: CapacityPool) -> bool {
+        let without_capacity = &self.provisioning.no_capacity_until;
+        (!pool.spot || job.spec.spot) && !without_capacity.contains_key(&pool)
+    }
+
     /// Whether another task of the job may run in this zone.
     fn job_allows_zone(&self, ix: u32, zone: u32) -> bool {
         self.jobs[ix].zone.is_none_or(|required| required == zone) && self.zone_allows(ix, zone)
--- a/src/coordination/provisioning/unresponsive.rs
+++ b/src/coordination/provisioning/unresponsive.rs
@@ -62,39 +62,25 @@
 impl Core {
     /// Releases unresponsive workers with replicas, and probes those that may be unresponsive.
     pub(crate) fn release_unresponsive_workers(&mut self) {
-        // Heartbeats come a quarter early or late. A worker that is not early is probed, so that a
-        // late one is known to be unresponsive at once.
-        let late_after_s = self.late_after_s();
-        let max_interval_s = self.max_heartbeat_interval_s();
-        let survey = self.survey_heartbeats(late_after_s);
-        let is_overdue = |at: Time, now: Time| now - at > max_interval_s;
-        let overdue = survey
-            .late
-            .iter()
-            .filter(|late| is_overdue(late.last_heartbeat_at, self.now))
-            .count();
-        let network_fault = is_network_fault(overdue, survey.on_time + survey.late.len() - overdue);
+        let survey = self.survey_heartbeats();
+        let network_fault = self.is_network_fault(&survey);
         let mut recent = None;
         let mut probes_left = None;
         let mut released = Vec::new();
         for late in survey.late {
-            let (m, at) = (late.index, late.last_heartbeat_at);
+            let m = late.index;
             if !self.may_run_replicas(m) {
                 continue;
             }
-            let release = !network_fault
-                && is_overdue(at, self.now)
-                && self.left_probe_unanswered(m, at + late_after_s)
-                && {
-                    let recent = recent.get_or_insert_with(|| self.recent_heartbeats());
-                    self.zone_is_reachable(recent, m, self.workers[m].unanswered_at)
-                };
+            let release = !network_fault && self.is_confirmed_unresponsive(&late) && {
+                let recent = recent.get_or_insert_with(|| self.recent_heartbeats());
+                self.zone_is_reachable(recent, m, self.workers[m].unanswered_at)
+            };
             if release {
                 released.push(m);
                 self.workers[m].returning = true;
                 self.send_scale_in();
-            } else if self.workers[m].in_flight.is_none() && self.workers[m].next_probe <= self.now
-            {
+            } else if self.may_probe(m) {
                 let left = probes_left.get_or_insert_with(|| self.questions_left());
                 if *left > 0 {
                     *left -= 1;
@@ -105,7 +91,41 @@
         self.log_released(ReleaseReason::Unresponsive, &released);
     }
 
-    fn survey_heartbeats(&self, late_after_s: Time) -> HeartbeatSurvey {
+    /// When many workers are overdue at once the network is at fault, perhaps this controller's own
+    /// part of it; the workers may all be well.
+    fn is_network_fault(&self, survey: &HeartbeatSurvey) -> bool {
+        let overdue = survey.late.iter().filter(|late| self.is_overdue(late));
+        let overdue = overdue.count();
+        let responsive = survey.on_time + survey.late.len() - overdue;
+        suggest_network_fault(overdue, responsive)
+    }
+
+    /// Whether the heartbeat of a late worker is later than that of any worker that is well.
+    fn is_overdue(&self, late: &LateWorker) -> bool {
+        self.now - late.last_heartbeat_at > self.max_heartbeat_interval_s()
+    }
+
+    /// Whether a late worker is overdue and has failed to answer a probe since it was late, by
+    /// whichever controller.
+    fn is_confirmed_unresponsive(&self, late: &LateWorker) -> bool {
+        let late_since = late.last_heartbeat_at + self.late_after_s();
+        let unanswered_at = self.workers[late.index].unanswered_at;
+        self.is_overdue(late)
+            && unanswered_at.is_some_and(|t| t >= late_since)
+            && self.answers_no_controller(late.index)
+    }
+
+    /// Whether a direct message may be sent to a worker now.
+    fn may_probe(&self, m: u32) -> bool {
+        let worker = &self.workers[m];
+        worker.in_flight.is_none() && worker.next_probe <= self.now
+    }
+
+    /// Which workers are late. Heartbeats come a quarter of their interval early or late: a worker
+    /// that is not early counts as late and is probed, so that one that is overdue is known to be
+    /// unresponsive at once.
+    fn survey_heartbeats(&self) -> HeartbeatSurvey {
+        let late_after_s = self.late_after_s();
         let mut late = Vec::new();
         let mut on_time = 0;
         for (index, worker) in self.workers.iter() {
@@ -135,12 +155,6 @@
             .any(|(id, instance)| instance.possible() && self.jobs[id.job].is_service())
     }
 
-    /// Whether a worker has failed to answer a probe at `since` or later, by whichever controller.
-    fn left_probe_unanswered(&self, m: u32, since: Time) -> bool {
-        let unanswered_at = self.workers[m].unanswered_at;
-        unanswered_at.is_some_and(|t| t >= since) && self.answers_no_controller(m)
-    }
-
     /// Releases the workers that have not answered a new leader while their zones have, if they are
     /// few: most are reclaimed spot workers. What they block starts seconds earlier for it. If they
     /// are many, a third probe is waited for: they block all that is older than the election.
@@ -149,7 +163,7 @@
         let all = self.workers.iter().count();
         let many = unreconciled.len() > 1 + all / FEW_UNRECONCILED;
         let early = self.now - self.listening_since < THIRD_PROBE_S;
-        if many && (early || is_network_fault(unreconciled.len(), all - unreconciled.len())) {
+        if many && (early || suggest_network_fault(unreconciled.len(), all - unreconciled.len())) {
             return;
         }
         let since = Some(self.elected_at + ELECTION_MARGIN_S);
@@ -251,8 +265,7 @@
     }
 }
 
-/// When many workers are unresponsive at once the network is at fault, perhaps this controller's
-/// own part of it; the workers may all be well.
-fn is_network_fault(unresponsive: usize, responsive: usize) -> bool {
+/// Whether so many workers are unresponsive that the network rather than they must be at fault.
+fn suggest_network_fault(unresponsive: usize, responsive: usize) -> bool {
     unresponsive as f64 > NETWORK_FAULT_RATIO * responsive as f64
 }
