--- a/tests/behaviours.rs
+++ b/tests/behaviours.rs
@@ -540,3 +540,26 @@
         );
     }
 }
+
+/// Room that is reserved for a task that takes most of a worker goes to the most urgent task of the
+/// same profile, though another asked for it first.
+#[test]
+fn room_reserved_for_a_large_task_goes_to_a_more_urgent_one_like_it() {
+    let mut harness = harness_with(&[("a", "big", 1)]);
+    let large = |id: u64, runtime_s: f64| {
+        json!({"uid": format!("wk-{id:06}"), "shape": "sweep", "shards": 1, "cpus": 10.0,
+            "gpus": 2.0, "memory_gb": 38.0, "runtime_s": runtime_s, "flavors": ["big"]})
+    };
+    let running = harness.submit(&large(1, 20.0));
+    harness.run(5.0);
+    assert_eq!(tasks_placed(&harness, running), 1);
+    let first = harness.submit(&large(2, 900.0));
+    harness.run(2.0);
+    let urgent = harness.submit(&large(3, 10.0));
+    harness.run(2.0);
+    assert_eq!(tasks_placed(&harness, running), 1);
+    harness.run(16.0);
+    assert_eq!(tasks_placed(&harness, running), 0);
+    assert_eq!(tasks_placed(&harness, first), 0);
+    assert_eq!(tasks_placed(&harness, urgent), 1);
+}
