--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -19,7 +19,6 @@
 //! [`store`] the client of the state service, [`writer`] the leader's transactions and
 //! [`recovery`] what a new leader reads.
 
-#![warn(missing_docs)]
 #![warn(missing_docs)]
 
 pub mod bitmap;
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -237,7 +237,7 @@
             s.crew.unreachable.extend(there.map(String::from));
         }),
         ("the save fails", |s, _, _| {
-            s.crew.checkpointing = CheckpointMode::Fails
+            s.crew.checkpointing = CheckpointMode::Fails;
         }),
         ("the save is slow", |s, _, _| {
             s.crew.checkpointing = CheckpointMode::Slow(30.0);
