--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -248,7 +248,7 @@
                 ticket,
                 order,
                 unix_ms,
-            } => self.operate(ticket, order, unix_ms),
+            } => self.handle_admin_request(ticket, order, unix_ms),
             Input::Written(results) => self.handle_write_results(results),
             Input::Types(types) => self.learn_types(types),
             Input::ListedWorker(list) => self.handle_worker_list(list),
--- /dev/null
+++ b/src/coordination/drains/admin.rs
@@ -0,0 +1,209 @@
+//! The answers of the admin API: workers, migrations, and waiting jobs.
+//!
+//! The admin API calls a worker a node and a migration a move.
+
+use copperfield_admin::views;
+use serde::Serialize;
+use serde_json::json;
+
+use crate::coordination::messages::Effect;
+use crate::coordination::migration::readable_amounts;
+use crate::coordination::model::*;
+use crate::coordination::state::{Core, TaskMigration};
+use crate::protocol::JobId;
+use crate::protocol::peer::AdminRequest;
+
+/// Items in one answer, which keeps it well under 64 KiB.
+pub(super) const PAGE_SIZE: usize = 100;
+
+impl Core {
+    /// Handles a request of an operator.
+    pub(in crate::coordination) fn handle_admin_request(
+        &mut self,
+        ticket: u64,
+        request: AdminRequest,
+        unix_ms: u64,
+    ) {
+        match request {
+            AdminRequest::Nodes { since } => {
+                let nodes = self.nodes_view(&since);
+                self.answer_admin(ticket, 200, &nodes);
+            }
+            AdminRequest::Moves => {
+                let moves = self.moves_view();
+                self.answer_admin(ticket, 200, &moves);
+            }
+            AdminRequest::Drain {
+                node,
+                deadline_s,
+                yes,
+            } => self.drain(ticket, node, deadline_s, yes, unix_ms),
+            AdminRequest::Undrain { node } => self.undrain(ticket, &node),
+        }
+    }
+
+    /// Answers a request of an operator.
+    pub(super) fn answer_admin(&mut self, ticket: u64, status: u16, value: &impl Serialize) {
+        self.effects.push(Effect::AdminAnswered {
+            ticket,
+            status,
+            body: serde_json::to_vec(value).expect("views hold plain data"),
+        });
+    }
+
+    pub(super) fn answer_unknown_node(&mut self, ticket: u64, name: &str) {
+        let error = json!({"error": format!("there is no node {name:?}")});
+        self.answer_admin(ticket, 404, &error);
+    }
+
+    pub(super) fn answer_node(&mut self, ticket: u64, name: &str) {
+        let node = self.node_view_by_name(name);
+        self.answer_admin(ticket, 200, &node);
+    }
+
+    /// Covers draining workers that this leader does not know.
+    fn node_view_by_name(&self, name: &str) -> views::Node {
+        match self.workers.index_of(name) {
+            Some(m) => self.node_view(m),
+            None => unknown_node_view(name),
+        }
+    }
+
+    fn nodes_view(&self, since: &str) -> views::Nodes {
+        let known = self.workers.names();
+        let unknown = self.drains.keys().map(String::as_str);
+        let unknown = unknown.filter(|name| !self.workers.contains(name));
+        let mut names: Vec<&str> = known.chain(unknown).filter(|name| *name > since).collect();
+        names.sort_unstable();
+        let more = names.len() > PAGE_SIZE;
+        names.truncate(PAGE_SIZE);
+        views::Nodes {
+            nodes: names
+                .into_iter()
+                .map(|name| self.node_view_by_name(name))
+                .collect(),
+            more,
+        }
+    }
+
+    fn node_view(&self, m: u32) -> views::Node {
+        let worker = &self.workers[m];
+        let possible_instances = || {
+            let instances = worker.instances.iter();
+            instances.filter(|(_, instance)| instance.possible())
+        };
+        let capacity = self.types.get(worker.kind).map(|kind| kind.whole);
+        let capacity = readable_amounts(&capacity.unwrap_or_default());
+        let used = readable_amounts(&worker.used);
+        let usage = |resource: usize| views::ResourceUsage {
+            used: used[resource],
+            capacity: capacity[resource],
+        };
+        let deadline = self.drains.get(&worker.name).and_then(|drain| drain.until);
+        views::Node {
+            name: worker.name.clone(),
+            machine_type: self.types.names.name(worker.kind).to_string(),
+            zone: self.zones.name(worker.zone).to_string(),
+            spot: worker.spot,
+            state: self.node_state(m),
+            tasks: possible_instances().count() as u32,
+            protected: possible_instances()
+                .filter(|(id, _)| self.jobs[id.job].protected)
+                .count() as u32,
+            leaving: self.leaving_tasks(&worker.name),
+            cpus: usage(0),
+            gpus: usage(1),
+            memory_gb: usage(2),
+            deadline_s: deadline.map(|time| (time - self.now).max(0.0)),
+            heard_s: worker.last_heartbeat_at.map(|time| self.now - time),
+            controller: self.answering_controller(m).map(str::to_string),
+        }
+    }
+
+    fn node_state(&self, m: u32) -> views::NodeState {
+        let worker = &self.workers[m];
+        let is_empty = || !worker.instances.values().any(TaskInstance::possible);
+        if worker.returning {
+            views::NodeState::Returning
+        } else if worker.incarnation <= worker.expired_incarnation {
+            views::NodeState::Lost
+        } else if self.is_unresponsive(m) {
+            views::NodeState::Late
+        } else if worker.draining && is_empty() {
+            views::NodeState::Drained
+        } else if worker.draining {
+            views::NodeState::Draining
+        } else if worker.reclaim_at.is_some() {
+            views::NodeState::Reclaimed
+        } else if worker.quarantined_until > self.now {
+            views::NodeState::Quarantined
+        } else {
+            views::NodeState::Ready
+        }
+    }
+
+    fn moves_view(&self) -> views::Moves {
+        let migrations = &self.migrations;
+        let live = migrations.live.iter().take(PAGE_SIZE);
+        let recent = migrations.recent.iter().rev();
+        let reasons = migrations.reasons.iter().take(PAGE_SIZE);
+        views::Moves {
+            enabled: self.config.tuning.defragmentation.enabled,
+            live: live
+                .map(|migration| self.move_view(migration, Self::migration_stage(migration)))
+                .collect(),
+            recent: recent
+                .map(|(migration, end)| self.move_view(migration, end))
+                .collect(),
+            waiting: reasons
+                .filter_map(|(id, reason)| self.waiting_view(*id, reason))
+                .collect(),
+        }
+    }
+
+    fn move_view(&self, migration: &TaskMigration, state: &str) -> views::Move {
+        let wanted_by = migration.wanted_by;
+        views::Move {
+            task: format!("{}/{}", migration.id, migration.key.task),
+            from: migration.from.clone(),
+            to: migration.to.clone(),
+            purpose: wanted_by.map_or("drain".into(), |id| id.to_string()),
+            state: state.to_string(),
+            age_s: self.now - migration.began,
+        }
+    }
+
+    fn waiting_view(&self, id: JobId, reason: &str) -> Option<views::Waiting> {
+        let job = &self.jobs[self.jobs.index_of(id)?];
+        (job.waiting() > 0).then(|| views::Waiting {
+            job: format!("{id} ({})", job.spec.class),
+            tasks: job.waiting(),
+            waited_s: self.now - job.seen_at,
+            reason: reason.to_string(),
+        })
+    }
+}
+
+/// A draining worker that this leader does not know.
+fn unknown_node_view(name: &str) -> views::Node {
+    let nothing = views::ResourceUsage {
+        used: 0.0,
+        capacity: 0.0,
+    };
+    views::Node {
+        name: name.to_string(),
+        machine_type: "-".into(),
+        zone: "-".into(),
+        spot: false,
+        state: views::NodeState::Lost,
+        tasks: 0,
+        protected: 0,
+        leaving: 0,
+        cpus: nothing,
+        gpus: nothing,
+        memory_gb: nothing,
+        deadline_s: None,
+        heard_s: None,
+        controller: None,
+    }
+}
--- a/src/coordination/migration.rs
+++ b/src/coordination/migration.rs
@@ -142,7 +142,7 @@
             moves = plan.moves.len(),
             lost_s = plan.lost_s,
             cost = plan.cost,
-            "whole machines are freed"
+            "defragmentation plan accepted"
         );
         let longest = plan
             .moves
@@ -531,7 +531,7 @@
                 task = key.task,
                 from = migration.from,
                 to = migration.to,
-                "move begins"
+                "migration started"
             );
             let id = (migration.id, key.task);
             self.migrations.moved_at.insert(id, self.now);
@@ -561,7 +561,7 @@
             let Some(end) = self.look_at(r) else {
                 return true;
             };
-            tracing::info!(job = %r.id, task = r.key.task, from = r.from, to = r.to, end, "move ends");
+            tracing::info!(job = %r.id, task = r.key.task, from = r.from, to = r.to, end, "migration finished");
             if !r.left && end == STAYED {
                 failed.extend(r.wanted_by);
             }
@@ -642,7 +642,7 @@
     }
 
     /// Moves off a draining node what may move and finds a place.
-    pub(super) fn evacuate(&mut self, m: u32) {
+    pub(super) fn migrate_off_draining_worker(&mut self, m: u32) {
         let limits = self.limits();
         if limits.moves == 0 || self.workers[m].instances.is_empty() {
             return;
@@ -656,7 +656,7 @@
     }
 
     /// What is whose on a worker, for operators.
-    pub(super) fn leaving(&self, name: &str) -> u32 {
+    pub(super) fn leaving_tasks(&self, name: &str) -> u32 {
         let live = self.migrations.live.iter();
         live.filter(|r| !r.left && r.from == name).count() as u32
     }
@@ -667,7 +667,7 @@
     }
 
     /// How far a move is.
-    pub(super) fn stage(r: &TaskMigration) -> &'static str {
+    pub(super) fn migration_stage(r: &TaskMigration) -> &'static str {
         match r.left {
             false => "stopping",
             true => "starting",
@@ -685,6 +685,6 @@
 const UNPLACED: &str = "waits for a place";
 
 /// Room in the units that people read.
-pub(super) fn amounts(a: &Resources) -> [f64; 3] {
+pub(super) fn readable_amounts(a: &Resources) -> [f64; 3] {
     [a.cpus, a.gpus, a.memory].map(|x| x as f64 / 1000.0)
 }
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -129,7 +129,9 @@
                     self.handle_registry_result(page, &value, &written);
                 }
                 Write::FencingRecord { page, .. } => self.handle_fencing_result(page, &written),
-                Write::Drain { node, record, .. } => self.drain_written(node, record, &written),
+                Write::Drain { node, record, .. } => {
+                    self.handle_drain_written(node, record, &written)
+                }
                 Write::DropProgress { job, chunk, .. } => {
                     if let Written::Again { version } = written {
                         self.write_queue.push_obsolete_chunk(ObsoleteChunk {
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -130,7 +130,7 @@
                 job = %self.jobs[key.job].spec.id,
                 from = self.workers[m].name,
                 to = self.workers[to].name,
-                "replica moves off a whole machine"
+                "replica migrated off a whole worker"
             );
             self.move_credit -= MOVE_S + self.fetch_s(key.job, to);
             self.stop_for(key.job, to, &victims);
--- a/src/coordination/state/drain.rs
+++ b/src/coordination/state/drain.rs
@@ -2,18 +2,43 @@
 
 use crate::coordination::model::Time;
 use crate::storage::DrainRecord;
+use crate::storage::writer::Written;
 
 /// A drain, as it is wanted and as it is stored.
 #[derive(Debug, Default)]
 pub(in crate::coordination) struct Drain {
-    /// `None`: it is to end, which counts once it is stored.
+    /// `None`: it is to end, which takes effect once it is stored.
     pub(in crate::coordination) record: Option<DrainRecord>,
+    /// The deadline, after which remaining tasks are stopped.
     pub(in crate::coordination) until: Option<Time>,
-    /// Of the stored record, 0 if there is none.
+    /// Version of the stored record, 0 if there is none.
     pub(in crate::coordination) version: u64,
     /// What is stored differs from what is wanted.
     pub(in crate::coordination) due: bool,
+    /// A write is in flight.
     pub(in crate::coordination) writing: bool,
-    /// Operators who are answered once it is stored.
+    /// Tickets of the operators who are answered once it is stored.
     pub(in crate::coordination) waiters: Vec<u64>,
 }
+
+impl Drain {
+    /// It is to end.
+    pub(in crate::coordination) fn request_end(&mut self) {
+        self.record = None;
+        self.until = None;
+        self.due = true;
+    }
+
+    /// A write of it has a result.
+    pub(in crate::coordination) fn record_written(&mut self, written: &Written) {
+        self.writing = false;
+        match written {
+            Written::Stored { version } => self.version = *version,
+            Written::Again { version } => {
+                self.version = *version;
+                self.due = true;
+            }
+            Written::Ended(_) => {}
+        }
+    }
+}
