--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -17,6 +17,7 @@
 use super::fencing::Fencing;
 use super::job_table::JobTable;
 pub use super::messages::*;
+use super::migration::Migrations;
 use super::model::*;
 use super::persistence::WriteQueue;
 use super::reconciliation::Reconciliation;
@@ -25,7 +26,7 @@
 use super::worker_table::WorkerTable;
 
 use super::registry::WorkerRegistry;
-use super::state::{Migrations, Provisioning, WINDOW_S};
+use super::state::{Provisioning, WINDOW_S};
 
 /// Unresponsive workers and expired leases are looked for so often, and before every batch.
 const WATCH_S: Time = 0.05;
@@ -80,7 +81,7 @@
             next_batch: now,
             next_second: now,
             next_watch: now,
-            move_credit: 0.0,
+            replica_downtime_budget_s: 0.0,
             migrations: Migrations::default(),
             drains: BTreeMap::new(),
             reconciliation: Reconciliation::default(),
--- a/src/coordination/drains/admin.rs
+++ b/src/coordination/drains/admin.rs
@@ -7,10 +7,11 @@
 use serde_json::json;
 
 use crate::coordination::messages::Effect;
-use crate::coordination::migration::readable_amounts;
+use crate::coordination::migration::TaskMigration;
 use crate::coordination::model::*;
-use crate::coordination::state::{Core, TaskMigration};
+use crate::coordination::state::Core;
 use crate::protocol::JobId;
+use crate::protocol::job::Resources;
 use crate::protocol::peer::AdminRequest;
 
 /// Items in one answer, which keeps it well under 64 KiB.
@@ -144,42 +145,42 @@
 
     fn moves_view(&self) -> views::Moves {
         let migrations = &self.migrations;
-        let live = migrations.live.iter().take(PAGE_SIZE);
-        let recent = migrations.recent.iter().rev();
-        let reasons = migrations.reasons.iter().take(PAGE_SIZE);
+        let live = migrations.live().take(PAGE_SIZE);
+        let waiting = migrations.plan_statuses().take(PAGE_SIZE);
         views::Moves {
             enabled: self.config.tuning.defragmentation.enabled,
             live: live
-                .map(|migration| self.move_view(migration, Self::migration_stage(migration)))
+                .map(|migration| self.move_view(migration, migration.stage_name()))
                 .collect(),
-            recent: recent
-                .map(|(migration, end)| self.move_view(migration, end))
+            recent: migrations
+                .recent()
+                .map(|(migration, outcome)| self.move_view(migration, outcome))
                 .collect(),
-            waiting: reasons
-                .filter_map(|(id, reason)| self.waiting_view(*id, reason))
+            waiting: waiting
+                .filter_map(|(id, reason)| self.waiting_view(id, reason))
                 .collect(),
         }
     }
 
     fn move_view(&self, migration: &TaskMigration, state: &str) -> views::Move {
-        let wanted_by = migration.wanted_by;
+        let wanted_by = migration.wanted_by();
         views::Move {
-            task: format!("{}/{}", migration.id, migration.key.task),
-            from: migration.from.clone(),
-            to: migration.to.clone(),
+            task: migration.task_name(),
+            from: migration.source().to_string(),
+            to: migration.target().to_string(),
             purpose: wanted_by.map_or("drain".into(), |id| id.to_string()),
             state: state.to_string(),
-            age_s: self.now - migration.began,
+            age_s: migration.age_s(self.now),
         }
     }
 
-    fn waiting_view(&self, id: JobId, reason: &str) -> Option<views::Waiting> {
+    fn waiting_view(&self, id: JobId, reason: String) -> Option<views::Waiting> {
         let job = &self.jobs[self.jobs.index_of(id)?];
         (job.waiting() > 0).then(|| views::Waiting {
             job: format!("{id} ({})", job.spec.class),
             tasks: job.waiting(),
             waited_s: self.now - job.seen_at,
-            reason: reason.to_string(),
+            reason,
         })
     }
 }
@@ -207,3 +208,9 @@
         controller: None,
     }
 }
+
+/// Resources in the units that people read.
+fn readable_amounts(resources: &Resources) -> [f64; 3] {
+    let thousandths = [resources.cpus, resources.gpus, resources.memory];
+    thousandths.map(|amount| amount as f64 / 1000.0)
+}
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -33,7 +33,8 @@
         let replicas: u32 = services.map(|(_, j)| j.active).sum();
         let away = MIN_AWAY.max(f64::from(replicas) * AWAY);
         // In seconds that replicas are away.
-        self.move_credit = (self.move_credit + away).min(away * SAVED_S);
+        self.replica_downtime_budget_s =
+            (self.replica_downtime_budget_s + away).min(away * SAVED_S);
         for s in 0..self.large_task_profiles.len() as u32 {
             let mut wanted = self.missing_workers(s);
             if wanted == 0 {
@@ -47,7 +48,7 @@
                 .collect();
             held.sort_unstable();
             for (_, m) in held {
-                if wanted == 0 || self.move_credit <= 0.0 {
+                if wanted == 0 || self.replica_downtime_budget_s <= 0.0 {
                     break;
                 }
                 if self.free_of_replicas(s, m) {
@@ -132,7 +133,7 @@
                 to = self.workers[to].name,
                 "replica migrated off a whole worker"
             );
-            self.move_credit -= MOVE_S + self.fetch_s(key.job, to);
+            self.replica_downtime_budget_s -= MOVE_S + self.fetch_s(key.job, to);
             self.stop_for(key.job, to, &victims);
             self.stop_instance(m, key, 0.0);
         }
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -6,17 +6,16 @@
 use crate::settings::{Cluster, Tuning};
 
 mod drain;
-mod migrations;
 mod provisioning;
 
 pub(super) use drain::Drain;
-pub(super) use migrations::{Migrations, TaskMigration};
 pub(super) use provisioning::{BootingWorker, Provisioning, ProvisioningRequest};
 
 use super::failover::FailoverStats;
 use super::fencing::Fencing;
 use super::job_table::JobTable;
 use super::messages::Effect;
+use super::migration::Migrations;
 use super::model::*;
 use super::persistence::WriteQueue;
 use super::reconciliation::Reconciliation;
@@ -99,9 +98,9 @@
     pub(super) next_second: Time,
     /// When leases and unresponsive workers are looked at next.
     pub(super) next_watch: Time,
-    /// How long replicas may be away for moves, in seconds.
-    pub(super) move_credit: f64,
-    /// Tasks that are moved.
+    /// For how many seconds replicas may still be away for migrations.
+    pub(super) replica_downtime_budget_s: f64,
+    /// Task migrations under way, and what is remembered of earlier ones.
     pub(super) migrations: Migrations,
     /// Workers that operators drain, by name; they may be unknown yet.
     pub(super) drains: BTreeMap<String, Drain>,
