--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -130,7 +130,7 @@
                 }
                 Write::FencingRecord { page, .. } => self.handle_fencing_result(page, &written),
                 Write::Drain { node, record, .. } => {
-                    self.handle_drain_written(node, record, &written)
+                    self.handle_drain_written(node, record, &written);
                 }
                 Write::DropProgress { job, chunk, .. } => {
                     if let Written::Again { version } = written {
