--- a/tests/migration_random.rs
+++ b/tests/migration_random.rs
@@ -1,5 +1,5 @@
-//! Moves, drains, faults and cancellations in any order, against the checker of the
-//! whole history. Seeded: the same verdict always.
+//! Migrations, drains, faults and cancellations in any order, against the checker of the whole
+//! history. The seed is fixed, so every run checks the same cases.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,12 +14,12 @@
 
 const TYPES: &str = r#"{"flavors":[
  {"name":"gpu4","cpus":16,"gpus":4,"memory_gb":64,"local_gb":90,"pull_gb_per_s":1,"price":4.0,"ready_s":10,"regions":["a","b"]}]}"#;
-const NAMES: [&str; 6] = ["a-0", "a-1", "a-2", "b-0", "b-1", "b-2"];
+const WORKERS: [&str; 6] = ["a-0", "a-1", "a-2", "b-0", "b-1", "b-2"];
 /// The team may use so many GPUs at once: less than there are.
 const MAX_GPUS: f64 = 20.0;
 
 #[derive(Debug, Clone, Copy)]
-enum LargeTaskProfile {
+enum JobKind {
     /// Saves, and may move.
     Saving,
     /// Does not save.
@@ -36,11 +36,11 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Submit(LargeTaskProfile),
+    Submit(JobKind),
     Cancel(usize),
     Run(u8),
     Die(usize),
-    FencingRecord(usize),
+    Hang(usize),
     Heal,
     Drain(usize, Option<u8>),
     Undrain(usize),
@@ -66,13 +66,11 @@
     }
 
     fn transitions(model: &Self) -> BoxedStrategy<Step> {
-        use LargeTaskProfile::{
-            Pair, Plain, Saving as Saves, Service, Unmovable, Whole, WholePair,
-        };
-        let shapes = vec![
+        use JobKind::{Pair, Plain, Saving as Saves, Service, Unmovable, Whole, WholePair};
+        let kinds = vec![
             Saves, Saves, Plain, Unmovable, Pair, Service, Whole, Whole, WholePair,
         ];
-        let worker = || 0..NAMES.len();
+        let worker = || 0..WORKERS.len();
         let job = 0..model.jobs.max(1);
         let saving = prop_oneof![
             Just(Saving::InTime),
@@ -80,11 +78,11 @@
             Just(Saving::Slow(4.0))
         ];
         prop_oneof![
-            8 => proptest::sample::select(shapes).prop_map(Step::Submit),
+            8 => proptest::sample::select(kinds).prop_map(Step::Submit),
             8 => (1u8..30).prop_map(Step::Run),
             1 => job.prop_map(Step::Cancel),
             1 => worker().prop_map(Step::Die),
-            1 => worker().prop_map(Step::FencingRecord),
+            1 => worker().prop_map(Step::Hang),
             1 => Just(Step::Heal),
             2 => (worker(), proptest::option::of(5u8..60)).prop_map(|(m, d)| Step::Drain(m, d)),
             2 => worker().prop_map(Step::Undrain),
@@ -116,30 +114,30 @@
     }
 }
 
-struct Site {
-    crew: CoreHarness,
-    jobs: Vec<(JobId, LargeTaskProfile)>,
+struct ClusterUnderTest {
+    harness: CoreHarness,
+    jobs: Vec<(JobId, JobKind)>,
     cancelled: BTreeSet<JobId>,
-    needs: BTreeMap<JobId, f64>,
+    gpus_per_task: BTreeMap<JobId, f64>,
 }
 
-impl Site {
-    fn submit(&mut self, shape: LargeTaskProfile) {
+impl ClusterUnderTest {
+    fn submit(&mut self, kind: JobKind) {
         let id = self.jobs.len() as u64 + 1;
         let mut body = json!({"uid": format!("wk-{id:06}"), "jobclass": "c", "cpus": 3.0, "gpus": 1.0,
             "memory_gb": 4.0, "runtime_s": 60.0, "pull_gb": 0.0, "snapshot_every_s": 10.0, "snapshot_s": 1.0});
-        let more = match shape {
-            LargeTaskProfile::Saving => json!({"shards": 3}),
-            LargeTaskProfile::Plain => json!({"snapshot_every_s": 0.0, "runtime_s": 25.0}),
-            LargeTaskProfile::Unmovable => json!({"movable": false}),
-            LargeTaskProfile::Pair => json!({"shape": "group", "shards": 2, "one_zone": true}),
-            LargeTaskProfile::Service => {
+        let more = match kind {
+            JobKind::Saving => json!({"shards": 3}),
+            JobKind::Plain => json!({"snapshot_every_s": 0.0, "runtime_s": 25.0}),
+            JobKind::Unmovable => json!({"movable": false}),
+            JobKind::Pair => json!({"shape": "group", "shards": 2, "one_zone": true}),
+            JobKind::Service => {
                 json!({"shape": "service", "shards": 2, "spread": true, "runtime_s": 0.0})
             }
-            LargeTaskProfile::Whole => {
+            JobKind::Whole => {
                 json!({"shape": "group", "gpus": 4.0, "cpus": 12.0, "runtime_s": 30.0})
             }
-            LargeTaskProfile::WholePair => {
+            JobKind::WholePair => {
                 json!({"shape": "group", "shards": 2, "gpus": 4.0, "cpus": 12.0,
                 "runtime_s": 30.0, "one_zone": true})
             }
@@ -147,26 +145,26 @@
         for (k, v) in more.as_object().expect("an object") {
             body[k] = v.clone();
         }
-        let job = self.crew.submit(&body);
-        self.needs
+        let job = self.harness.submit(&body);
+        self.gpus_per_task
             .insert(job, body["gpus"].as_f64().expect("a number"));
-        self.jobs.push((job, shape));
+        self.jobs.push((job, kind));
     }
 
     /// Rules that hold at any moment.
     fn check(&self) {
-        let problems = self.crew.history.problems([]);
+        let problems = self.harness.history.problems([]);
         assert!(problems.is_empty(), "{problems:?}");
         let mut used = 0.0;
-        for (job, shape) in &self.jobs {
-            let places = self.crew.places(*job);
-            used += self.needs[job] * places.len() as f64;
+        for (job, kind) in &self.jobs {
+            let places = self.harness.places(*job);
+            used += self.gpus_per_task[job] * places.len() as f64;
             let zones: BTreeSet<&str> = places.iter().map(|(_, m)| &m[..1]).collect();
-            match shape {
-                LargeTaskProfile::Pair | LargeTaskProfile::WholePair => {
+            match kind {
+                JobKind::Pair | JobKind::WholePair => {
                     assert!(zones.len() < 2, "{job}: {places:?}");
                 }
-                LargeTaskProfile::Service => {
+                JobKind::Service => {
                     assert!(places.len() < 2 || zones.len() == 2, "{places:?}");
                 }
                 _ => {}
@@ -176,167 +174,161 @@
     }
 
     fn run(&mut self, seconds: f64) {
-        let until = self.crew.now + seconds;
-        while self.crew.now < until {
-            self.crew.run(1.0);
+        let until = self.harness.now + seconds;
+        while self.harness.now < until {
+            self.harness.run(1.0);
             self.check();
         }
     }
 
-    /// All faults are over: everything ends, once, and nothing stays claimed.
-    fn come_to_rest(&mut self) {
-        self.crew.silent.clear();
-        self.crew.saving = Saving::InTime;
-        self.crew.end_outage();
-        // What died, or was given back as it did not answer, is replaced.
-        for name in self.crew.dead.clone() {
+    /// Ends all faults: everything ends, once, and nothing stays reserved.
+    fn settle(&mut self) {
+        self.harness.silent.clear();
+        self.harness.saving = Saving::InTime;
+        self.harness.end_outage();
+        // Workers that crashed, or were scaled in as they did not answer, are replaced.
+        for name in self.harness.dead.clone() {
             let zone = if name.starts_with('a') { "a" } else { "b" };
-            let now = self.crew.now;
-            self.crew.add(&format!("{name}-new"), "gpu4", zone, now);
+            let now = self.harness.now;
+            self.harness.add(&format!("{name}-new"), "gpu4", zone, now);
         }
-        self.crew.run(15.0);
-        for node in NAMES {
-            self.crew
+        self.harness.run(15.0);
+        for node in WORKERS {
+            self.harness
                 .operate(AdminRequest::Undrain { node: node.into() });
         }
         self.run(900.0);
-        let (status, moves) = self.crew.ask(AdminRequest::Moves);
+        let (status, moves) = self.harness.ask(AdminRequest::Moves);
         assert_eq!((status, &moves["live"]), (200, &json!([])));
-        assert!(self.crew.drains.is_empty());
-        for (job, shape) in &self.jobs {
-            let over = self.crew.over.contains(job) || matches!(shape, LargeTaskProfile::Service);
-            assert!(over, "{job} {shape:?} is not over: {moves}");
+        assert!(self.harness.drains.is_empty());
+        for (job, kind) in &self.jobs {
+            let over = self.harness.over.contains(job) || matches!(kind, JobKind::Service);
+            assert!(over, "{job} {kind:?} is not over: {moves}");
         }
-        for (job, shape) in self.jobs.clone() {
-            if matches!(shape, LargeTaskProfile::Service) && !self.cancelled.contains(&job) {
-                self.crew.cancel(job);
+        for (job, kind) in self.jobs.clone() {
+            if matches!(kind, JobKind::Service) && !self.cancelled.contains(&job) {
+                self.harness.cancel(job);
             }
         }
         self.run(20.0);
-        let done = self.crew.history.done();
-        for (job, shape) in self
+        let done = self.harness.history.done();
+        for (job, kind) in self
             .jobs
             .iter()
             .filter(|(j, _)| !self.cancelled.contains(j))
         {
-            let single = matches!(
-                shape,
-                LargeTaskProfile::Plain | LargeTaskProfile::Unmovable | LargeTaskProfile::Whole
-            );
+            let single = matches!(kind, JobKind::Plain | JobKind::Unmovable | JobKind::Whole);
             if single {
-                assert!(
-                    done.contains(format!("{job}/0").as_str()),
-                    "{job} {shape:?}"
-                );
+                assert!(done.contains(format!("{job}/0").as_str()), "{job} {kind:?}");
             }
         }
-        let left = MAX_GPUS as usize;
-        let all = json!({"uid": "wk-000999", "shards": left, "cpus": 1.0, "gpus": 1.0, "memory_gb": 1.0,
+        let free_gpus = MAX_GPUS as usize;
+        let all = json!({"uid": "wk-000999", "shards": free_gpus, "cpus": 1.0, "gpus": 1.0, "memory_gb": 1.0,
             "runtime_s": 500.0, "pull_gb": 0.0});
-        let all = self.crew.submit(&all);
+        let all = self.harness.submit(&all);
         self.run(10.0);
         assert_eq!(
-            self.crew.places(all).len(),
-            left,
-            "something is claimed for nobody"
+            self.harness.places(all).len(),
+            free_gpus,
+            "room is reserved for no job"
         );
     }
 }
 
-/// A longer hunt than the test's own: `MOVES_CASES=2000 MOVES_SEED=7 cargo test --test
-/// moves_random`.
-fn number(name: &str, usual: u64) -> u64 {
+/// A number from the environment. A longer search than the usual one:
+/// `MIGRATION_CASES=2000 MIGRATION_SEED=7 cargo test --test migration_random`.
+fn env_number(name: &str, usual: u64) -> u64 {
     let given = std::env::var(name).ok();
     given.map_or(usual, |n| n.parse().expect("a whole number"))
 }
 
-struct Moves;
+struct Migrations;
 
-impl StateMachineTest for Moves {
-    type SystemUnderTest = Site;
+impl StateMachineTest for Migrations {
+    type SystemUnderTest = ClusterUnderTest;
     type Reference = Model;
 
-    fn init_test(_: &Model) -> Site {
-        let cluster: Value = json!({"zones": ["a", "b"], "teams": [{"name": "team", "gpus_max": MAX_GPUS}],
+    fn init_test(_: &Model) -> ClusterUnderTest {
+        let settings: Value = json!({"zones": ["a", "b"], "teams": [{"name": "team", "gpus_max": MAX_GPUS}],
             "workers": {"report_s": 2.0, "lease_s": 10.0, "gang_wait_s": 30.0, "gang_peer_s": 4.0, "cancel_s": 30.0},
             "state": {"rps": 200, "write_rps": 50, "value_kb": 8, "txn_ops": 12}, "cloud": {"rps": 5},
             "limits": {"max_sockets": 1000}, "clock_error_ms": 25});
         let mut tuning = fixed_fleet();
         tuning.defragmentation.enabled = true;
         tuning.defragmentation.again_after_s = 30.0;
-        let mut crew = CoreHarness::tuned(TYPES, cluster, 50, Snapshot::default(), tuning);
-        for (i, name) in NAMES.into_iter().enumerate() {
+        let mut harness = CoreHarness::tuned(TYPES, settings, 50, Snapshot::default(), tuning);
+        for (i, name) in WORKERS.into_iter().enumerate() {
             let zone = if name.starts_with('a') { "a" } else { "b" };
-            crew.add(name, "gpu4", zone, 0.1 + i as f64 * 0.3);
+            harness.add(name, "gpu4", zone, 0.1 + i as f64 * 0.3);
         }
-        crew.run(3.0);
-        Site {
-            crew,
+        harness.run(3.0);
+        ClusterUnderTest {
+            harness,
             jobs: Vec::new(),
             cancelled: BTreeSet::new(),
-            needs: BTreeMap::new(),
+            gpus_per_task: BTreeMap::new(),
         }
     }
 
-    fn apply(mut site: Site, _: &Model, step: Step) -> Site {
+    fn apply(mut cluster: ClusterUnderTest, _: &Model, step: Step) -> ClusterUnderTest {
         match step {
-            Step::Submit(shape) => site.submit(shape),
-            Step::Run(seconds) => site.run(seconds.into()),
+            Step::Submit(kind) => cluster.submit(kind),
+            Step::Run(seconds) => cluster.run(seconds.into()),
             Step::Cancel(at) => {
-                let (job, _) = site.jobs[at % site.jobs.len()];
-                // Without a state service nobody can be told that a job is cancelled.
-                if !site.crew.outage && !site.crew.over.contains(&job) {
-                    site.crew.cancel(job);
-                    site.cancelled.insert(job);
-                    site.crew.run(0.2);
+                let (job, _) = cluster.jobs[at % cluster.jobs.len()];
+                // Without the state service no cancellation is confirmed.
+                if !cluster.harness.outage && !cluster.harness.over.contains(&job) {
+                    cluster.harness.cancel(job);
+                    cluster.cancelled.insert(job);
+                    cluster.harness.run(0.2);
                 }
             }
-            Step::Die(m) => site.crew.die(NAMES[m]),
-            Step::FencingRecord(m) => {
-                site.crew.silent.insert(NAMES[m].into());
+            Step::Die(m) => cluster.harness.die(WORKERS[m]),
+            Step::Hang(m) => {
+                cluster.harness.silent.insert(WORKERS[m].into());
             }
-            Step::Heal => site.crew.silent.clear(),
+            Step::Heal => cluster.harness.silent.clear(),
             Step::Drain(m, deadline) => {
-                site.crew.operate(AdminRequest::Drain {
-                    node: NAMES[m].into(),
+                cluster.harness.operate(AdminRequest::Drain {
+                    node: WORKERS[m].into(),
                     deadline_s: deadline.map(f64::from),
                     yes: true,
                 });
             }
             Step::Undrain(m) => {
-                site.crew.operate(AdminRequest::Undrain {
-                    node: NAMES[m].into(),
+                cluster.harness.operate(AdminRequest::Undrain {
+                    node: WORKERS[m].into(),
                 });
             }
-            Step::NextLeader => site.crew.next_leader(),
+            Step::NextLeader => cluster.harness.next_leader(),
             Step::Sleep(seconds) => {
-                site.crew.sleep(seconds.into());
-                site.crew.core.paused(seconds.into());
+                cluster.harness.sleep(seconds.into());
+                cluster.harness.core.paused(seconds.into());
             }
-            Step::Outage(true) => site.crew.outage = true,
-            Step::Outage(false) => site.crew.end_outage(),
-            Step::Saving(saving) => site.crew.saving = saving,
+            Step::Outage(true) => cluster.harness.outage = true,
+            Step::Outage(false) => cluster.harness.end_outage(),
+            Step::Saving(saving) => cluster.harness.saving = saving,
         }
-        site.check();
-        site
+        cluster.check();
+        cluster
     }
 
-    fn teardown(mut site: Site, _: Model) {
-        site.come_to_rest();
+    fn teardown(mut cluster: ClusterUnderTest, _: Model) {
+        cluster.settle();
     }
 }
 
 prop_state_machine! {
     #![proptest_config(Config {
-        cases: number("MOVES_CASES", 48) as u32,
+        cases: env_number("MIGRATION_CASES", 48) as u32,
         failure_persistence: None,
-        rng_seed: RngSeed::Fixed(number("MOVES_SEED", 20_261_201)),
+        rng_seed: RngSeed::Fixed(env_number("MIGRATION_SEED", 20_261_201)),
         max_shrink_iters: 200,
         ..Config::default()
     })]
 
     #[test]
-    fn any_order_of_moves_drains_and_faults_leaves_one_answer_to_every_job(
-        sequential 1..40 => Moves
+    fn any_order_of_migrations_drains_and_faults_leaves_one_result_per_job(
+        sequential 1..40 => Migrations
     );
 }
