--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -6,10 +6,8 @@
 use crate::settings::{Cluster, Tuning};
 
 mod drain;
-mod provisioning;
 
 pub(super) use drain::Drain;
-pub(super) use provisioning::{BootingWorker, Provisioning, ProvisioningRequest};
 
 use super::failover::FailoverStats;
 use super::fencing::Fencing;
@@ -18,6 +16,7 @@
 use super::migration::Migrations;
 use super::model::*;
 use super::persistence::WriteQueue;
+use super::provisioning::Provisioning;
 use super::reconciliation::Reconciliation;
 use super::registry::WorkerRegistry;
 use super::sharding::Sharding;
