--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -5,9 +5,10 @@
 //! to start less breaks nothing, and its operator is answered when it is stored; the end of a drain
 //! takes effect once it is stored.
 //!
-//! `admin` answers the other requests of operators.
+//! `state` is what is kept of a drain, `admin` answers the requests of operators.
 
 mod admin;
+mod state;
 
 use copperfield_admin::views;
 
@@ -16,9 +17,10 @@
 
 use super::model::*;
 use super::persistence::WriteBatch;
-use super::state::{Core, Drain};
+use super::state::Core;
 
 use admin::PAGE_SIZE;
+pub(super) use state::Drain;
 
 const MS_PER_S: f64 = 1000.0;
 
--- a/src/coordination/state/drain.rs
+++ b/src/coordination/drains/state.rs
@@ -8,29 +8,29 @@
 #[derive(Debug, Default)]
 pub(in crate::coordination) struct Drain {
     /// `None`: it is to end, which takes effect once it is stored.
-    pub(in crate::coordination) record: Option<DrainRecord>,
+    pub(super) record: Option<DrainRecord>,
     /// The deadline, after which remaining tasks are stopped.
-    pub(in crate::coordination) until: Option<Time>,
+    pub(super) until: Option<Time>,
     /// Version of the stored record, 0 if there is none.
-    pub(in crate::coordination) version: u64,
+    pub(super) version: u64,
     /// What is stored differs from what is wanted.
-    pub(in crate::coordination) due: bool,
+    pub(super) due: bool,
     /// A write is in flight.
-    pub(in crate::coordination) writing: bool,
+    pub(super) writing: bool,
     /// Tickets of the operators who are answered once it is stored.
-    pub(in crate::coordination) waiters: Vec<u64>,
+    pub(super) waiters: Vec<u64>,
 }
 
 impl Drain {
     /// It is to end.
-    pub(in crate::coordination) fn request_end(&mut self) {
+    pub(super) fn request_end(&mut self) {
         self.record = None;
         self.until = None;
         self.due = true;
     }
 
     /// A write of it has a result.
-    pub(in crate::coordination) fn record_written(&mut self, written: &Written) {
+    pub(super) fn record_written(&mut self, written: &Written) {
         self.writing = false;
         match written {
             Written::Stored { version } => self.version = *version,
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -5,10 +5,7 @@
 
 use crate::settings::{Cluster, Tuning};
 
-mod drain;
-
-pub(super) use drain::Drain;
-
+use super::drains::Drain;
 use super::failover::FailoverStats;
 use super::fencing::Fencing;
 use super::job_table::JobTable;
