--- a/src/coordination/migration/start.rs
+++ b/src/coordination/migration/start.rs
@@ -58,17 +58,17 @@
             if large_task_profile.is_some() && reserved_for == large_task_profile {
                 self.workers[target].reserved_for = None;
             }
-            let Some((_, victims)) = self.victims(ix, target) else {
+            let Some(preemption) = self.victims(ix, target) else {
                 for (m, ix) in held {
                     self.release_hold(m, ix);
                 }
                 return Err(Obstacle::TargetRoomGone);
             };
-            let stop_s = self.stop_s(ix) + self.grace_for(&victims);
+            let stop_s = self.stop_s(ix) + self.grace_for(&preemption.victims);
             let start_s = self.start_s(ix, target);
             self.hold(target, ix, stop_s + start_s);
             held.push((target, ix));
-            stops.extend(victims.into_iter().map(|id| (target, id)));
+            stops.extend(preemption.victims.into_iter().map(|id| (target, id)));
         }
         Ok(stops)
     }
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -148,7 +148,7 @@
                 "replica migrated off a whole worker"
             );
             self.replica_downtime_budget_s -= MOVE_S + self.fetch_s(id.job, to);
-            self.stop_for(id.job, to, &victims);
+            self.preempt_and_reserve(id.job, to, &victims);
             self.stop_instance(m, id, 0.0);
         }
         self.workers[m].reserved_for = Some(profile);
@@ -202,13 +202,16 @@
 
     /// A worker as a target, if it has room or has it by preempting tasks that are no gang's.
     fn replica_target(&self, ix: u32, m: u32) -> Option<Target> {
-        let (preemption_cost, victims) = self.victims(ix, m)?;
-        let breaks_gang = victims.iter().any(|id| self.jobs[id.job].is_gang());
+        let preemption = self.victims(ix, m)?;
+        let breaks_gang = preemption
+            .victims
+            .iter()
+            .any(|id| self.jobs[id.job].is_gang());
         (!breaks_gang).then(|| Target {
             m,
             fetch_s: self.fetch_s(ix, m),
-            preemption_cost,
-            victims,
+            preemption_cost: preemption.cost,
+            victims: preemption.victims,
         })
     }
 }
