--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -235,7 +235,7 @@
     let faults: [(&str, Fault); 12] = [
         ("the target dies", |s, _, to| s.harness.remove_worker(to)),
         ("the source dies", |s, from, _| {
-            s.harness.remove_worker(from)
+            s.harness.remove_worker(from);
         }),
         ("the target hangs", |s, _, to| {
             s.harness.unreachable.insert(to.into());
@@ -257,7 +257,7 @@
             s.harness.unreachable.extend(there.map(String::from));
         }),
         ("the save fails", |s, _, _| {
-            s.harness.checkpointing = CheckpointMode::Fails
+            s.harness.checkpointing = CheckpointMode::Fails;
         }),
         ("the save is slow", |s, _, _| {
             s.harness.checkpointing = CheckpointMode::Slow(30.0);
