--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -49,7 +49,7 @@
     pub zone: String,
     /// Whether the cloud may reclaim it.
     pub spot: bool,
-    /// Identifies this start of the worker: it forgets its tasks when it restarts.
+    /// Counts the worker's leases from 1: it rises when a lease expires, and all tasks are gone then.
     pub incarnation: u64,
     /// Sequence number of the heartbeat within the incarnation.
     pub counter: u64,
