--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -49,7 +49,7 @@
     pub zone: String,
     /// Whether the cloud may reclaim it.
     pub spot: bool,
-    /// Identifies this start of the worker: it forgets its tasks when it restarts.
+    /// Counts the worker's leases from 1: it rises when a lease expires, and all tasks are gone then.
     pub incarnation: u64,
     /// Sequence number of the heartbeat within the incarnation.
     pub counter: u64,
@@ -68,7 +68,7 @@
     pub job: JobId,
     /// The number of the task in its job.
     pub task: u32,
-    /// Tells this instance of the task from any other.
+    /// Distinguishes this instance of the task from any other.
     pub attempt: u64,
     /// How far it has come.
     pub phase: TaskPhase,
@@ -83,7 +83,7 @@
     Waiting,
     /// It runs.
     Running,
-    /// It was told to stop and saves a checkpoint.
+    /// It received a stop command and saves a checkpoint.
     Saving,
     /// It runs no more.
     Exited(Exit),
@@ -255,7 +255,7 @@
     pub job: JobId,
     /// The number of the task in its job.
     pub task: u32,
-    /// Tells this instance of the task from any other.
+    /// Distinguishes this instance of the task from any other.
     pub attempt: u64,
 }
 
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -138,14 +138,14 @@
 }
 
 /// Pings peers, for ever, while the state service does not answer this controller: their answers
-/// tell whether the controller is cut off or the service is down.
+/// show whether the controller is cut off or the service is down.
 pub(super) async fn monitor(context: Arc<ControllerContext>) {
     loop {
         sleep(MONITOR_INTERVAL).await;
         if context.store.unanswered_s() < PING_AFTER_UNSERVED_S {
             continue;
         }
-        for peer in &context.settings.others {
+        for peer in &context.settings.peers {
             let ping = &PeerRequest::Ping;
             let pong = call_peer(context.http.as_ref(), peer.peer_addr, ping, PEER_DEADLINE);
             if pong.await.is_some() {
--- a/src/controller/effects/cloud.rs
+++ b/src/controller/effects/cloud.rs
@@ -25,9 +25,13 @@
 pub struct ScaleOutRequest {
     /// The name of the request. The cloud provisions nothing twice under one name.
     pub request: String,
+    /// The machine type of the workers.
     pub machine_type: String,
+    /// The zone to provision them in.
     pub zone: String,
+    /// Whether they are spot workers, which the cloud may reclaim.
     pub spot: bool,
+    /// How many workers.
     pub count: u32,
 }
 
@@ -65,7 +69,7 @@
     ScaleOutOutcome::Unknown
 }
 
-/// `None` if the response does not tell what was provisioned.
+/// `None` if the response does not state what was provisioned.
 fn scale_out_outcome(response: &Answer) -> Option<ScaleOutOutcome> {
     match response.status {
         STATUS_OK => {
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -236,7 +236,7 @@
         );
         let mut core = self.recovered_core(token, snapshot);
         let settings = &self.context.settings;
-        if self.context.tuning.shares == Switch::On && !settings.others.is_empty() {
+        if self.context.tuning.sharding == Switch::On && !settings.peers.is_empty() {
             core.enable_sharding(settings.own_index(), &settings.controllers());
             tokio::spawn(announce_leadership(self.context.clone()));
         }
@@ -301,10 +301,7 @@
             return;
         };
         let ticket = leading.register(PendingReply::ShardStatus(reply));
-        inputs.push(Input::ShardStatus {
-            ticket,
-            word: status,
-        });
+        inputs.push(Input::ShardStatus { ticket, status });
     }
 
     fn handle_admin(
@@ -320,7 +317,7 @@
         let ticket = leading.register(PendingReply::Admin(reply));
         inputs.push(Input::Admin {
             ticket,
-            order: request,
+            request,
             unix_ms: self.context.unix_ms(),
         });
     }
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -17,15 +17,17 @@
 use super::fencing::Fencing;
 use super::job_table::JobTable;
 pub use super::messages::*;
+use super::migration::Migrations;
 use super::model::*;
 use super::persistence::WriteQueue;
+use super::provisioning::Provisioning;
 use super::reconciliation::Reconciliation;
 pub use super::state::{Config, Core, TeamUsage};
 use super::team_table::TeamTable;
 use super::worker_table::WorkerTable;
 
 use super::registry::WorkerRegistry;
-use super::state::{Migrations, Provisioning, WINDOW_S};
+use super::state::WINDOW_S;
 
 /// Unresponsive workers and expired leases are looked for so often, and before every batch.
 const WATCH_S: Time = 0.05;
@@ -80,7 +82,7 @@
             next_batch: now,
             next_second: now,
             next_watch: now,
-            move_credit: 0.0,
+            replica_downtime_budget_s: 0.0,
             migrations: Migrations::default(),
             drains: BTreeMap::new(),
             reconciliation: Reconciliation::default(),
@@ -154,7 +156,7 @@
     }
 
     fn run_each_second(&mut self) {
-        self.every_second();
+        self.run_provisioning();
         self.advance_migrations();
         self.advance_drains();
         if self.config.tuning.defragmentation.enabled {
@@ -231,7 +233,7 @@
                 message_id,
                 outcome,
             } => self.handle_command_outcome(&worker, message_id, outcome),
-            Input::ShardStatus { ticket, word } => self.handle_shard_status(ticket, word),
+            Input::ShardStatus { ticket, status } => self.handle_shard_status(ticket, status),
             Input::BufferedHeartbeats(forwarded) => self.handle_buffered_heartbeats(forwarded),
             Input::RelayFailed {
                 controller,
@@ -246,9 +248,9 @@
             Input::CancelSettled { job, end } => self.finish_cancellation(job, end),
             Input::Admin {
                 ticket,
-                order,
+                request,
                 unix_ms,
-            } => self.operate(ticket, order, unix_ms),
+            } => self.handle_admin_request(ticket, request, unix_ms),
             Input::Written(results) => self.handle_write_results(results),
             Input::Types(types) => self.learn_types(types),
             Input::ListedWorker(list) => self.handle_worker_list(list),
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -96,7 +96,7 @@
         m: u32,
         message_id: u64,
         starts: Vec<InstanceId>,
-        orders: bool,
+        has_commands: bool,
     ) -> Option<u32> {
         let via = self.relay_for(m);
         if via.is_some() {
@@ -106,7 +106,7 @@
             id: message_id,
             since: self.now,
             starts,
-            orders,
+            has_commands,
             relayed: via.is_some(),
         });
         via
@@ -114,7 +114,7 @@
 
     /// A worker whose heartbeat has not come after this long is late.
     pub(super) fn late_after_s(&self) -> f64 {
-        self.config.cluster.workers.report_s * LATE_FACTOR
+        self.config.cluster.workers.heartbeat_interval_s * LATE_FACTOR
     }
 
     /// How many more late or unresponsive workers may be probed now.
--- a/tests/service_levels.rs
+++ b/tests/service_levels.rs
@@ -3,7 +3,7 @@
 //! again, wherever there was room for it.
 
 use copperfield_simulation::core_harness::CoreHarness;
-use copperfield_simulation::service_levels::{Asked, served};
+use copperfield_simulation::service_levels::{RequestedJob, service_levels};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
@@ -97,7 +97,7 @@
         let count = (count * size) as usize;
         for i in 0..count {
             let name = format!("{zone}-{flavor}-{i}");
-            crew.add(&name, flavor, zone, 0.1 + i as f64 * 1.9 / count as f64);
+            crew.add_worker(&name, flavor, zone, 0.1 + i as f64 * 1.9 / count as f64);
             names.push(name);
         }
     }
@@ -127,8 +127,8 @@
                 let until = if service { at + 60.0 } else { DAY_S + AFTER_S };
                 asked.push((
                     job,
-                    Asked {
-                        job: job.to_string(),
+                    RequestedJob {
+                        id: job.to_string(),
                         class: class.name.into(),
                         team: class.team.into(),
                         tasks: body["shards"].as_u64().expect("a number") as u32,
@@ -145,23 +145,25 @@
         }
         let of = |part: &'static str| names.iter().filter(move |n| n.contains(part)).cloned();
         match starves {
-            Starves::Cut if at == 40.0 => crew.silent.extend(of("b-")),
-            Starves::Cut if at == 80.0 => crew.silent.clear(),
-            Starves::Sick if at == 40.0 => crew.sick.extend(of("-big-")),
-            Starves::Sick if at == 80.0 => crew.sick.clear(),
+            Starves::Cut if at == 40.0 => crew.unreachable.extend(of("b-")),
+            Starves::Cut if at == 80.0 => crew.unreachable.clear(),
+            Starves::Sick if at == 40.0 => crew.failing_workers.extend(of("-big-")),
+            Starves::Sick if at == 80.0 => crew.failing_workers.clear(),
             Starves::Taken if at == 40.0 => {
                 let taken: Vec<String> = of("-small-").step_by(3).collect();
-                taken.iter().for_each(|name| crew.die(name));
+                taken.iter().for_each(|name| crew.remove_worker(name));
             }
-            Starves::Leaders if within(40.0, 85.0) && second % 3 == 0 => crew.next_leader(),
+            Starves::Leaders if within(40.0, 85.0) && second % 3 == 0 => crew.fail_over(),
             _ => {}
         }
         crew.run(1.0);
     }
-    let asked: Vec<Asked> = asked.into_iter().map(|(_, asked)| asked).collect();
+    let asked: Vec<RequestedJob> = asked.into_iter().map(|(_, asked)| asked).collect();
     assert!(asked.len() > 60, "{} jobs", asked.len());
-    let all = served(&crew.history, &asked);
-    all.into_iter().map(|(name, s)| (name, s.least())).collect()
+    let all = service_levels(&crew.history, &asked);
+    all.into_iter()
+        .map(|(name, s)| (name, s.min_share()))
+        .collect()
 }
 
 fn everybody_gets_half(starves: Starves) {
