--- a/src/coordination/storing.rs
+++ b/src/coordination/persistence.rs
@@ -1,9 +1,9 @@
-//! What the leader has stored: the ends of jobs, done bits and the roster, one
+//! What the leader has stored: the ends of jobs, done bits and the worker registry, one
 //! transaction at a time.
 
-use crate::bookkeeping::bitmap;
-use crate::bookkeeping::writer::{Write, Written, completed};
 use crate::protocol::JobId;
+use crate::storage::bitmap;
+use crate::storage::writer::{Write, Written, completed};
 
 use super::messages::Effect;
 use super::model::*;
@@ -17,13 +17,13 @@
         if self.writing {
             return;
         }
-        let most = self.config.cluster.state.txn_ops;
+        let limit = self.config.cluster.state.txn_ops;
         let mut batch: Vec<Write> = Vec::new();
         let mut bytes = 0;
         // First, as workers wait for their answers until they are off the record.
-        self.silence_writes(&mut batch, most, &mut bytes);
+        self.fencing_writes(&mut batch, limit, &mut bytes);
         let mut ops = batch.len();
-        while ops + 2 <= most
+        while ops + 2 <= limit
             && let Some(ix) = self.finish.pop_front()
         {
             let job = &self.jobs[ix];
@@ -35,13 +35,13 @@
             ops += write.changes();
             batch.push(write);
         }
-        self.drain_writes(&mut batch, most, &mut ops);
-        let room = most.saturating_sub(ops);
+        self.drain_writes(&mut batch, limit, &mut ops);
+        let room = limit.saturating_sub(ops);
         let before = batch.len();
-        self.roster_writes(&mut batch, before + room, &mut bytes);
+        self.registry_writes(&mut batch, before + room, &mut bytes);
         ops += batch.len() - before;
         let chunk_tasks = self.chunk_tasks as usize;
-        while ops < most
+        while ops < limit
             && bytes <= TXN_BYTES
             && let Some(&(ix, chunk)) = self.progress_due.front()
         {
@@ -77,7 +77,7 @@
                 version: job.chunks[chunk as usize],
             });
         }
-        while ops < most
+        while ops < limit
             && let Some((job, chunk, version)) = self.drop_progress.pop_front()
         {
             ops += 1;
@@ -93,7 +93,7 @@
         }
     }
 
-    pub(super) fn take_written(&mut self, results: Vec<(Write, Written)>) {
+    pub(super) fn handle_write_results(&mut self, results: Vec<(Write, Written)>) {
         self.writing = false;
         for (write, written) in results {
             match write {
@@ -109,8 +109,10 @@
                 Write::Progress {
                     job, chunk, value, ..
                 } => self.progress_written(job, chunk, &value, &written),
-                Write::Roster { page, value, .. } => self.roster_written(page, &value, &written),
-                Write::Silence { page, .. } => self.silence_written(page, &written),
+                Write::WorkerRegistry { page, value, .. } => {
+                    self.registry_written(page, &value, &written)
+                }
+                Write::FencingRecord { page, .. } => self.fencing_written(page, &written),
                 Write::Drain { node, record, .. } => self.drain_written(node, record, &written),
                 Write::DropProgress { job, chunk, .. } => {
                     if let Written::Again { version } = written {
@@ -142,7 +144,7 @@
         let now = self.now;
         let job = &mut self.jobs[ix];
         job.chunks[chunk as usize] = version;
-        if matches!(job.state, JobState::Over(_)) {
+        if matches!(job.state, JobState::Terminal(_)) {
             if version > 0 {
                 self.drop_progress.push_back((id, chunk, version));
             }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::protocol::job::{Amounts, Kind, Priority};
+use crate::protocol::job::{Kind, Priority, Resources};
 
 use super::auction::{self, Group, Lot};
 use super::model::*;
@@ -13,30 +13,30 @@
 /// The share of the time an aim leaves that a fetch may take: rates are known to a third.
 const IN_TIME: f64 = 0.8;
 /// So long before its next aim a late job goes before all others: about what
-/// it takes to gather machines for it.
+/// it takes to gather workers for it.
 const RESCUE_S: f64 = 45.0;
 /// The urgency of such a job.
 const RESCUED: f64 = 2.3;
 /// Tasks of one job in one batch; the rest wait for the next window.
-const MOST_PER_JOB: u32 = 256;
+const MAX_PER_JOB: u32 = 256;
 /// Jobs, or groups of small ones that are alike, in one batch.
-const MOST_JOBS: usize = 512;
-/// Each looks at every machine, so on a large fleet a batch takes fewer: a batch of 380 jobs
-/// on 3,000 machines once held the renewal of the leader's lease up for a second.
-const MOST_LOOKS: usize = 192 * 1024;
-const LEAST_JOBS: usize = 32;
+const MAX_JOBS: usize = 512;
+/// Each looks at every worker, so on a large fleet a batch takes fewer: a batch of 380 jobs
+/// on 3,000 workers once held the renewal of the leader's lease up for a second.
+const MAX_LOOKS: usize = 192 * 1024;
+const MIN_JOBS: usize = 32;
 
 impl Core {
     pub(super) fn run_batch(&mut self) {
-        self.expire_claims();
-        self.mark_entitled();
-        self.keep_whole_machines();
+        self.expire_reservations();
+        self.mark_within_quota();
+        self.reserve_whole_workers();
         let order = self.this_batch(self.batch_order());
         if order.is_empty() {
             return;
         }
         self.gather_for_gangs(&order);
-        self.serve_claims(&order);
+        self.serve_reservations(&order);
         for &ix in &order {
             if self.is_whole_gang(ix)
                 && self.jobs[ix].waiting() > 0
@@ -49,13 +49,13 @@
         // Where one had no room left, those like it have none.
         let mut full = BTreeSet::new();
         for &ix in &order {
-            let alike = self.bids_as(ix);
-            if alike.is_some_and(|a| full.contains(&a)) {
+            let scheduling_class = self.bids_as(ix);
+            if scheduling_class.is_some_and(|a| full.contains(&a)) {
                 continue;
             }
             self.place_leftovers(ix);
             if self.jobs[ix].waiting() > 0 {
-                full.extend(alike);
+                full.extend(scheduling_class);
             }
         }
         let now = self.now;
@@ -95,24 +95,24 @@
     /// as one job; of the rest the most important are in every batch, and the
     /// others by turns, so that none is passed over for ever.
     fn this_batch(&mut self, mut kept: Vec<u32>) -> Vec<u32> {
-        let mut alike: BTreeMap<u32, u32> = BTreeMap::new();
+        let mut scheduling_class: BTreeMap<u32, u32> = BTreeMap::new();
         kept.retain(|&ix| {
             let Some(a) = self.bids_as(ix) else {
                 return true;
             };
-            let tasks = alike.entry(a).or_default();
+            let tasks = scheduling_class.entry(a).or_default();
             *tasks += self.jobs[ix].waiting();
-            *tasks <= MOST_PER_JOB
+            *tasks <= MAX_PER_JOB
         });
-        let most = (MOST_LOOKS / self.machines.iter().count().max(1)).clamp(LEAST_JOBS, MOST_JOBS);
-        if kept.len() <= most {
+        let limit = (MAX_LOOKS / self.workers.iter().count().max(1)).clamp(MIN_JOBS, MAX_JOBS);
+        if kept.len() <= limit {
             return kept;
         }
-        let tail = kept.split_off(most / 2);
+        let tail = kept.split_off(limit / 2);
         let first = self.next_in_tail % tail.len();
-        self.next_in_tail = first + most / 2;
+        self.next_in_tail = first + limit / 2;
         // The tail is longer than a turn, so none is in one twice.
-        let mut turn: Vec<usize> = (first..first + most / 2)
+        let mut turn: Vec<usize> = (first..first + limit / 2)
             .map(|at| at % tail.len())
             .collect();
         turn.sort_unstable();
@@ -121,11 +121,11 @@
     }
 
     /// With which others a job bids: none once it has failed somewhere, as it keeps
-    /// away from machines of its own.
+    /// away from workers of its own.
     pub(super) fn bids_as(&self, ix: u32) -> Option<u32> {
         let job = &self.jobs[ix];
-        job.alike
-            .filter(|_| job.failed_on.is_empty() && !job.entitled)
+        job.scheduling_class
+            .filter(|_| job.failed_on.is_empty() && !job.within_quota)
     }
 
     /// The paper's π: the job's priority, and within a priority how much is
@@ -139,7 +139,7 @@
             Priority::Normal => 10.0,
             Priority::Low => 1.0,
         };
-        let entitled = if job.entitled { 10_000.0 } else { 1.0 };
+        let within_quota = if job.within_quota { 10_000.0 } else { 1.0 };
         let left = f64::from(job.spec.tasks - job.done) * job.work_s();
         let waited = (self.now - job.seen_at).max(0.0);
         let urgency = match job.spec.kind {
@@ -148,7 +148,7 @@
             Kind::Array => 1.0 + 3.0 / (1.0 + left / 600.0),
             _ => self.start_urgency(ix, waited),
         };
-        rank * entitled * urgency
+        rank * within_quota * urgency
     }
 
     /// A job that can still start within its first aim goes first, small before
@@ -175,17 +175,17 @@
         self.start_urgency(ix, waited) >= RESCUED
     }
 
-    fn mark_entitled(&mut self) {
+    fn mark_within_quota(&mut self) {
         let limited = self
             .teams
             .iter()
-            .any(|t| t.guarantee.cpus > 0 || t.guarantee.gpus > 0);
+            .any(|t| t.quota.cpus > 0 || t.quota.gpus > 0);
         if !limited {
             return;
         }
         let mut order = self.jobs.indices();
         order.sort_by_key(|&ix| (self.jobs[ix].accepted_ms, self.jobs[ix].spec.id));
-        let mut total = vec![Amounts::default(); self.teams.len()];
+        let mut total = vec![Resources::default(); self.teams.len()];
         for ix in order {
             let job = &mut self.jobs[ix];
             if job.state != JobState::Live {
@@ -195,39 +195,39 @@
             let left = i64::from(job.spec.tasks - job.done);
             total[team].cpus += job.spec.needs.cpus * left;
             total[team].gpus += job.spec.needs.gpus * left;
-            let g = &self.teams[team].guarantee;
-            job.entitled = total[team].cpus <= g.cpus && total[team].gpus <= g.gpus;
+            let g = &self.teams[team].quota;
+            job.within_quota = total[team].cpus <= g.cpus && total[team].gpus <= g.gpus;
         }
     }
 
-    /// What a task is worth on a machine: π·w/ΔE, gated by headroom, with the
-    /// image fetch and the risk of a spot machine priced in.
+    /// What a task is worth on a worker: π·w/ΔE, gated by headroom, with the
+    /// image fetch and the risk of a spot worker priced in.
     pub(super) fn value(&self, ix: u32, m: u32) -> f64 {
         let job = &self.jobs[ix];
-        let machine = &self.machines[m];
-        let Some(kind) = self.types.get(machine.kind) else {
+        let worker = &self.workers[m];
+        let Some(kind) = self.types.get(worker.kind) else {
             return 0.0;
         };
         let tuning = &self.config.tuning;
         let work = job.work_s();
         let fetch = self.fetch_s(ix, m);
-        let price = if machine.spot {
+        let price = if worker.spot {
             kind.spot_price
         } else {
             kind.price * tuning.owned_price
         } / 3600.0;
         let mut occupied = work + fetch;
-        if machine.spot {
-            // A machine that is taken back takes the work so far with it.
+        if worker.spot {
+            // A worker that is taken back takes the work so far with it.
             occupied *= 1.0 + work / tuning.spot_mean_life_s;
         }
         let share = if self.breaks_whole(ix, m) {
-            // It keeps a task away that would take the whole machine.
+            // It keeps a task away that would take the whole worker.
             1.0
         } else {
             job.spec.needs.share_of(&kind.whole)
         };
-        let empty = if machine.used == Amounts::default() {
+        let empty = if worker.used == Resources::default() {
             1.0
         } else {
             0.0
@@ -240,7 +240,7 @@
                 .min(part(room.memory, kind.whole.memory))
                 .min(part(room.gpus, kind.whole.gpus).max(0.2))
         };
-        let age = machine.heard_at.map_or(0.0, |t| self.now - t);
+        let age = worker.last_heartbeat_at.map_or(0.0, |t| self.now - t);
         let gate = 1.0
             / (1.0
                 + (-GATE_STEEPNESS
@@ -251,15 +251,15 @@
         self.weight(ix) * work / cost.max(1e-12) * gate * delay
     }
 
-    /// Whether a fetch can take a job longer than its aim allows, on the machines
+    /// Whether a fetch can take a job longer than its aim allows, on the workers
     /// that fetch slowest.
     fn wants_image(&self, ix: u32) -> bool {
         let job = &self.jobs[ix];
         job.spec.image_gb / self.types.slowest_fetch() > job.patience_s * IN_TIME
     }
 
-    /// How well a machine suits a job for longer than a moment; 0 is best. A
-    /// replica stays, so it must not settle where it keeps whole-machine tasks
+    /// How well a worker suits a job for longer than a moment; 0 is best. A
+    /// replica stays, so it must not settle where it keeps whole-worker tasks
     /// away, and one that is wanted at once should find its image.
     fn tier(&self, ix: u32, m: u32) -> u8 {
         let job = &self.jobs[ix];
@@ -282,12 +282,12 @@
             return 0;
         }
         // Whether there is room is the dear question, so it is asked only where the answer
-        // can matter. Asked of every machine for every replica of a lost zone, it once took
-        // a batch on 3,000 machines most of a second.
+        // can matter. Asked of every worker for every replica of a lost zone, it once took
+        // a batch on 3,000 workers most of a second.
         let mut best = u8::MAX;
-        for (m, _) in self.machines.iter() {
+        for (m, _) in self.workers.iter() {
             let tier = self.tier(ix, m);
-            if tier < best && self.claimable(ix, m) && self.room_can_be_made(ix, m) {
+            if tier < best && self.reservable(ix, m) && self.room_can_be_made(ix, m) {
                 best = tier;
                 if best == 0 {
                     break;
@@ -301,20 +301,20 @@
         self.tier(ix, m) <= best
     }
 
-    /// Expected time until the machine has the job's image.
+    /// Expected time until the worker has the job's image.
     pub(super) fn fetch_s(&self, ix: u32, m: u32) -> f64 {
         let job = &self.jobs[ix];
-        let machine = &self.machines[m];
-        if machine.images.contains(&job.image) {
+        let worker = &self.workers[m];
+        if worker.images.contains(&job.image) {
             return 0.0;
         }
         let rate = self
             .types
-            .get(machine.kind)
+            .get(worker.kind)
             .map_or(0.25, |t| t.fetch_gb_per_s);
         let mut gb = job.spec.image_gb;
-        let mut fetching: Vec<u32> = machine
-            .copies
+        let mut fetching: Vec<u32> = worker
+            .instances
             .iter()
             .filter(|(_, c)| {
                 matches!(
@@ -323,7 +323,7 @@
                 )
             })
             .map(|(k, _)| self.jobs[k.job].image)
-            .filter(|i| !machine.images.contains(i))
+            .filter(|i| !worker.images.contains(i))
             .collect();
         fetching.sort_unstable();
         fetching.dedup();
@@ -345,7 +345,7 @@
         for _ in 0..job.retry.len() {
             let task = job.retry.pop_front()?;
             let t = &job.tasks[task as usize];
-            if t.done || t.copies > 0 {
+            if t.done || t.instances > 0 {
                 continue;
             }
             if f64::from(t.not_before) <= now {
@@ -357,14 +357,14 @@
             let task = job.fresh;
             job.fresh += 1;
             let t = &job.tasks[task as usize];
-            if !t.done && t.copies == 0 {
+            if !t.done && t.instances == 0 {
                 return Some(task);
             }
         }
         None
     }
 
-    /// Starts one more task of a job on a machine, if every condition holds.
+    /// Starts one more task of a job on a worker, if every condition holds.
     pub(super) fn start_one(&mut self, ix: u32, m: u32) -> bool {
         let Some(task) = self.next_task(ix) else {
             return false;
@@ -385,16 +385,16 @@
         let slot = self.config.tuning.slot_cpus;
         let mut lot_of = Vec::new();
         let mut lots = Vec::new();
-        for m in self.machines.indices() {
-            if !self.machine_usable(m) {
+        for m in self.workers.indices() {
+            if !self.worker_usable(m) {
                 continue;
             }
-            let room = self.room_after_claims(m, u32::MAX);
+            let room = self.room_after_reservations(m, u32::MAX);
             let lot = Lot {
                 cpu_slots: (room.cpus as f64 / 1000.0 / slot).floor().max(0.0) as u32,
                 gpu_slots: (room.gpus / 1000).max(0) as u32,
                 memory: room.memory.max(0),
-                zone: self.machines[m].zone,
+                zone: self.workers[m].zone,
             };
             if lot.cpu_slots > 0 {
                 lot_of.push(m);
@@ -406,16 +406,16 @@
         }
         let mut group_of: Vec<VecDeque<u32>> = Vec::new();
         let mut groups: Vec<Group> = Vec::new();
-        let mut alike: BTreeMap<u32, usize> = BTreeMap::new();
+        let mut scheduling_class: BTreeMap<u32, usize> = BTreeMap::new();
         for &ix in order {
             let job = &self.jobs[ix];
-            if let Some(&g) = self.bids_as(ix).and_then(|a| alike.get(&a)) {
+            if let Some(&g) = self.bids_as(ix).and_then(|a| scheduling_class.get(&a)) {
                 let group = &mut groups[g];
-                group.demand = (group.demand + job.waiting()).min(MOST_PER_JOB);
+                group.demand = (group.demand + job.waiting()).min(MAX_PER_JOB);
                 group_of[g].push_back(ix);
                 continue;
             }
-            let demand = job.waiting().min(MOST_PER_JOB).min(self.canaries(ix));
+            let demand = job.waiting().min(MAX_PER_JOB).min(self.canaries(ix));
             if demand == 0 || self.is_whole_gang(ix) {
                 continue;
             }
@@ -429,7 +429,7 @@
                     && lot.gpu_slots >= gpu_slots
                     && lot.memory >= job.spec.needs.memory;
                 if fits
-                    && self.machine_allowed(ix, m)
+                    && self.worker_allowed(ix, m)
                     && self.zone_allows(ix, lot.zone)
                     && zone.is_none_or(|z| z == lot.zone)
                     && self.in_tier(ix, m, tier)
@@ -452,7 +452,7 @@
                     .collect()
             });
             if let Some(a) = self.bids_as(ix) {
-                alike.insert(a, groups.len());
+                scheduling_class.insert(a, groups.len());
             }
             group_of.push(VecDeque::from([ix]));
             groups.push(Group {
@@ -505,7 +505,7 @@
         }
         let mut left = self.jobs[ix]
             .waiting()
-            .min(MOST_PER_JOB)
+            .min(MAX_PER_JOB)
             .min(self.canaries(ix));
         if left == 0 {
             return;
@@ -513,20 +513,22 @@
         let needs = self.jobs[ix].spec.needs;
         let tier = self.best_tier(ix);
         let mut lots: Vec<(u32, f64)> = self
-            .machines
+            .workers
             .indices()
             .into_iter()
             .filter(|&m| {
-                self.machine_usable(m)
-                    && needs.fits_in(&self.room_after_claims(m, ix))
-                    && self.machine_allowed(ix, m)
+                self.worker_usable(m)
+                    && needs.fits_in(&self.room_after_reservations(m, ix))
+                    && self.worker_allowed(ix, m)
                     && self.in_tier(ix, m, tier)
             })
             .map(|m| (m, self.value(ix, m)))
             .collect();
         lots.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         for (m, _) in lots {
-            while left > 0 && needs.fits_in(&self.room_after_claims(m, ix)) && self.start_one(ix, m)
+            while left > 0
+                && needs.fits_in(&self.room_after_reservations(m, ix))
+                && self.start_one(ix, m)
             {
                 left -= 1;
             }
--- a/src/coordination/state.rs
+++ b/src/coordination/state.rs
@@ -3,18 +3,18 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use copperfield_silence::Silence;
+use copperfield_fencing::FencingRecord;
 
-use crate::bookkeeping::DrainRecord;
 use crate::protocol::JobId;
-use crate::protocol::job::{Amounts, Standing};
-use crate::protocol::worker::Report;
+use crate::protocol::job::{JobOutcome, Resources};
+use crate::protocol::worker::Heartbeat;
 use crate::settings::{Cluster, Tuning};
+use crate::storage::DrainRecord;
 
+use super::failover::FailoverStats;
 use super::messages::Effect;
 use super::model::*;
-use super::sharing::Sharing;
-use super::takeover::Takeover;
+use super::sharding::Sharding;
 
 /// The batch window of the design.
 pub const WINDOW_S: f64 = 0.2;
@@ -22,9 +22,9 @@
 /// A start counts as one only if the task is left alone for half a minute.
 pub(super) const SETTLED_S: f64 = 35.0;
 
-/// Room in a stored page for one machine with its images.
-const BYTES_PER_MACHINE: usize = 512;
-const MOST_PER_PAGE: usize = 32;
+/// Room in a stored page for one worker with its images.
+const BYTES_PER_WORKER: usize = 512;
+const MAX_PER_PAGE: usize = 32;
 
 pub struct Config {
     pub cluster: Cluster,
@@ -32,12 +32,12 @@
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct TeamUse {
-    pub guarantee: Amounts,
-    pub most: Amounts,
-    pub used: Amounts,
-    /// What machines that have not told this leader yet may hold of it besides.
-    pub unknown: Amounts,
+pub struct TeamUsage {
+    pub quota: Resources,
+    pub limit: Resources,
+    pub used: Resources,
+    /// What workers that have not told this leader yet may hold of it besides.
+    pub unknown: Resources,
 }
 
 pub struct Core {
@@ -49,86 +49,86 @@
     /// Since when this leader has been valid without a break, as far as its steps tell.
     pub(super) valid_since: Time,
     pub(super) now: Time,
-    pub(super) zones: Names,
+    pub(super) zones: Interner,
     pub(super) types: Types,
-    pub(super) images: Names,
+    pub(super) images: Interner,
     pub(super) image_gb: Vec<f64>,
-    pub(super) team_names: Names,
-    pub(super) teams: Vec<TeamUse>,
+    pub(super) team_names: Interner,
+    pub(super) teams: Vec<TeamUsage>,
     pub(super) jobs: Slab<Job>,
     pub(super) job_ids: JobIds,
-    pub(super) machines: Slab<Machine>,
-    pub(super) machine_ids: HashMap<String, u32>,
-    /// Machines that were returned: their late reports mean nothing.
+    pub(super) workers: Slab<Worker>,
+    pub(super) worker_ids: HashMap<String, u32>,
+    /// Workers that were returned: their late reports mean nothing.
     pub(super) gone: BTreeSet<String>,
-    pub(super) fleet: Fleet,
-    pub(super) shapes: Vec<Shape>,
-    pub(super) alike: BTreeMap<Likeness, u32>,
+    pub(super) provisioning: Provisioning,
+    pub(super) large_task_profiles: Vec<LargeTaskProfile>,
+    pub(super) scheduling_class: BTreeMap<SchedulingClass, u32>,
     /// Chunks of done bits that wait to be stored, the longest first.
     pub(super) progress_due: VecDeque<(u32, u32)>,
     /// Where the last batch left off among the jobs that it had no time for.
     pub(super) next_in_tail: usize,
     /// Jobs that ended under this leader, by number.
-    pub(super) over: HashMap<JobId, Standing>,
+    pub(super) over: HashMap<JobId, JobOutcome>,
     /// Jobs to be cancelled that the watch has not shown yet.
     pub(super) cancel_early: BTreeSet<JobId>,
     pub(super) next_attempt: u64,
-    pub(super) next_flight: u64,
+    pub(super) next_message_id: u64,
     pub(super) effects: Vec<Effect>,
     pub(super) writing: bool,
     pub(super) finish: VecDeque<u32>,
     pub(super) drop_progress: VecDeque<(JobId, u32, u64)>,
-    pub(super) roster: Roster,
-    /// Machines that this leader has promised not to answer.
-    pub(super) silence: Silence,
-    /// Reports of such machines, answered once their removal from the record is stored.
-    pub(super) unanswered: BTreeMap<String, (u64, Report)>,
-    /// Where other nodes speak with some of the machines.
-    pub(super) sharing: Option<Sharing>,
+    pub(super) registry: WorkerRegistry,
+    /// Workers that this leader has promised not to answer.
+    pub(super) fencing: FencingRecord,
+    /// Reports of such workers, answered once their removal from the record is stored.
+    pub(super) deferred_heartbeats: BTreeMap<String, (u64, Heartbeat)>,
+    /// Where other nodes speak with some of the workers.
+    pub(super) sharding: Option<Sharding>,
     /// Until when this leader acts on the word of all other nodes.
-    pub word_until: Time,
+    pub lease_extended_until: Time,
     /// Until when this leader is valid, for what it grants others.
     pub valid_until: Time,
-    /// A page of the roster cannot be read: any machine may hold anything.
-    pub(super) unknown_machines: bool,
+    /// A page of the worker registry cannot be read: any worker may hold anything.
+    pub(super) unknown_workers: bool,
     pub(super) next_batch: Time,
     pub(super) next_second: Time,
     pub(super) next_watch: Time,
     /// How long replicas may be away for moves, in seconds.
     pub(super) move_credit: f64,
-    pub(super) relocations: Relocations,
+    pub(super) migrations: Migrations,
     /// Nodes that operators drain, by name; they may be unknown yet.
     pub(super) drains: BTreeMap<String, Drain>,
     /// No earlier leader's start can be anywhere unknown any more.
-    pub(super) settled: bool,
+    pub(super) reconciliation_complete: bool,
     /// While it lasts.
-    pub(super) takeover: Option<Takeover>,
+    pub(super) failover: Option<FailoverStats>,
     pub(super) chunk_tasks: u32,
 }
 
 #[derive(Debug, Clone)]
-pub(super) struct Rental {
+pub(super) struct ProvisioningRequest {
     pub(super) kind: u32,
     pub(super) zone: u32,
     pub(super) spot: bool,
     pub(super) count: u32,
 }
 
-/// A machine that was rented and has not reported yet.
+/// A worker that was rented and has not reported yet.
 #[derive(Debug, Clone)]
-pub(super) struct Booting {
+pub(super) struct BootingWorker {
     pub(super) kind: u32,
     pub(super) since: Time,
     pub(super) spot: bool,
 }
 
 #[derive(Debug)]
-pub(super) struct Fleet {
+pub(super) struct Provisioning {
     pub(super) token: u64,
     pub(super) next_request: u64,
-    pub(super) asked: BTreeMap<String, Rental>,
-    pub(super) booting: BTreeMap<String, Booting>,
-    /// By type: how long machines took to come up, as a multiple of what the cloud says.
+    pub(super) asked: BTreeMap<String, ProvisioningRequest>,
+    pub(super) booting: BTreeMap<String, BootingWorker>,
+    /// By type: how long workers took to come up, as a multiple of what the cloud says.
     pub(super) boot_factor: BTreeMap<u32, f64>,
     pub(super) no_capacity: BTreeMap<(u32, u32, bool), Time>,
     pub(super) next_list: Time,
@@ -137,7 +137,7 @@
     pub(super) listed_once: bool,
 }
 
-impl Fleet {
+impl Provisioning {
     pub fn new(token: u64, now: Time) -> Self {
         Self {
             token,
@@ -156,7 +156,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Page {
-    pub(super) machines: Vec<u32>,
+    pub(super) workers: Vec<u32>,
     pub(super) version: u64,
     /// When what is stored must say what it does not say yet.
     pub(super) due: Option<Time>,
@@ -172,19 +172,19 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Roster {
+pub(super) struct WorkerRegistry {
     pub(super) pages: Vec<Page>,
     pub(super) per_page: usize,
-    pub(super) bytes_per_machine: usize,
+    pub(super) bytes_per_worker: usize,
 }
 
-impl Roster {
+impl WorkerRegistry {
     pub fn new(value_bytes: usize) -> Self {
-        let per_page = (value_bytes / BYTES_PER_MACHINE).clamp(1, MOST_PER_PAGE);
+        let per_page = (value_bytes / BYTES_PER_WORKER).clamp(1, MAX_PER_PAGE);
         Self {
             pages: Vec::new(),
             per_page,
-            bytes_per_machine: value_bytes * 9 / 10 / per_page,
+            bytes_per_worker: value_bytes * 9 / 10 / per_page,
         }
     }
 
@@ -197,16 +197,16 @@
     }
 }
 
-/// One task on its way to another machine. Names, as indices may be another's by the
+/// One task on its way to another worker. Names, as indices may be another's by the
 /// time that it ends.
 #[derive(Debug, Clone)]
-pub(super) struct Relocation {
+pub(super) struct TaskMigration {
     pub(super) id: JobId,
     /// The copy that is to go.
-    pub(super) key: CopyKey,
+    pub(super) key: InstanceId,
     pub(super) from: String,
     pub(super) to: String,
-    /// The job that waits for the machine; `None`: it drains.
+    /// The job that waits for the worker; `None`: it drains.
     pub(super) wanted_by: Option<JobId>,
     pub(super) began: Time,
     /// The old copy is gone, so its place is free.
@@ -218,14 +218,14 @@
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Relocations {
-    pub(super) live: Vec<Relocation>,
+pub(super) struct Migrations {
+    pub(super) live: Vec<TaskMigration>,
     /// The last ones that ended, and how, the newest last.
-    pub(super) recent: VecDeque<(Relocation, &'static str)>,
+    pub(super) recent: VecDeque<(TaskMigration, &'static str)>,
     pub(super) ended: usize,
     /// When each task last moved.
     pub(super) moved_at: BTreeMap<(JobId, u32), Time>,
-    /// Of jobs that wait for whole machines: how often moves for them came to nothing,
+    /// Of jobs that wait for whole workers: how often moves for them came to nothing,
     /// and when they are next tried.
     pub(super) patience: BTreeMap<JobId, (u32, Time)>,
     /// What is done for them, or why nothing is.
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use clap::{Parser, Subcommand};
+use copperfield::api::Service;
 use copperfield::protocol::{MAX_BODY, MAX_PEER_BODY};
-use copperfield::service::Service;
 use copperfield::settings::{Log, LogFormat, Settings, Tuning, tuning_beside};
 use copperfield::transport::client::Http;
 use copperfield::transport::server::{bind, serve};
@@ -39,7 +39,7 @@
     /// Only check the settings.
     Check(Files),
     #[command(flatten)]
-    Operate(copperfield_operators::cli::Command),
+    Admin(copperfield_admin::cli::Command),
 }
 
 #[derive(clap::Args)]
@@ -69,7 +69,7 @@
     let cli = Cli::parse();
     let (files, only_check) = match cli.command {
         Some(Verb::Check(files)) => (files, true),
-        Some(Verb::Operate(command)) => {
+        Some(Verb::Admin(command)) => {
             return match runtime() {
                 Ok(runtime) => ExitCode::from(runtime.block_on(command.run())),
                 Err(error) => fail(&error),
@@ -176,8 +176,8 @@
     let public = settings.public_addr;
     let peers = settings.peer_bind;
     // The rest is for what the node calls itself: the workers, above all.
-    let most = settings.cluster.limits.max_sockets;
-    let (for_public, for_peers) = (most * 6 / 10, most / 20);
+    let limit = settings.cluster.limits.max_sockets;
+    let (for_public, for_peers) = (limit * 6 / 10, limit / 20);
     let meter = Meter::new(for_clients(&settings));
     // Before anything else: while an earlier process of this node has its addresses, this one
     // does nothing in the node's name. As its successor it may remove its leader key.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -134,7 +134,7 @@
 
 impl Settings {
     /// All nodes in the order that every one of them has them in, with where each is.
-    pub fn nodes(&self) -> Vec<(&str, &str)> {
+    pub fn controllers(&self) -> Vec<(&str, &str)> {
         let others = self.others.iter();
         let others = others.map(|p| (p.member.as_str(), p.site.as_str()));
         let mut all: Vec<_> = others.collect();
@@ -144,16 +144,16 @@
     }
 
     /// This node's place among all nodes.
-    pub fn place(&self) -> u32 {
-        let nodes = self.nodes();
-        let mine = nodes.iter().position(|(n, _)| *n == self.member);
+    pub fn own_index(&self) -> u32 {
+        let controllers = self.controllers();
+        let mine = controllers.iter().position(|(n, _)| *n == self.member);
         mine.unwrap_or(0) as u32
     }
 
     /// The name of the node at a place; empty if there is none.
-    pub fn node(&self, place: u32) -> &str {
-        let nodes = self.nodes();
-        nodes.get(place as usize).map_or("", |(n, _)| n)
+    pub fn controller(&self, own_index: u32) -> &str {
+        let controllers = self.controllers();
+        controllers.get(own_index as usize).map_or("", |(n, _)| n)
     }
 
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
@@ -278,22 +278,22 @@
     pub headroom_kappa: f64,
     /// CPUs per priced slot.
     pub slot_cpus: f64,
-    /// Share of the nominal price at which machines that are already up are
+    /// Share of the nominal price at which workers that are already up are
     /// priced in bids.
     pub owned_price: f64,
-    /// Expected seconds between losses of a spot machine; prices risk in bids.
+    /// Expected seconds between losses of a spot worker; prices risk in bids.
     pub spot_mean_life_s: f64,
-    /// Seconds an empty machine is kept before it is returned.
+    /// Seconds an empty worker is kept before it is returned.
     pub idle_return_s: f64,
     /// The same while no job is unfinished.
     pub deserted_return_s: f64,
-    /// Most machines the fleet may hold, 0 for no bound of our own.
+    /// Most workers the fleet may hold, 0 for no bound of our own.
     pub fleet_max: u32,
     /// Length of the leader's lease.
     pub leader_ttl_ms: u64,
-    /// Whether the machines are shared among the controllers, so that each speaks with a part.
+    /// Whether the workers are shared among the controllers, so that each speaks with a part.
     pub shares: Switch,
-    /// Frees whole machines by moving work that may move.
+    /// Frees whole workers by moving work that may move.
     pub defragmentation: Defragmentation,
     /// What operators say of classes of jobs, by name.
     pub class: BTreeMap<String, Class>,
@@ -313,7 +313,7 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Defragmentation {
-    /// Whether work is moved for whole-machine tasks that wait. A drain moves work
+    /// Whether work is moved for whole-worker tasks that wait. A drain moves work
     /// either way, within the same limits.
     pub enabled: bool,
     /// Moves under way at once.
@@ -324,7 +324,7 @@
     pub again_after_s: f64,
     /// Share of a job's tasks that may be away for moves; at least one may.
     pub away_share: f64,
-    /// What a place on a whole machine is worth: the seconds of waiting that it spares,
+    /// What a place on a whole worker is worth: the seconds of waiting that it spares,
     /// paid in seconds of work that moves lose.
     pub worth_s: f64,
 }
@@ -517,7 +517,7 @@
 }
 
 /// A key that can be guessed is none.
-const LEAST_KEY: usize = 16;
+const MIN_KEY: usize = 16;
 
 impl Tuning {
     fn check_blocks(&self, file: &str) -> Result<(), SettingsError> {
@@ -536,10 +536,10 @@
             }
         }
         match &self.operators {
-            Some(o) if o.key.len() < LEAST_KEY || !o.key.bytes().all(|b| b.is_ascii_graphic()) => {
+            Some(o) if o.key.len() < MIN_KEY || !o.key.bytes().all(|b| b.is_ascii_graphic()) => {
                 let found = o.key.len();
                 let problem = format!(
-                    "found a key of {found} bytes, allowed are {LEAST_KEY} or more visible ASCII characters"
+                    "found a key of {found} bytes, allowed are {MIN_KEY} or more visible ASCII characters"
                 );
                 fail("operators.key".into(), &problem)
             }
@@ -548,7 +548,7 @@
     }
 
     /// A cancelled job must be gone in time even if the leader ends at once:
-    /// its lease, then the leases of machines that nobody reaches.
+    /// its lease, then the leases of workers that nobody reaches.
     pub fn check_against(&self, settings: &Settings) -> Result<(), String> {
         let w = &settings.cluster.workers;
         let ttl_s = self.leader_ttl_ms as f64 / 1000.0;
--- a/src/bookkeeping/mod.rs
+++ b/src/storage/mod.rs
@@ -8,8 +8,8 @@
 //! | `cf/t/{job}` | a job's final phase, kept for ever | the leader, or anyone while there is none |
 //! | `cf/p/{job}/{chunk}` | which tasks are done, as a hexadecimal bitmap | the leader |
 //! | `cf/d/{node}` | a drain that an operator has ordered | the leader |
-//! | `cf/s/{page}` | silent machines, and when each was last answered | the leader |
-//! | `cf/r/{page}` | the roster: machines that may have been given tasks | the leader |
+//! | `cf/s/{page}` | silent workers, and when each was last answered | the leader |
+//! | `cf/r/{page}` | the worker registry: workers that may have been given tasks | the leader |
 //!
 //! A job's end moves it from `cf/j/` to `cf/t/` in one transaction. A reader
 //! therefore asks for `cf/j/` first and `cf/t/` second: whichever way it
@@ -24,7 +24,7 @@
 use serde_json::{Value, json};
 
 use crate::protocol::JobId;
-use crate::protocol::job::{JobSpec, Phase, Standing};
+use crate::protocol::job::{JobOutcome, JobSpec, Phase};
 
 pub const LEADER: &str = "cf/leader";
 /// Written with every leader key, once more by its leader, and never removed: as long as it is
@@ -32,9 +32,9 @@
 pub const FOUNDED: &str = "cf/founded";
 pub const JOBS: &str = "cf/j/";
 pub const PROGRESS: &str = "cf/p/";
-pub const ROSTER: &str = "cf/r/";
+pub const REGISTRY: &str = "cf/r/";
 pub const DRAINS: &str = "cf/d/";
-pub const SILENCE: &str = "cf/s/";
+pub const FENCING: &str = "cf/s/";
 
 pub fn job_key(job: JobId) -> String {
     format!("{JOBS}{job}")
@@ -48,12 +48,12 @@
     format!("{PROGRESS}{job}/{chunk:04}")
 }
 
-pub fn roster_key(page: u32) -> String {
-    format!("{ROSTER}{page:05}")
+pub fn registry_key(page: u32) -> String {
+    format!("{REGISTRY}{page:05}")
 }
 
-pub fn silence_key(page: u32) -> String {
-    format!("{SILENCE}{page:05}")
+pub fn fencing_key(page: u32) -> String {
+    format!("{FENCING}{page:05}")
 }
 
 pub fn drain_key(node: &str) -> String {
@@ -70,19 +70,19 @@
     Ok((spec, value.get("at").and_then(Value::as_u64).unwrap_or(0)))
 }
 
-pub fn terminal_record(end: Standing) -> Value {
+pub fn terminal_record(end: JobOutcome) -> Value {
     json!({"phase": end.phase.spelling(), "done": end.done})
 }
 
 /// Records of earlier versions tell no number of tasks.
-pub fn parse_terminal(value: &Value) -> Option<Standing> {
+pub fn parse_terminal(value: &Value) -> Option<JobOutcome> {
     let phase = match value.get("phase")?.as_str()? {
         "done" => Phase::Done,
         "withdrawn" => Phase::Cancelled,
         _ => return None,
     };
     let done = value.get("done").and_then(Value::as_u64).unwrap_or(0);
-    Some(Standing {
+    Some(JobOutcome {
         phase,
         done: done as u32,
     })
@@ -109,10 +109,10 @@
     pub version: u64,
 }
 
-/// A machine that may have been given tasks: enough for the next leader to
+/// A worker that may have been given tasks: enough for the next leader to
 /// ask it at once what it holds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MachineRecord {
+pub struct WorkerRecord {
     pub address: String,
     pub machine_type: String,
     pub zone: String,
@@ -128,40 +128,40 @@
     pub jobs: Vec<StoredJob>,
     /// Bitmap chunks with their versions.
     pub progress: Vec<(JobId, u32, Vec<u8>, u64)>,
-    pub roster: Vec<RosterPage>,
+    pub registry: Vec<StoredRegistryPage>,
     pub drains: Vec<StoredDrain>,
-    pub silence: Vec<StoredSilence>,
-    /// Until when machines may have been answered on this node's word, by an earlier leader or
+    pub fencing: Vec<StoredFencingPage>,
+    /// Until when workers may have been answered on this node's word, by an earlier leader or
     /// by itself when it led, on the clock of the core.
-    pub word_held_until: f64,
+    pub vote_binding_until: f64,
 }
 
 impl Snapshot {
-    pub fn machines(&self) -> usize {
-        self.roster
+    pub fn workers(&self) -> usize {
+        self.registry
             .iter()
-            .flat_map(|p| &p.machines)
+            .flat_map(|p| &p.workers)
             .map(Vec::len)
             .sum()
     }
 }
 
-/// One stored page of the record of silent machines.
+/// One stored page of the record of silent workers.
 #[derive(Debug)]
-pub struct StoredSilence {
+pub struct StoredFencingPage {
     pub page: u32,
     pub version: u64,
     /// How long ago each was last answered at least, in ms; `None` if it does not parse.
     pub ages: Option<Vec<(String, u64)>>,
 }
 
-/// One stored page of the roster.
+/// One stored page of the worker registry.
 #[derive(Debug)]
-pub struct RosterPage {
+pub struct StoredRegistryPage {
     pub page: u32,
     pub version: u64,
     /// None if it does not parse.
-    pub machines: Option<Vec<(String, MachineRecord)>>,
+    pub workers: Option<Vec<(String, WorkerRecord)>>,
 }
 
 #[derive(Debug, Clone)]
--- a/src/bookkeeping/recovery.rs
+++ b/src/storage/recovery.rs
@@ -4,26 +4,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use copperfield_silence::stamp;
+use copperfield_fencing::stamp;
 use serde::de::DeserializeOwned;
 
 use super::store::StoreError;
 use super::{
-    DRAINS, DrainRecord, JOBS, MachineRecord, PROGRESS, ROSTER, RosterPage, SILENCE, Snapshot,
-    StoredDrain, StoredJob, StoredSilence, bitmap, parse_job_record,
+    DRAINS, DrainRecord, FENCING, JOBS, PROGRESS, REGISTRY, Snapshot, StoredDrain,
+    StoredFencingPage, StoredJob, StoredRegistryPage, WorkerRecord, bitmap, parse_job_record,
 };
-use crate::commands::{Command, Handle};
+use crate::controller::commands::{Command, Handle};
+use crate::controller::context::ControllerContext;
 use crate::coordination::core::Input;
 use crate::protocol::JobId;
-use crate::shared::Shared;
 
 /// Reads what earlier leaders have stored, then follows new jobs.
-pub async fn recover(shared: Arc<Shared>, handle: Handle, token: u64) {
+pub async fn recover(context: Arc<ControllerContext>, handle: Handle, token: u64) {
     let (snapshot, revision) = loop {
-        if !shared.leads(token) {
+        if !context.leads(token) {
             return;
         }
-        match read_snapshot(&shared).await {
+        match read_snapshot(&context).await {
             Ok(found) => break found,
             Err(error) => {
                 tracing::info!(%error, "cannot read the stored state yet");
@@ -32,28 +32,28 @@
         }
     };
     handle.send(Command::Recovered { token, snapshot }).await;
-    follow_jobs(shared, handle, token, revision).await;
+    follow_jobs(context, handle, token, revision).await;
 }
 
-async fn read_snapshot(shared: &Shared) -> Result<(Snapshot, u64), StoreError> {
-    let store = &shared.store;
-    let unix_ms = || shared.unix_ms();
+async fn read_snapshot(context: &ControllerContext) -> Result<(Snapshot, u64), StoreError> {
+    let store = &context.store;
+    let unix_ms = || context.unix_ms();
     let mut snapshot = Snapshot {
-        silence: read_silence(shared).await?,
-        word_held_until: shared.word_held_until_s(),
+        fencing: read_fencing(context).await?,
+        vote_binding_until: context.vote_binding_until_s(),
         ..Snapshot::default()
     };
-    let (pages, _) = store.list(ROSTER).await?;
+    let (pages, _) = store.list(REGISTRY).await?;
     for item in pages {
-        let Some(page) = number(&item.key, ROSTER) else {
+        let Some(page) = number(&item.key, REGISTRY) else {
             continue;
         };
-        // Never dropped: the core then holds back what machines unknown to it may hold.
-        let machines = entries::<MachineRecord>(&item.key, item.value);
-        snapshot.roster.push(RosterPage {
+        // Never dropped: the core then holds back what workers unknown to it may hold.
+        let workers = entries::<WorkerRecord>(&item.key, item.value);
+        snapshot.registry.push(StoredRegistryPage {
             page,
             version: item.version,
-            machines: machines.map(|m| m.into_iter().collect()),
+            workers: workers.map(|m| m.into_iter().collect()),
         });
     }
     let (progress, _) = store.list(PROGRESS).await?;
@@ -95,19 +95,19 @@
     Ok((snapshot, revision))
 }
 
-/// The record of silent machines. Ages are taken here, before the core reads its clock.
-async fn read_silence(shared: &Shared) -> Result<Vec<StoredSilence>, StoreError> {
-    let (pages, _) = shared.store.list(SILENCE).await?;
-    let unix_ms = shared.unix_ms();
-    let error_ms = shared.settings.cluster.clock_error_ms.ceil() as u64;
+/// The record of silent workers. Ages are taken here, before the core reads its clock.
+async fn read_fencing(context: &ControllerContext) -> Result<Vec<StoredFencingPage>, StoreError> {
+    let (pages, _) = context.store.list(FENCING).await?;
+    let unix_ms = context.unix_ms();
+    let error_ms = context.settings.cluster.clock_error_ms.ceil() as u64;
     let mut all = Vec::new();
     for item in pages {
-        let Some(page) = number(&item.key, SILENCE) else {
+        let Some(page) = number(&item.key, FENCING) else {
             continue;
         };
         let age = |(name, at)| (name, stamp::age(at, unix_ms, error_ms));
         let stamps = entries::<u64>(&item.key, item.value);
-        all.push(StoredSilence {
+        all.push(StoredFencingPage {
             page,
             version: item.version,
             ages: stamps.map(|s| s.into_iter().map(age).collect()),
@@ -125,7 +125,7 @@
     page.map(u32::from)
 }
 
-/// What a page says of each machine that it names.
+/// What a page says of each worker that it names.
 fn entries<T: DeserializeOwned>(
     key: &str,
     value: serde_json::Value,
@@ -156,15 +156,15 @@
     }
 }
 
-async fn follow_jobs(shared: Arc<Shared>, handle: Handle, token: u64, mut since: u64) {
+async fn follow_jobs(context: Arc<ControllerContext>, handle: Handle, token: u64, mut since: u64) {
     let block = Duration::from_secs(2);
-    while shared.leads(token) {
-        match shared.store.watch(JOBS, since, block).await {
+    while context.leads(token) {
+        match context.store.watch(JOBS, since, block).await {
             Ok(changes) => {
                 since = since.max(changes.revision);
                 for event in changes.events {
                     let Some(key) = event.put else { continue };
-                    let job = stored_job(&key, &event.value, event.version, shared.unix_ms());
+                    let job = stored_job(&key, &event.value, event.version, context.unix_ms());
                     if let Some(job) = job {
                         let input = Input::Job(job);
                         handle.send(Command::Input { token, input }).await;
@@ -173,12 +173,12 @@
                 // A burst comes in a few answers rather than one for each job.
                 tokio::time::sleep(Duration::from_millis(15)).await;
             }
-            Err(StoreError::TooOld) => match shared.store.list(JOBS).await {
+            Err(StoreError::TooOld) => match context.store.list(JOBS).await {
                 Ok((items, revision)) => {
                     since = revision;
                     for item in items {
                         let job =
-                            stored_job(&item.key, &item.value, item.version, shared.unix_ms());
+                            stored_job(&item.key, &item.value, item.version, context.unix_ms());
                         if let Some(job) = job {
                             let input = Input::Job(job);
                             handle.send(Command::Input { token, input }).await;
--- a/src/bookkeeping/store.rs
+++ b/src/storage/store.rs
@@ -13,11 +13,13 @@
 use tokio::time::Instant;
 
 use crate::protocol::JobId;
-use crate::protocol::job::{Phase, Standing};
+use crate::protocol::job::{JobOutcome, Phase};
 use crate::protocol::peer::{PeerReply, PeerRequest};
-use crate::protocol::state::{Change, Changes, Conflict, Grant, Item, Page, Revision, Transaction};
-use crate::transport::budget::{Budget, Urgency};
+use crate::protocol::state::{
+    Change, Changes, Conflict, Item, Page, Revision, ShardLease, Transaction,
+};
 use crate::transport::client::{Answer, CallError, Network};
+use crate::transport::rate_limiter::{RateLimiter, Urgency};
 
 use super::{job_key, parse_terminal, terminal_key};
 
@@ -51,8 +53,8 @@
     http: Arc<dyn Network>,
     address: SocketAddr,
     peers: Vec<SocketAddr>,
-    requests: Budget,
-    writes: Budget,
+    requests: RateLimiter,
+    writes: RateLimiter,
     /// Until when direct requests are not worth a user's time, in ms since `start`.
     avoid_until: AtomicU64,
     /// When a direct request last failed, if none has been answered since; in ms since `start`,
@@ -76,8 +78,8 @@
             http,
             address,
             peers,
-            requests: Budget::new(rps, 1.0),
-            writes: Budget::new(write_rps, 1.0),
+            requests: RateLimiter::new(rps, 1.0),
+            writes: RateLimiter::new(write_rps, 1.0),
             avoid_until: AtomicU64::new(0),
             refused_at: AtomicU64::new(0),
             served_at: AtomicU64::new(0),
@@ -364,7 +366,7 @@
             .direct(Method::POST, "/leases", body.into_bytes(), ATTEMPT)
             .await?;
         match answer.status {
-            200 => parse::<Grant>(&answer).map(|g| g.lease),
+            200 => parse::<ShardLease>(&answer).map(|g| g.lease),
             other => Err(StoreError::Refused(other)),
         }
     }
@@ -396,11 +398,11 @@
 
     /// What the state service says of a job: `None` if it was never accepted.
     /// `cf/j/` first, see the module above.
-    pub async fn standing(&self, job: JobId) -> Result<Option<Standing>, StoreError> {
+    pub async fn outcome(&self, job: JobId) -> Result<Option<JobOutcome>, StoreError> {
         let urgency = Urgency::Low;
         let live = self.get(&job_key(job), urgency, true).await?;
         let terminal = self.terminal(job, urgency).await?;
-        let pending = Standing {
+        let pending = JobOutcome {
             phase: Phase::Pending,
             done: 0,
         };
@@ -411,7 +413,7 @@
         &self,
         job: JobId,
         urgency: Urgency,
-    ) -> Result<Option<Standing>, StoreError> {
+    ) -> Result<Option<JobOutcome>, StoreError> {
         let key = terminal_key(job);
         match self.get(&key, urgency, true).await? {
             None => Ok(None),
--- a/src/bookkeeping/writer.rs
+++ b/src/storage/writer.rs
@@ -7,18 +7,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use copperfield_silence::stamp;
+use copperfield_fencing::stamp;
 use serde_json::Value;
 
 use crate::protocol::JobId;
-use crate::protocol::job::{Phase, Standing};
+use crate::protocol::job::{JobOutcome, Phase};
 use crate::protocol::state::{Change, Transaction};
-use crate::transport::budget::Urgency;
+use crate::transport::rate_limiter::Urgency;
 
 use super::store::{Store, StoreError, put};
 use super::{
-    DrainRecord, LEADER, drain_key, job_key, parse_terminal, progress_key, roster_key, silence_key,
-    terminal_key, terminal_record,
+    DrainRecord, LEADER, drain_key, fencing_key, job_key, parse_terminal, progress_key,
+    registry_key, terminal_key, terminal_record,
 };
 
 #[derive(Debug, Clone, PartialEq)]
@@ -41,13 +41,13 @@
         chunk: u32,
         version: u64,
     },
-    Roster {
+    WorkerRegistry {
         page: u32,
         value: Value,
         version: u64,
     },
-    /// Silent machines, and how long ago each was answered when this was decided, in ms.
-    Silence {
+    /// Silent workers, and how long ago each was answered when this was decided, in ms.
+    FencingRecord {
         page: u32,
         ages: Vec<(String, u64)>,
         version: u64,
@@ -95,15 +95,15 @@
                 let key = progress_key(*job, *chunk);
                 (key.clone(), *version, Change::Delete { key })
             }
-            Self::Roster {
+            Self::WorkerRegistry {
                 page,
                 value,
                 version,
             } => {
-                let key = roster_key(*page);
+                let key = registry_key(*page);
                 (key.clone(), *version, put(key, value.clone()))
             }
-            Self::Silence {
+            Self::FencingRecord {
                 page,
                 ages,
                 version,
@@ -112,7 +112,7 @@
                     (name.clone(), stamp::of_age(*age, unix_ms).into())
                 };
                 let value = Value::Object(ages.iter().map(stamp).collect());
-                let key = silence_key(*page);
+                let key = fencing_key(*page);
                 (key.clone(), *version, put(key, value))
             }
             Self::Drain {
@@ -139,8 +139,8 @@
             Self::Progress { job, chunk, .. } | Self::DropProgress { job, chunk, .. } => {
                 progress_key(*job, *chunk)
             }
-            Self::Roster { page, .. } => roster_key(*page),
-            Self::Silence { page, .. } => silence_key(*page),
+            Self::WorkerRegistry { page, .. } => registry_key(*page),
+            Self::FencingRecord { page, .. } => fencing_key(*page),
             Self::Drain { node, .. } => drain_key(node),
         }
     }
@@ -154,12 +154,12 @@
     /// Not stored, or not known to be: the key's version as read since.
     Again { version: u64 },
     /// Somebody else has ended the job.
-    Ended(Standing),
+    Ended(JobOutcome),
 }
 
 /// The end of a job all of whose tasks are done.
-pub fn completed(done: u32) -> Standing {
-    Standing {
+pub fn completed(done: u32) -> JobOutcome {
+    JobOutcome {
         phase: Phase::Done,
         done,
     }
@@ -186,7 +186,7 @@
     for write in &batch {
         write.add_to(&mut txn, unix_ms);
     }
-    let urgent = |w: &Write| matches!(w, Write::Finish { .. } | Write::Silence { .. });
+    let urgent = |w: &Write| matches!(w, Write::Finish { .. } | Write::FencingRecord { .. });
     let urgency = if batch.iter().any(urgent) {
         Urgency::High
     } else {
--- a/src/transport/budget.rs
+++ b/src/transport/rate_limiter.rs
@@ -22,7 +22,7 @@
 const NORMAL_RESERVE: f64 = 0.2;
 
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     tokens: f64,
     at: Instant,
     /// What is waited for, in tokens.
@@ -30,13 +30,13 @@
 }
 
 #[derive(Debug)]
-pub struct Budget {
+pub struct RateLimiter {
     rate: f64,
     burst: f64,
-    bucket: Mutex<Bucket>,
+    bucket: Mutex<TokenBucket>,
 }
 
-impl Budget {
+impl RateLimiter {
     /// At first it holds what is kept for urgent requests and nothing more: a process that is
     /// started anew does not spend what the one before it has spent already, so however often that
     /// happens a node takes no more for its users than one process would.
@@ -45,7 +45,7 @@
         Self {
             rate,
             burst,
-            bucket: Mutex::new(Bucket {
+            bucket: Mutex::new(TokenBucket {
                 tokens: burst * NORMAL_RESERVE,
                 at: Instant::now(),
                 wanted: 0.0,
@@ -99,12 +99,12 @@
 
 /// A place in the line, given up when served or when the wait is broken off.
 struct Place<'a> {
-    budget: &'a Budget,
+    budget: &'a RateLimiter,
     cost: f64,
 }
 
 impl<'a> Place<'a> {
-    fn take(budget: &'a Budget, cost: f64) -> Self {
+    fn take(budget: &'a RateLimiter, cost: f64) -> Self {
         let mut bucket = budget.bucket.lock().expect("no panic while held");
         bucket.wanted += cost;
         drop(bucket);
@@ -125,7 +125,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn the_backlog_is_what_waits_and_has_not_given_up() {
-        let budget = std::sync::Arc::new(Budget::new(10.0, 1.0));
+        let budget = std::sync::Arc::new(RateLimiter::new(10.0, 1.0));
         tokio::time::sleep(Duration::from_secs(1)).await;
         let waiting: Vec<_> = (0..40)
             .map(|_| {
@@ -143,7 +143,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn renewals_pass_while_the_rest_is_held_to_the_rate() {
-        let budget = Budget::new(10.0, 1.0);
+        let budget = RateLimiter::new(10.0, 1.0);
         tokio::time::sleep(Duration::from_secs(1)).await;
         let start = Instant::now();
         for _ in 0..30 {
@@ -170,7 +170,7 @@
         let start = Instant::now();
         let mut spent = 0;
         while start.elapsed() < Duration::from_secs(10) {
-            let budget = Budget::new(10.0, 1.0);
+            let budget = RateLimiter::new(10.0, 1.0);
             let lives = tokio::time::sleep(Duration::from_millis(350));
             tokio::pin!(lives);
             loop {
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperfield_http::{Meter, Rules, Standing};
+use copperfield_http::{ClientClass, Meter, Rules};
 use http_body_util::BodyExt;
 use serde_json::json;
 use tokio::net::TcpListener;
@@ -89,14 +89,14 @@
     TcpListener::bind(address).await
 }
 
-/// Serves `handler` on a bound address until the process ends, on at most `most`
+/// Serves `handler` on a bound address until the process ends, on at most `limit`
 /// connections. The next is left in the queue of the system, where a load balancer
 /// soon finds another node for it; without a bound, clients that stall took the
 /// sockets with which the leader reaches everyone else. What the requests under way
 /// may hold together is on the `meter`.
 pub async fn serve<H, F>(
     listener: TcpListener,
-    most: usize,
+    limit: usize,
     most_body: u64,
     meter: Meter,
     handler: H,
@@ -135,15 +135,15 @@
         .recover(refuse);
     let service = warp::service(routes);
     let rules = Rules {
-        most,
+        limit,
         idle: IDLE,
         whole: WHOLE,
         most_body,
         spare: SPARE,
         meter,
-        standing: |path| match path.starts_with("/work") {
-            true => Standing::User,
-            false => Standing::Worker,
+        client_class: |path| match path.starts_with("/work") {
+            true => ClientClass::User,
+            false => ClientClass::Worker,
         },
         refusal: |status, what| {
             let mut answer = Outgoing::error(status.as_u16(), what);
