--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use copperfield::coordination::core::{
-    CancelBegin, Config, Core, Effect, Input, Outcome, ScaleOutOutcome,
+    CancelDecision, Config, Core, Effect, Input, Outcome, ScaleOutOutcome,
 };
 use copperfield::settings::{Cluster, Tuning};
 use copperfield::storage::writer::{Write, Written};
@@ -394,7 +394,7 @@
         let (ticket, now) = (self.ticket, self.now);
         self.ticket += 1;
         self.scheduled_inputs
-            .push((now, Input::CancelBegin { ticket, job }));
+            .push((now, Input::CancelRequested { ticket, job }));
     }
 
     /// Simulated time passes without a step of the core: a process pause.
@@ -610,12 +610,12 @@
     fn execute_effect(&mut self, effect: Effect) {
         let now = self.now;
         match effect {
-            Effect::Answer { ticket, body } => {
+            Effect::AnswerHeartbeat { ticket, body } => {
                 let name = self.awaiting_answer.remove(&ticket).expect("answered once");
                 self.workers.get_mut(&name).expect("known").answered_at = now;
                 self.execute_commands(&name, &commands_of(&body));
             }
-            Effect::Direct {
+            Effect::SendCommands {
                 worker,
                 incarnation,
                 message_id,
@@ -624,7 +624,7 @@
             } => {
                 self.deliver_message(worker, incarnation, message_id, &commands);
             }
-            Effect::Inspect {
+            Effect::RequestHeartbeat {
                 worker,
                 incarnation,
                 message_id,
@@ -634,7 +634,7 @@
             }
             Effect::Write(batch) if self.outage => self.unwritten_batches.push(batch),
             Effect::Write(batch) => self.store(batch),
-            Effect::AdminAnswered {
+            Effect::AnswerAdmin {
                 ticket,
                 status,
                 body,
@@ -642,9 +642,9 @@
                 let body = serde_json::from_slice(&body).expect("JSON");
                 self.admin_responses.insert(ticket, (status, body));
             }
-            Effect::Cancel { begin, .. } => {
+            Effect::AnswerCancel { begin, .. } => {
                 // Stored at once: these users wait as long as it takes.
-                if let CancelBegin::Go { done } = begin
+                if let CancelDecision::Go { done } = begin
                     && let Some(job) = self.cancelling.pop_front()
                 {
                     self.finished.insert(job);
@@ -680,9 +680,9 @@
                 let input = Input::ScaledIn { workers, ok: true };
                 self.scheduled_inputs.push((now + 0.1, input));
             }
-            Effect::List => self
+            Effect::ListWorkers => self
                 .scheduled_inputs
-                .push((now + 0.1, Input::ListedWorker(Vec::new()))),
+                .push((now + 0.1, Input::WorkerList(Vec::new()))),
             _ => {}
         }
     }
@@ -760,7 +760,7 @@
             Outcome::Unsent => 0.5,
             _ => 0.01,
         };
-        let input = Input::Direct {
+        let input = Input::DirectMessageEnded {
             worker,
             message_id,
             outcome,
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -9,7 +9,7 @@
 use super::peers::call_leader;
 use super::{Api, CANCEL_DEADLINE, outcome_answer};
 use crate::controller::commands::{BegunCancellation, Command};
-use crate::coordination::core::CancelBegin;
+use crate::coordination::core::CancelDecision;
 use crate::protocol::JobId;
 use crate::protocol::job::{JobOutcome, Phase};
 use crate::protocol::peer::{Lookup, PeerReply, PeerRequest};
@@ -84,9 +84,11 @@
                 return Err(Lookup::NotLeader);
             };
             match begin {
-                CancelBegin::Terminal(outcome) => return Err(Lookup::Terminal(outcome)),
-                CancelBegin::Busy => sleep(BEGIN_RETRY).await,
-                CancelBegin::Go { done } => return Ok(CancellationInProgress { done, token }),
+                CancelDecision::Terminal(outcome) => return Err(Lookup::Terminal(outcome)),
+                CancelDecision::Busy => sleep(BEGIN_RETRY).await,
+                CancelDecision::Go { done } => {
+                    return Ok(CancellationInProgress { done, token });
+                }
             }
         }
     }
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use crate::coordination::core::{CancelBegin, Input};
+use crate::coordination::core::{CancelDecision, Input};
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobOutcome;
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct BegunCancellation {
     /// What the core answered.
-    pub begin: CancelBegin,
+    pub begin: CancelDecision,
     /// The fencing token under which the cancellation is to be stored.
     pub token: u64,
 }
--- a/src/controller/effects/mod.rs
+++ b/src/controller/effects/mod.rs
@@ -89,7 +89,7 @@
     /// Lists the workers that the cloud has provisioned.
     pub fn list_workers(&self) {
         let context = self.context.clone();
-        self.spawn(async move { cloud::list_workers(&context).await.map(Input::ListedWorker) });
+        self.spawn(async move { cloud::list_workers(&context).await.map(Input::WorkerList) });
     }
 
     /// Reads the machine types from the cloud.
--- a/src/controller/effects/workers.rs
+++ b/src/controller/effects/workers.rs
@@ -26,7 +26,7 @@
     message: RelayedCommand,
 ) -> Input {
     let outcome = send_message(context, token, &message).await;
-    Input::Direct {
+    Input::DirectMessageEnded {
         worker,
         message_id: message.message_id,
         outcome,
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -333,7 +333,7 @@
             return;
         };
         let ticket = leading.register(PendingReply::Cancellation(reply));
-        inputs.push(Input::CancelBegin { ticket, job });
+        inputs.push(Input::CancelRequested { ticket, job });
     }
 
     fn finish_cancellation(
@@ -352,7 +352,7 @@
 
     fn set_machine_types(&mut self, types: Vec<MachineType>, inputs: &mut Vec<Input>) {
         if let Role::Leading(_) = self.role {
-            inputs.push(Input::Types(types.clone()));
+            inputs.push(Input::MachineTypes(types.clone()));
         }
         self.machine_types = Some(Arc::new(types));
     }
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -61,7 +61,7 @@
         for input in inputs {
             match input {
                 Input::Heartbeat { ticket, .. }
-                | Input::CancelBegin { ticket, .. }
+                | Input::CancelRequested { ticket, .. }
                 | Input::Admin { ticket, .. }
                 | Input::ShardStatus { ticket, .. } => self.replies.discard(ticket),
                 fact => self.deferred.push(fact),
@@ -97,26 +97,28 @@
         relayed: &mut RelayBatch,
     ) {
         match effect {
-            Effect::Answer { ticket, body } => {
+            Effect::AnswerHeartbeat { ticket, body } => {
                 self.replies.accept_heartbeat(ticket, body);
             }
-            Effect::Refuse { ticket, why } => {
+            Effect::RefuseHeartbeat { ticket, why } => {
                 let response = Outgoing::error(503, &why.to_string());
                 self.replies.answer_heartbeat(ticket, response);
             }
-            Effect::SendTo { ticket, controller } => {
+            Effect::RedirectWorker { ticket, controller } => {
                 let context = executor.context();
                 let member = context.settings.controller(controller);
                 let response = context.redirect_worker(Some(member));
                 self.replies.answer_heartbeat(ticket, response);
             }
-            Effect::Granted { ticket, update } => self.replies.answer_shard_status(ticket, update),
-            Effect::Cancel { ticket, begin } => {
+            Effect::AnswerShardStatus { ticket, update } => {
+                self.replies.answer_shard_status(ticket, update);
+            }
+            Effect::AnswerCancel { ticket, begin } => {
                 let token = self.core.token;
                 let begun = BegunCancellation { begin, token };
                 self.replies.answer_cancellation(ticket, begun);
             }
-            Effect::AdminAnswered {
+            Effect::AnswerAdmin {
                 ticket,
                 status,
                 body,
@@ -124,7 +126,7 @@
                 let response = AdminResponse { status, body };
                 self.replies.answer_admin(ticket, response);
             }
-            Effect::Direct {
+            Effect::SendCommands {
                 worker,
                 address,
                 incarnation,
@@ -140,7 +142,7 @@
                 };
                 send_or_relay(worker, via, message, executor, relayed);
             }
-            Effect::Inspect {
+            Effect::RequestHeartbeat {
                 worker,
                 address,
                 incarnation,
@@ -170,9 +172,9 @@
                 count,
             }),
             Effect::ScaleIn(workers) => executor.scale_in(workers),
-            Effect::List => executor.list_workers(),
-            Effect::ReadTypes => executor.read_machine_types(),
-            Effect::Deposed => executor.step_down(),
+            Effect::ListWorkers => executor.list_workers(),
+            Effect::ReadMachineTypes => executor.read_machine_types(),
+            Effect::StepDown => executor.step_down(),
         }
     }
 }
--- a/src/coordination/cancellation.rs
+++ b/src/coordination/cancellation.rs
@@ -3,30 +3,30 @@
 use crate::protocol::JobId;
 use crate::protocol::job::JobOutcome;
 
-use super::messages::CancelBegin;
+use super::messages::CancelDecision;
 use super::model::*;
 use super::state::Core;
 
 impl Core {
     /// A user asks to cancel a job. The caller stores the cancellation if that is still to be done.
-    pub(super) fn begin_cancellation(&mut self, id: JobId) -> CancelBegin {
+    pub(super) fn begin_cancellation(&mut self, id: JobId) -> CancelDecision {
         if let Some(outcome) = self.jobs.outcome(id) {
-            return CancelBegin::Terminal(outcome);
+            return CancelDecision::Terminal(outcome);
         }
         let Some(ix) = self.jobs.index_of(id) else {
             self.jobs.record_early_cancellation(id);
-            return CancelBegin::Go { done: 0 };
+            return CancelDecision::Go { done: 0 };
         };
         match self.jobs[ix].state {
-            JobState::Terminal(outcome) => CancelBegin::Terminal(outcome),
-            JobState::Finishing => CancelBegin::Busy,
+            JobState::Terminal(outcome) => CancelDecision::Terminal(outcome),
+            JobState::Finishing => CancelDecision::Busy,
             JobState::Live | JobState::Cancelling => {
                 self.jobs[ix].begin_cancelling(self.now);
                 // Before it is stored: whether it was may stay unknown for as long as the state
                 // service is down, while another controller has read that it was, and has
                 // answered the user so.
                 self.stop_all_of(ix);
-                CancelBegin::Go {
+                CancelDecision::Go {
                     done: self.jobs[ix].done,
                 }
             }
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -27,13 +27,13 @@
 use super::worker_table::WorkerTable;
 
 use super::registry::WorkerRegistry;
-use super::state::WINDOW_S;
+use super::state::BATCH_INTERVAL_S;
 
 /// Unresponsive workers and expired leases are looked for so often, and before every batch.
-const WATCH_S: Time = 0.05;
+const LEASE_CHECK_INTERVAL_S: Time = 0.05;
 /// Steps come at least every 50 ms while this controller may lead; after a longer break it has not
 /// been valid without a break.
-const LAPSE_S: Time = 0.5;
+const VALIDITY_GAP_S: Time = 0.5;
 
 impl Core {
     /// The core of a leader elected with this fencing token.
@@ -52,11 +52,11 @@
         let value_bytes = (config.cluster.state.value_kb * 1024.0) as usize;
         let provisioning = Provisioning::new(token, now);
         let mut core = Self {
-            chunk_tasks: bitmap::tasks_per_chunk(value_bytes),
+            tasks_per_chunk: bitmap::tasks_per_chunk(value_bytes),
             config,
             token,
             elected_at: now,
-            listening_since: now,
+            expecting_heartbeats_since: now,
             valid_since: now,
             now,
             zones,
@@ -68,7 +68,7 @@
             provisioning,
             large_task_profiles: Vec::new(),
             scheduling_classes: BTreeMap::new(),
-            next_in_tail: 0,
+            next_tail_job: 0,
             // Unique across leaders: no two have the same token.
             next_attempt: (token << 24) + 1,
             next_message_id: 1,
@@ -80,8 +80,8 @@
             lease_extended_until: f64::NEG_INFINITY,
             valid_until: f64::NEG_INFINITY,
             next_batch: now,
-            next_second: now,
-            next_watch: now,
+            next_periodic_work: now,
+            next_lease_check: now,
             replica_downtime_budget_s: 0.0,
             migrations: Migrations::default(),
             drains: BTreeMap::new(),
@@ -124,7 +124,7 @@
 
     /// Takes in what has happened by `now`, and returns what is to be done outside the core.
     pub fn step(&mut self, now: Time, inputs: Vec<Input>) -> Vec<Effect> {
-        if now - self.now > LAPSE_S {
+        if now - self.now > VALIDITY_GAP_S {
             self.valid_since = now;
         }
         self.now = now.max(self.now);
@@ -132,22 +132,22 @@
             self.handle_input(input);
         }
         let batch_due = self.now >= self.next_batch;
-        if batch_due || self.now >= self.next_watch {
+        if batch_due || self.now >= self.next_lease_check {
             // Each looks at every worker: at each message they took the larger part of a step.
-            self.next_watch = self.now + WATCH_S;
+            self.next_lease_check = self.now + LEASE_CHECK_INTERVAL_S;
             self.expire_leases();
             self.release_unresponsive_workers();
         }
         if batch_due {
-            self.next_batch = self.now + WINDOW_S;
+            self.next_batch = self.now + BATCH_INTERVAL_S;
             self.block_unreconciled_jobs();
             self.balance_shards();
             self.fence_unresponsive_workers();
             self.run_batch();
         }
-        if self.now >= self.next_second {
-            self.next_second = self.now + 1.0;
-            self.run_each_second();
+        if self.now >= self.next_periodic_work {
+            self.next_periodic_work = self.now + 1.0;
+            self.run_periodic_work();
         }
         self.record_failover_progress();
         self.flush_commands();
@@ -155,7 +155,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    fn run_each_second(&mut self) {
+    fn run_periodic_work(&mut self) {
         self.run_provisioning();
         self.advance_migrations();
         self.advance_drains();
@@ -193,7 +193,7 @@
     /// unresponsive for it: otherwise the leader would resign, or release good workers. Leases are
     /// another matter: they run on.
     pub fn paused(&mut self, pause_s: f64) {
-        self.listening_since += pause_s;
+        self.expecting_heartbeats_since += pause_s;
         self.shift_shard_statuses(pause_s);
         for (_, worker) in self.workers.iter_mut() {
             let of_worker = [
@@ -230,7 +230,7 @@
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Heartbeat { ticket, heartbeat } => self.handle_heartbeat(ticket, heartbeat),
-            Input::Direct {
+            Input::DirectMessageEnded {
                 worker,
                 message_id,
                 outcome,
@@ -243,9 +243,9 @@
                 outcome,
             } => self.handle_relay_failure(controller, message_ids, &outcome),
             Input::Job(job) => self.add_job(job),
-            Input::CancelBegin { ticket, job } => {
+            Input::CancelRequested { ticket, job } => {
                 let begin = self.begin_cancellation(job);
-                self.effects.push(Effect::Cancel { ticket, begin });
+                self.effects.push(Effect::AnswerCancel { ticket, begin });
             }
             Input::CancelSettled { job, end } => self.finish_cancellation(job, end),
             Input::Admin {
@@ -254,8 +254,8 @@
                 unix_ms,
             } => self.handle_admin_request(ticket, request, unix_ms),
             Input::Written(results) => self.handle_write_results(results),
-            Input::Types(types) => self.learn_types(types),
-            Input::ListedWorker(list) => self.handle_worker_list(list),
+            Input::MachineTypes(types) => self.learn_types(types),
+            Input::WorkerList(list) => self.handle_worker_list(list),
             Input::ScaledOut { request, outcome } => {
                 self.handle_scale_out_result(&request, outcome);
             }
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -73,7 +73,7 @@
         self.workers[m].next_probe = self.now + PROBE_INTERVAL_S;
         let via = self.record_in_flight(m, message_id, Vec::new(), false);
         let worker = &self.workers[m];
-        self.effects.push(Effect::Inspect {
+        self.effects.push(Effect::RequestHeartbeat {
             worker: worker.name.clone(),
             address: worker.address.clone(),
             // The first incarnation is the most likely: few workers ever lose a lease.
@@ -264,7 +264,7 @@
         let stops = commands.iter().filter(|command| is_stop(command)).count();
         let log = &mut self.reconciliation.lease_log;
         log.record_direct_stops(self.now, &worker.name, message_id, via, stops);
-        self.effects.push(Effect::Direct {
+        self.effects.push(Effect::SendCommands {
             worker: worker.name.clone(),
             address: worker.address.clone(),
             incarnation: worker.incarnation,
--- a/src/coordination/drains/admin.rs
+++ b/src/coordination/drains/admin.rs
@@ -45,7 +45,7 @@
 
     /// Answers a request of an operator.
     pub(super) fn answer_admin(&mut self, ticket: u64, status: u16, value: &impl Serialize) {
-        self.effects.push(Effect::AdminAnswered {
+        self.effects.push(Effect::AnswerAdmin {
             ticket,
             status,
             body: serde_json::to_vec(value).expect("views hold plain data"),
--- a/src/coordination/fencing/mod.rs
+++ b/src/coordination/fencing/mod.rs
@@ -110,7 +110,7 @@
                 continue;
             }
             // While a shard owner may still answer it there is nothing to record.
-            if let Some(answered_at) = self.last_answer_by_any(worker) {
+            if let Some(answered_at) = self.latest_possible_answer(worker) {
                 self.fencing.fence(&worker.name, answered_at, due);
             }
         }
@@ -121,7 +121,9 @@
         if worker.fenced || worker.page.is_none() || expired || worker.returning {
             return false;
         }
-        let last_heartbeat_at = worker.last_heartbeat_at.unwrap_or(self.listening_since);
+        let last_heartbeat_at = worker
+            .last_heartbeat_at
+            .unwrap_or(self.expecting_heartbeats_since);
         self.now - last_heartbeat_at > self.unresponsive_after_s()
     }
 
@@ -150,7 +152,7 @@
         log.record_deferral(self.now, &heartbeat.worker);
         if let Some(DeferredHeartbeat { ticket, .. }) = self.fencing.defer(ticket, heartbeat) {
             let why = HeartbeatRefusal::Overtaken;
-            self.effects.push(Effect::Refuse { ticket, why });
+            self.effects.push(Effect::RefuseHeartbeat { ticket, why });
         }
     }
 
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::model::*;
-use super::state::{Core, WINDOW_S};
+use super::state::{BATCH_INTERVAL_S, Core};
 
 /// A claim of a gang that gathers lasts until the batch after next.
-const GATHER_CLAIM_S: f64 = 2.5 * WINDOW_S;
+const GATHER_CLAIM_S: f64 = 2.5 * BATCH_INTERVAL_S;
 
 /// A grace that surely covers the time a task says it needs to save.
 pub(super) fn grace_to_save(save_s: f64) -> f64 {
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -49,7 +49,7 @@
             .machine_types
             .as_ref()
             .map(|list| list.iter().map(|t| self.types.intern(t)).collect());
-        let chunks = spec.tasks.div_ceil(self.chunk_tasks) as usize;
+        let chunks = spec.tasks.div_ceil(self.tasks_per_chunk) as usize;
         let fetch_s = spec.image_gb / self.types.fastest_fetch(types.as_deref());
         let predates_election = stored.version < self.token;
         let wanted = &self.config.cluster.objectives;
@@ -154,7 +154,7 @@
 
     /// A task has ended well.
     pub(super) fn mark_done(&mut self, ix: u32, task: u32) {
-        let chunk_tasks = self.chunk_tasks;
+        let tasks_per_chunk = self.tasks_per_chunk;
         let due = self.now + PROGRESS_EVERY_S;
         let job = &mut self.jobs[ix];
         let is_service = job.is_service();
@@ -167,7 +167,7 @@
             job.active -= 1;
         }
         job.done += 1;
-        self.schedule_progress_write(ix, task / chunk_tasks, due);
+        self.schedule_progress_write(ix, task / tasks_per_chunk, due);
         self.finish_if_done(ix);
     }
 
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -19,7 +19,7 @@
     /// A worker has sent a heartbeat to this controller.
     Heartbeat { ticket: u64, heartbeat: Heartbeat },
     /// A direct message to a worker has ended.
-    Direct {
+    DirectMessageEnded {
         worker: String,
         message_id: u64,
         outcome: Outcome,
@@ -38,7 +38,7 @@
     /// The watch has shown a stored job.
     Job(StoredJob),
     /// A user asks to cancel a job.
-    CancelBegin { ticket: u64, job: JobId },
+    CancelRequested { ticket: u64, job: JobId },
     /// The cancellation of a job is settled; `end` is what is stored of it, if anything.
     CancelSettled { job: JobId, end: Option<JobOutcome> },
     /// An operator's request.
@@ -51,9 +51,9 @@
     /// The results of an [`Effect::Write`].
     Written(Vec<(Write, Written)>),
     /// The cloud has described its instance types.
-    Types(Vec<MachineType>),
+    MachineTypes(Vec<MachineType>),
     /// The cloud has listed its workers.
-    ListedWorker(Vec<ListedWorker>),
+    WorkerList(Vec<ListedWorker>),
     /// A request to scale out has ended.
     ScaledOut {
         request: String,
@@ -78,7 +78,7 @@
 
 /// What a cancellation comes to when it is asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CancelBegin {
+pub enum CancelDecision {
     /// The job has ended already.
     Terminal(JobOutcome),
     /// The job's end is just being stored.
@@ -94,18 +94,18 @@
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Answer a heartbeat: 200 with commands.
-    Answer { ticket: u64, body: Vec<u8> },
+    AnswerHeartbeat { ticket: u64, body: Vec<u8> },
     /// Answer a heartbeat without renewing a lease.
-    Refuse { ticket: u64, why: HeartbeatRefusal },
+    RefuseHeartbeat { ticket: u64, why: HeartbeatRefusal },
     /// Redirect a worker to this controller, without renewing its lease.
-    SendTo { ticket: u64, controller: u32 },
+    RedirectWorker { ticket: u64, controller: u32 },
     /// Answer a shard owner; `None`: a newer status of the same owner has come before.
-    Granted {
+    AnswerShardStatus {
         ticket: u64,
         update: Option<ShardUpdate>,
     },
     /// Send commands to a worker.
-    Direct {
+    SendCommands {
         worker: String,
         address: String,
         incarnation: u64,
@@ -115,7 +115,7 @@
         via: Option<u32>,
     },
     /// Ask a worker for its heartbeat.
-    Inspect {
+    RequestHeartbeat {
         worker: String,
         address: String,
         /// As far as is known, or as it most likely is.
@@ -137,19 +137,19 @@
     /// Ask the cloud to take these workers back.
     ScaleIn(Vec<String>),
     /// Ask the cloud for the list of its workers.
-    List,
+    ListWorkers,
     /// Ask the cloud to describe its instance types.
-    ReadTypes,
+    ReadMachineTypes,
     /// Answer a user who asked to cancel a job, or store that first.
-    Cancel { ticket: u64, begin: CancelBegin },
+    AnswerCancel { ticket: u64, begin: CancelDecision },
     /// Answer an operator.
-    AdminAnswered {
+    AnswerAdmin {
         ticket: u64,
         status: u16,
         body: Vec<u8>,
     },
     /// A worker has seen a higher fencing token than ours: this leader steps down.
-    Deposed,
+    StepDown,
 }
 
 /// Why a heartbeat is not answered with commands and renews no lease.
--- a/src/coordination/migration/prospects.rs
+++ b/src/coordination/migration/prospects.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::gangs::grace_to_save;
 use crate::coordination::model::*;
-use crate::coordination::state::{Core, SETTLED_S};
+use crate::coordination::state::{Core, MIN_RUN_BEFORE_MOVE_S};
 use crate::protocol::worker::TaskPhase;
 
 /// From an order to stop to the proof that it was carried out, beside the time to save: a heartbeat,
@@ -59,7 +59,7 @@
         let settings = &self.config.tuning.defragmentation;
         let saves = job.spec.checkpoint_s > 0.0;
         let running_since = instance.running_since;
-        let settled = running_since.is_some_and(|since| self.now - since > SETTLED_S);
+        let settled = running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
         let has_objective = !job.start_by.is_empty() && job.patience_s < OBJECTIVE_PATIENCE_S;
         let migrated_at = self.migrations.last_migrated_at(job.spec.id, id.task);
         job.movable
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -224,12 +224,12 @@
     /// The tasks of a job that a chunk is about.
     fn tasks_of_chunk(&self, ix: u32, chunk: u32) -> Range<usize> {
         let first = self.first_task_of_chunk(chunk);
-        let end = first + self.chunk_tasks as usize;
+        let end = first + self.tasks_per_chunk as usize;
         first..end.min(self.jobs[ix].tasks.len())
     }
 
     fn first_task_of_chunk(&self, chunk: u32) -> usize {
-        chunk as usize * self.chunk_tasks as usize
+        chunk as usize * self.tasks_per_chunk as usize
     }
 
     /// Has a chunk written at `at`, unless it is to be written already.
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -79,11 +79,11 @@
     pub(super) fn run_provisioning(&mut self) {
         if self.now >= self.provisioning.next_types_at {
             self.provisioning.next_types_at = self.now + TYPES_INTERVAL_S;
-            self.effects.push(Effect::ReadTypes);
+            self.effects.push(Effect::ReadMachineTypes);
         }
         if self.now >= self.provisioning.next_list_at {
             self.provisioning.next_list_at = self.now + LIST_INTERVAL_S;
-            self.effects.push(Effect::List);
+            self.effects.push(Effect::ListWorkers);
         }
         self.scale_out();
         self.scale_in();
--- a/src/coordination/provisioning/unresponsive.rs
+++ b/src/coordination/provisioning/unresponsive.rs
@@ -112,7 +112,7 @@
         let unanswered_at = self.workers[late.index].unanswered_at;
         self.is_overdue(late)
             && unanswered_at.is_some_and(|t| t >= late_since)
-            && self.answers_no_controller(late.index)
+            && self.is_unreachable_by_all(late.index)
     }
 
     /// Whether a direct message may be sent to a worker now.
@@ -162,7 +162,7 @@
         self.release_one_way_partitioned_workers(unreconciled);
         let all = self.workers.iter().count();
         let many = unreconciled.len() > 1 + all / FEW_UNRECONCILED;
-        let early = self.now - self.listening_since < THIRD_PROBE_S;
+        let early = self.now - self.expecting_heartbeats_since < THIRD_PROBE_S;
         if many && (early || suggest_network_fault(unreconciled.len(), all - unreconciled.len())) {
             return;
         }
@@ -175,7 +175,7 @@
             let probed_twice = worker
                 .unanswered_at
                 .is_some_and(|t| self.now - t > SECOND_PROBE_S)
-                && self.answers_no_controller(m);
+                && self.is_unreachable_by_all(m);
             if probed_twice && !worker.returning && self.zone_is_reachable(&recent, m, since) {
                 released.push(m);
                 self.workers[m].returning = true;
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -7,7 +7,7 @@
 //! image takes.
 
 use super::model::*;
-use super::state::{Core, SETTLED_S};
+use super::state::{Core, MIN_RUN_BEFORE_MOVE_S};
 
 /// The share of all replicas that may be away for migrations. Eighty migrations in half a minute
 /// once cost more replica time than losing the leader did; migrating only to where the image is
@@ -131,7 +131,7 @@
 
     fn replica_may_migrate(&self, id: InstanceId, instance: &TaskInstance) -> bool {
         let running_since = instance.running_since;
-        let settled = running_since.is_some_and(|since| self.now - since > SETTLED_S);
+        let settled = running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
         instance.stop.is_none() && settled && !self.jobs[id.job].pinned
     }
 
--- a/src/coordination/reconciliation/blocked_jobs.rs
+++ b/src/coordination/reconciliation/blocked_jobs.rs
@@ -25,7 +25,10 @@
         }
         self.count_unknown_usage(&unreconciled, unknown_workers);
         let blocked = self.blocked_jobs();
-        let usage_unknown = self.teams.iter().any(|t| t.unknown != Resources::default());
+        let usage_unknown = self
+            .teams
+            .iter()
+            .any(|t| t.unreconciled != Resources::default());
         self.reconciliation.complete = unreconciled.is_empty() && !unknown_workers;
         if blocked > 0 || usage_unknown {
             self.release_unreconciled_workers(&unreconciled);
@@ -93,7 +96,7 @@
         }
         for team in self.teams.iter_mut().filter(|team| team.is_limited()) {
             // Where not even the workers are known, the limit may be reached already.
-            team.unknown = if unbounded { team.limit } else { hidden };
+            team.unreconciled = if unbounded { team.limit } else { hidden };
         }
     }
 }
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -105,7 +105,7 @@
         executed: bool,
     ) {
         if heartbeat.token > self.token {
-            self.effects.push(Effect::Deposed);
+            self.effects.push(Effect::StepDown);
             return;
         }
         let worker = &self.workers[m];
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -47,7 +47,7 @@
     fn refuse(&mut self, ticket: u64, heartbeat: &Heartbeat, why: HeartbeatRefusal) {
         let log = &mut self.reconciliation.lease_log;
         log.record_refusal(self.now, &heartbeat.worker, why);
-        self.effects.push(Effect::Refuse { ticket, why });
+        self.effects.push(Effect::RefuseHeartbeat { ticket, why });
     }
 
     /// Whether a newer heartbeat has come, or the same one to another controller. The worker no
@@ -90,7 +90,9 @@
                     self.apply_heartbeat(m, heartbeat, HeartbeatSource::Worker);
                 }
                 self.reconciliation.lease_log.record_redirect();
-                return self.effects.push(Effect::SendTo { ticket, controller });
+                return self
+                    .effects
+                    .push(Effect::RedirectWorker { ticket, controller });
             }
             Route::Wait => return self.defer_answer(ticket, heartbeat),
         }
@@ -104,7 +106,7 @@
             self.due_stops(m)
         };
         self.record_renewal(m, sequence, !newer, &commands);
-        self.effects.push(Effect::Answer {
+        self.effects.push(Effect::AnswerHeartbeat {
             ticket,
             body: commands_body(self.token, None, &commands),
         });
@@ -132,7 +134,7 @@
     /// The worker that sent a heartbeat, added if it is new; or why this leader ignores it.
     pub(crate) fn worker_of(&mut self, heartbeat: &Heartbeat) -> Result<u32, HeartbeatRefusal> {
         if heartbeat.token > self.token {
-            self.effects.push(Effect::Deposed);
+            self.effects.push(Effect::StepDown);
             return Err(HeartbeatRefusal::NewerLeader);
         }
         if self.workers.is_scaled_in(&heartbeat.worker) {
--- a/src/coordination/reconciliation/leases.rs
+++ b/src/coordination/reconciliation/leases.rs
@@ -20,7 +20,7 @@
             .workers
             .iter()
             .filter_map(|(_, worker)| worker.last_heartbeat_at)
-            .fold(self.listening_since, f64::max);
+            .fold(self.expecting_heartbeats_since, f64::max);
         self.workers
             .iter()
             .any(|(_, worker)| worker.known_to_predecessor || worker.last_heartbeat_at.is_some())
@@ -29,7 +29,7 @@
 
     /// When a worker's lease has surely expired; infinite while a shard owner may renew it.
     pub(super) fn lease_expires_at(&self, worker: &Worker) -> Time {
-        let answered = self.last_answer_by_any(worker);
+        let answered = self.latest_possible_answer(worker);
         answered.map_or(f64::INFINITY, |at| at + self.lease_upper_bound_s())
     }
 
--- a/src/coordination/sharding/balance.rs
+++ b/src/coordination/sharding/balance.rs
@@ -123,13 +123,15 @@
         let (mut late, mut all) = (0, 0);
         let mut to_revoke = Vec::new();
         for (m, worker) in self.workers.iter() {
-            let last_heartbeat_at = worker.last_heartbeat_at.unwrap_or(self.listening_since);
+            let last_heartbeat_at = worker
+                .last_heartbeat_at
+                .unwrap_or(self.expecting_heartbeats_since);
             let is_late = self.now - last_heartbeat_at > late_after_s;
             let lease_expired = worker.incarnation <= worker.expired_incarnation;
             all += 1;
             // A worker whose lease has expired is dealt with.
             late += usize::from(is_late && !lease_expired);
-            if is_late || self.needs_stops_in_answers(m) {
+            if is_late || self.requires_stops_in_answers(m) {
                 to_revoke.push(worker.number);
             }
         }
--- a/src/coordination/sharding/relays.rs
+++ b/src/coordination/sharding/relays.rs
@@ -70,7 +70,7 @@
 
     /// Whether a worker has answered neither this controller nor, if one can relay, another. A
     /// leader that alone has lost its connections must not take good workers for lost.
-    pub(in crate::coordination) fn answers_no_controller(&self, m: u32) -> bool {
+    pub(in crate::coordination) fn is_unreachable_by_all(&self, m: u32) -> bool {
         let Unanswered { own, relayed } = self.workers[m].missed();
         own && (relayed || !self.has_relay(m))
     }
--- a/src/coordination/sharding/routing.rs
+++ b/src/coordination/sharding/routing.rs
@@ -15,7 +15,7 @@
 impl Core {
     /// When a worker may last have been answered, by any controller. `None`: a shard owner may
     /// answer it now.
-    pub(in crate::coordination) fn last_answer_by_any(&self, worker: &Worker) -> Option<Time> {
+    pub(in crate::coordination) fn latest_possible_answer(&self, worker: &Worker) -> Option<Time> {
         let own = worker.answered_at.unwrap_or(self.elected_at);
         let Some(sharding) = &self.sharding else {
             return Some(own);
@@ -51,7 +51,7 @@
                 AnswerPermission::Nobody
             };
         }
-        if self.needs_stops_in_answers(m) {
+        if self.requires_stops_in_answers(m) {
             AnswerPermission::LeaderOnly
         } else {
             AnswerPermission::AnyController
@@ -62,7 +62,7 @@
     /// a job that has been ending for long, or of one that this leader does not know, so that it may
     /// have ended at any time. Counted from when the job began to end and not from the order to this
     /// instance, of which the leader may have learned only now.
-    pub(super) fn needs_stops_in_answers(&self, m: u32) -> bool {
+    pub(super) fn requires_stops_in_answers(&self, m: u32) -> bool {
         let worker = &self.workers[m];
         let runs_ended_task = |(id, instance): (&InstanceId, &TaskInstance)| {
             let ending_since = self.jobs[id.job].ending_since;
@@ -107,10 +107,11 @@
             let m = self.workers.index_of(&name);
             if let Some(controller) = m.and_then(|m| self.shard_owner_of(m)) {
                 // The worker has reported to another controller meanwhile.
-                self.effects.push(Effect::SendTo { ticket, controller });
+                self.effects
+                    .push(Effect::RedirectWorker { ticket, controller });
                 continue;
             }
-            let owned = m.is_some_and(|m| self.last_answer_by_any(&self.workers[m]).is_none());
+            let owned = m.is_some_and(|m| self.latest_possible_answer(&self.workers[m]).is_none());
             if fenced || owned {
                 self.fencing.defer(ticket, heartbeat);
             } else {
--- a/src/coordination/sharding/status.rs
+++ b/src/coordination/sharding/status.rs
@@ -5,7 +5,7 @@
 use crate::coordination::messages::{Effect, HeartbeatSource};
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
-use crate::coordination::time::{Latest, ceil_ms};
+use crate::coordination::time::{OptionalTime, ceil_ms};
 use crate::protocol::peer::{ForwardedHeartbeat, ShardStatus, ShardUpdate};
 use crate::protocol::worker::Heartbeat;
 
@@ -21,7 +21,8 @@
         status: ShardStatus,
     ) {
         let update = self.apply_shard_status(status);
-        self.effects.push(Effect::Granted { ticket, update });
+        self.effects
+            .push(Effect::AnswerShardStatus { ticket, update });
     }
 
     /// `None` for a status of no peer, or one that is not newer than the last.
@@ -103,8 +104,8 @@
         let is_newer = self.is_newer(m, &heartbeat);
         if is_newer || waits {
             let worker = &mut self.workers[m];
-            worker.last_heartbeat_at = worker.last_heartbeat_at.max_of(received_at);
-            worker.reported_at = worker.reported_at.max_of(received_at);
+            worker.last_heartbeat_at = worker.last_heartbeat_at.or_later(received_at);
+            worker.reported_at = worker.reported_at.or_later(received_at);
             self.fencing.release(&worker.name, self.now);
         }
         if is_newer {
@@ -129,7 +130,7 @@
         worker.last_heartbeat_at = last_heartbeat_at;
         if worker.incarnation > incarnation {
             // It had begun by then. Answers of any controller since are bounded by the shards.
-            worker.answered_at = answered_at.max_of(received_at);
+            worker.answered_at = answered_at.or_later(received_at);
         }
         self.queue_follow_up(m);
     }
--- a/src/coordination/start_conditions.rs
+++ b/src/coordination/start_conditions.rs
@@ -46,7 +46,7 @@
         let usage = &self.teams[team as usize];
         let limit = &usage.limit;
         let mut total = usage.used;
-        total.add(&usage.unknown);
+        total.add(&usage.unreconciled);
         total.add(needs);
         (limit.cpus == 0 || total.cpus <= limit.cpus)
             && (limit.gpus == 0 || total.gpus <= limit.gpus)
@@ -92,7 +92,7 @@
     /// lease: nothing renews its lease, and what is started there ends with it.
     fn sends_no_heartbeats(&self, m: u32) -> bool {
         // While no leader was valid heartbeats were refused, which is not the worker's fault.
-        let listening = self.listening_since.max(self.valid_since);
+        let listening = self.expecting_heartbeats_since.max(self.valid_since);
         let since = self.workers[m].reported_at;
         let since = since.map_or(listening, |at| at.max(listening));
         let patience_s = self.config.cluster.workers.lease_s / 2.0;
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -22,11 +22,11 @@
 use super::worker_table::WorkerTable;
 
 /// Tasks that come within this time are placed together.
-pub const WINDOW_S: f64 = 0.2;
+pub const BATCH_INTERVAL_S: f64 = 0.2;
 
 /// A task is not moved within this time of its start if that can be avoided: by the
 /// objectives a start counts only if the task then runs for half a minute.
-pub(super) const SETTLED_S: f64 = 35.0;
+pub(super) const MIN_RUN_BEFORE_MOVE_S: f64 = 35.0;
 
 /// The settings that the core works by.
 pub struct Config {
@@ -46,7 +46,7 @@
     /// When it was elected.
     pub(super) elected_at: Time,
     /// Its election, later by the pauses of this process since.
-    pub(super) listening_since: Time,
+    pub(super) expecting_heartbeats_since: Time,
     /// Since when this leader has been valid without a break, as far as its steps tell.
     pub(super) valid_since: Time,
     /// The time of the current step.
@@ -70,7 +70,7 @@
     /// Scheduling classes and their indices.
     pub(super) scheduling_classes: BTreeMap<SchedulingClass, u32>,
     /// Where the last batch left off among the jobs that it had no time for.
-    pub(super) next_in_tail: usize,
+    pub(super) next_tail_job: usize,
     /// The last attempt number that was used.
     pub(super) next_attempt: u64,
     /// The id of the next direct message.
@@ -91,9 +91,9 @@
     /// When waiting tasks are placed next.
     pub(super) next_batch: Time,
     /// When the work of every second is done next.
-    pub(super) next_second: Time,
+    pub(super) next_periodic_work: Time,
     /// When leases and unresponsive workers are looked at next.
-    pub(super) next_watch: Time,
+    pub(super) next_lease_check: Time,
     /// For how many seconds replicas may still be away for migrations.
     pub(super) replica_downtime_budget_s: f64,
     /// Task migrations under way, and what is remembered of earlier ones.
@@ -104,5 +104,5 @@
     pub(super) reconciliation: Reconciliation,
     /// Statistics of the failover, while it lasts.
     pub(super) failover: Option<FailoverStats>,
-    pub(super) chunk_tasks: u32,
+    pub(super) tasks_per_chunk: u32,
 }
--- a/src/coordination/team_table.rs
+++ b/src/coordination/team_table.rs
@@ -15,7 +15,7 @@
     /// Resources of all its task instances that may exist.
     pub used: Resources,
     /// What workers that this leader knows too little of may hold of it besides.
-    pub unknown: Resources,
+    pub unreconciled: Resources,
 }
 
 impl TeamUsage {
--- a/src/coordination/time.rs
+++ b/src/coordination/time.rs
@@ -9,13 +9,13 @@
 }
 
 /// A time that may not be known yet.
-pub(super) trait Latest {
+pub(super) trait OptionalTime {
     /// The later one of this time, if it is known, and `at`.
-    fn max_of(self, at: Time) -> Self;
+    fn or_later(self, at: Time) -> Self;
 }
 
-impl Latest for Option<Time> {
-    fn max_of(self, at: Time) -> Self {
+impl OptionalTime for Option<Time> {
+    fn or_later(self, at: Time) -> Self {
         Some(self.map_or(at, |t| t.max(at)))
     }
 }
--- a/tests/cancelled_tasks.rs
+++ b/tests/cancelled_tasks.rs
@@ -104,13 +104,15 @@
         self.core.valid_until = self.now + 2.0;
         for effect in self.core.step(self.now, std::mem::take(&mut self.inputs)) {
             match effect {
-                Effect::Answer { body, .. } => {
+                Effect::AnswerHeartbeat { body, .. } => {
                     let body: Value = serde_json::from_slice(&body).expect("JSON");
                     let orders = body["orders"].as_array().expect("a list");
                     self.answers.push(orders.clone());
                 }
-                Effect::Direct { message_id, .. } => self.message = Some((message_id, true)),
-                Effect::Inspect { message_id, .. } => self.message = Some((message_id, false)),
+                Effect::SendCommands { message_id, .. } => self.message = Some((message_id, true)),
+                Effect::RequestHeartbeat { message_id, .. } => {
+                    self.message = Some((message_id, false));
+                }
                 Effect::Write(batch) => {
                     let version = TOKEN + self.ticket;
                     let stored = |write| (write, Written::Stored { version });
@@ -147,7 +149,7 @@
     /// The direct message that is out has ended.
     fn end_message(&mut self, outcome: impl Fn(bool) -> Outcome) {
         if let Some((message_id, commands)) = self.message.take() {
-            self.inputs.push(Input::Direct {
+            self.inputs.push(Input::DirectMessageEnded {
                 worker: WORKER.into(),
                 message_id,
                 outcome: outcome(commands),
@@ -175,7 +177,8 @@
     /// A user cancels the job, which is stored and answered at once.
     fn cancel(&mut self) {
         let ticket = 1_000_000;
-        self.inputs.push(Input::CancelBegin { ticket, job: JOB });
+        self.inputs
+            .push(Input::CancelRequested { ticket, job: JOB });
         self.step();
         let end = Some(JobOutcome {
             phase: Phase::Cancelled,
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -42,7 +42,7 @@
             .into_iter()
             .partition(|(since, name, _)| now - since >= deadline(name));
         in_flight = rest;
-        let answer = |(_, worker, message_id): (f64, String, u64)| Input::Direct {
+        let answer = |(_, worker, message_id): (f64, String, u64)| Input::DirectMessageEnded {
             outcome: if worker.starts_with('a') {
                 Outcome::Executed(heartbeat(&worker))
             } else {
@@ -52,12 +52,12 @@
             message_id,
         };
         for effect in core.step(now, due.into_iter().map(answer).collect()) {
-            let again = matches!(&effect, Effect::Direct { .. });
+            let again = matches!(&effect, Effect::SendCommands { .. });
             assert!(
                 !again,
                 "the probe has carried the fencing token: {effect:?}"
             );
-            if let Effect::Inspect {
+            if let Effect::RequestHeartbeat {
                 worker, message_id, ..
             } = effect
             {
@@ -104,7 +104,7 @@
     for step in 0..100 {
         let effects = core.step(f64::from(step) * 0.05, std::mem::take(&mut inputs));
         let sent = effects.iter().filter_map(|e| match e {
-            Effect::Direct { commands, .. } => commands.iter().map(|c| c.job.0).max(),
+            Effect::SendCommands { commands, .. } => commands.iter().map(|c| c.job.0).max(),
             _ => None,
         });
         let sent: Vec<u64> = sent.collect();
--- a/tests/reconciliation.rs
+++ b/tests/reconciliation.rs
@@ -54,7 +54,7 @@
         let now = f64::from(step) * 0.05;
         core.valid_until = now + 2.0;
         for effect in core.step(now, std::mem::take(&mut inputs)) {
-            if let Effect::Direct {
+            if let Effect::SendCommands {
                 worker,
                 message_id,
                 commands,
@@ -65,7 +65,7 @@
                 let stops = stops.filter(|c| matches!(c.verb, Verb::Stop { .. }));
                 stopped.extend(stops.map(|c| (c.task, c.attempt)));
                 let outcome = Outcome::Unsent;
-                inputs.push(Input::Direct {
+                inputs.push(Input::DirectMessageEnded {
                     worker,
                     message_id,
                     outcome,
@@ -123,7 +123,7 @@
         core.valid_until = now + 2.0;
         for effect in core.step(now, std::mem::take(&mut inputs)) {
             match effect {
-                Effect::Direct {
+                Effect::SendCommands {
                     worker,
                     message_id,
                     commands,
@@ -133,23 +133,23 @@
                         return Some(now);
                     }
                     let outcome = Outcome::Unknown;
-                    inputs.push(Input::Direct {
+                    inputs.push(Input::DirectMessageEnded {
                         worker,
                         message_id,
                         outcome,
                     });
                 }
-                Effect::Inspect {
+                Effect::RequestHeartbeat {
                     worker, message_id, ..
                 } => {
                     let outcome = Outcome::Unsent;
-                    inputs.push(Input::Direct {
+                    inputs.push(Input::DirectMessageEnded {
                         worker,
                         message_id,
                         outcome,
                     });
                 }
-                Effect::Answer { body, .. }
+                Effect::AnswerHeartbeat { body, .. }
                     if String::from_utf8_lossy(&body).contains("\"start\"") =>
                 {
                     return Some(now);
--- a/tests/shard_owners.rs
+++ b/tests/shard_owners.rs
@@ -1,6 +1,6 @@
 //! A leader's core and a shard owner's heartbeat forwarder, message by message, without a network.
 
-use copperfield::coordination::core::{CancelBegin, Config, Core, Effect, Input, Outcome};
+use copperfield::coordination::core::{CancelDecision, Config, Core, Effect, Input, Outcome};
 use copperfield::protocol::JobId;
 use copperfield::protocol::cloud::parse_machine_types;
 use copperfield::protocol::job::{JobOutcome, Phase};
@@ -141,32 +141,32 @@
             self.core.valid_until = self.now + 2.0;
             for effect in self.core.step(self.now, std::mem::take(&mut inputs)) {
                 match effect {
-                    Effect::Granted {
+                    Effect::AnswerShardStatus {
                         update: Some(update),
                         ..
                     } => {
                         let actions = self.forwarder.handle_update(ms, &update);
                         self.record(actions);
                     }
-                    Effect::Direct {
+                    Effect::SendCommands {
                         worker, message_id, ..
                     }
-                    | Effect::Inspect {
+                    | Effect::RequestHeartbeat {
                         worker, message_id, ..
                     } => {
                         let outcome = match self.reachable {
                             true => Outcome::Executed(self.next_heartbeat()),
                             false => Outcome::Unsent,
                         };
-                        let input = Input::Direct {
+                        let input = Input::DirectMessageEnded {
                             worker,
                             message_id,
                             outcome,
                         };
                         self.outcomes.push((self.now + 0.5, input));
                     }
-                    Effect::Cancel { begin, .. } => {
-                        assert!(matches!(begin, CancelBegin::Go { .. }), "{begin:?}");
+                    Effect::AnswerCancel { begin, .. } => {
+                        assert!(matches!(begin, CancelDecision::Go { .. }), "{begin:?}");
                         if !self.acknowledges {
                             continue;
                         }
@@ -196,7 +196,7 @@
         exchange.answered_at
     );
     exchange.reachable = false;
-    let cancel = Input::CancelBegin {
+    let cancel = Input::CancelRequested {
         ticket: 1,
         job: JobId(1),
     };
@@ -236,7 +236,7 @@
         exchange.acknowledges = acknowledges;
         exchange.reachable = false;
         exchange.next_heartbeat_at = 20.0;
-        let cancel = Input::CancelBegin {
+        let cancel = Input::CancelRequested {
             ticket: 1,
             job: JobId(1),
         };
@@ -306,7 +306,7 @@
                     let stored = |w| (w, Written::Stored { version: 60 });
                     inputs.push(Input::Written(batch.into_iter().map(stored).collect()));
                 }
-                Effect::Direct {
+                Effect::SendCommands {
                     worker, commands, ..
                 } if worker == responsive.worker && !commands.is_empty() => break 'days now,
                 _ => {}
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -101,9 +101,11 @@
         let mut next = Vec::new();
         for effect in self.core.step(self.now, inputs) {
             let line = match &effect {
-                Effect::Answer { body, .. } => format!("answer {}", String::from_utf8_lossy(body)),
-                Effect::Refuse { why, .. } => format!("refuse: {why}"),
-                Effect::Direct {
+                Effect::AnswerHeartbeat { body, .. } => {
+                    format!("answer {}", String::from_utf8_lossy(body))
+                }
+                Effect::RefuseHeartbeat { why, .. } => format!("refuse: {why}"),
+                Effect::SendCommands {
                     worker,
                     incarnation,
                     commands,
@@ -112,12 +114,14 @@
                     let body = commands_body(TOKEN, Some(*incarnation), commands);
                     format!("to {worker}: {}", String::from_utf8_lossy(&body))
                 }
-                Effect::Inspect { worker, .. } => format!("ask {worker}"),
-                Effect::SendTo {
+                Effect::RequestHeartbeat { worker, .. } => format!("ask {worker}"),
+                Effect::RedirectWorker {
                     ticket,
                     controller: node,
                 } => format!("report {ticket}: to node {node}"),
-                Effect::Granted { ticket, update } => format!("holder {ticket}: {update:?}"),
+                Effect::AnswerShardStatus { ticket, update } => {
+                    format!("holder {ticket}: {update:?}")
+                }
                 Effect::Write(batch) => {
                     // The state service of a trace takes every write at once.
                     let results = batch
@@ -143,13 +147,15 @@
                     format!("store {}", names.join(", "))
                 }
                 Effect::ScaleIn(names) => format!("return {}", names.join(", ")),
-                Effect::Cancel { begin, .. } => format!("cancel: {begin:?}"),
-                Effect::AdminAnswered { status, body, .. } => {
+                Effect::AnswerCancel { begin, .. } => format!("cancel: {begin:?}"),
+                Effect::AnswerAdmin { status, body, .. } => {
                     format!("operator: {status} {}", String::from_utf8_lossy(body))
                 }
-                Effect::Deposed => "deposed".into(),
+                Effect::StepDown => "deposed".into(),
                 // Renting has its own rhythm, and is not what these traces show.
-                Effect::ScaleOut { .. } | Effect::List | Effect::ReadTypes => continue,
+                Effect::ScaleOut { .. } | Effect::ListWorkers | Effect::ReadMachineTypes => {
+                    continue;
+                }
             };
             writeln!(self.text, "{:6.1} < {line}", self.now).expect("to a string");
         }
@@ -177,7 +183,7 @@
 
     /// The end of the last direct message, whose number counts up from 1.
     fn direct(&mut self, worker: &str, message_id: u64, shown: &str, outcome: Outcome) {
-        let input = Input::Direct {
+        let input = Input::DirectMessageEnded {
             worker: worker.into(),
             message_id,
             outcome,
@@ -261,7 +267,7 @@
     trace.note("its user cancels: held as an exited attempt that is never forgotten, the late start does nothing");
     trace.step(
         "cancel wk-000001",
-        vec![Input::CancelBegin {
+        vec![Input::CancelRequested {
             ticket: 1,
             job: JobId(1),
         }],
@@ -416,7 +422,7 @@
         trace.wait(0.1);
         for message_id in 1..40 {
             for name in names {
-                let input = Input::Direct {
+                let input = Input::DirectMessageEnded {
                     worker: name.into(),
                     message_id,
                     outcome: Outcome::Unsent,
