--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -51,13 +51,13 @@
                 spot: job.spec.spot,
                 priority: job.spec.priority,
                 rate: 0.0,
-                rated_at: now,
+                rate_updated_at: now,
             });
             self.large_task_profiles.len() - 1
         });
         let large_task_profile = &mut self.large_task_profiles[at];
         large_task_profile.rate = large_task_profile.rate_at(now) + tasks / MEMORY_S;
-        large_task_profile.rated_at = now;
+        large_task_profile.rate_updated_at = now;
         Some(at as u32)
     }
 
@@ -143,7 +143,7 @@
     /// Room of a worker that a job must leave alone. Jobs of the shape itself
     /// and work of higher priority may take it; so may lower work, which is
     /// stopped when the room is wanted.
-    pub(super) fn kept_from(&self, m: u32, ix: u32) -> Option<Resources> {
+    pub(super) fn withheld_resources(&self, m: u32, ix: u32) -> Option<Resources> {
         let s = self.workers[m].reserved_for?;
         let large_task_profile = &self.large_task_profiles[s as usize];
         let free = self.jobs.get(ix).is_some_and(|j| {
@@ -156,7 +156,7 @@
 
     /// Whether a small task would leave no room for a whole-worker task that
     /// the worker could otherwise take.
-    pub(super) fn breaks_whole(&self, ix: u32, m: u32) -> bool {
+    pub(super) fn fragments_worker(&self, ix: u32, m: u32) -> bool {
         let job = &self.jobs[ix];
         if job.large_task_profile.is_some() {
             return false;
@@ -203,6 +203,6 @@
 
 impl LargeTaskProfile {
     pub fn rate_at(&self, now: Time) -> f64 {
-        self.rate * (-(now - self.rated_at).max(0.0) / MEMORY_S).exp()
+        self.rate * (-(now - self.rate_updated_at).max(0.0) / MEMORY_S).exp()
     }
 }
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -68,9 +68,9 @@
         job.blocked = predates_election && !self.reconciliation.is_complete();
         job.seen_at = self.now - stored.age_s;
         job.accepted_ms = stored.accepted_ms;
-        job.worthwhile_s = objectives::worthwhile_s(wanted, &job.spec);
-        job.patience_s = objectives::patience_s(wanted, &job.spec);
-        job.start_by = objectives::start_by(wanted, &job.spec, fetch_s);
+        job.completion_target_s = objectives::completion_target_s(wanted, &job.spec);
+        job.start_delay_tolerance_s = objectives::start_delay_tolerance_s(wanted, &job.spec);
+        job.placement_deadlines_s = objectives::placement_deadlines_s(wanted, &job.spec, fetch_s);
         job.movable = objectives::movable(tuning, &job.spec);
         job.pinned = objectives::pinned(tuning, &job.spec);
         job.protected = objectives::protected(tuning, &job.spec);
--- a/src/coordination/migration/mod.rs
+++ b/src/coordination/migration/mod.rs
@@ -90,7 +90,7 @@
                     && job
                         .unplaced_since
                         .is_some_and(|since| self.now - since > MIN_WAIT_S)
-                    && !self.is_mistaken(*ix)
+                    && !self.is_faulty_job(*ix)
             })
             .map(|(ix, _)| (self.weight(ix), ix))
             .collect();
@@ -104,7 +104,7 @@
         let id = job.spec.id;
         let whole = self.is_whole_gang(ix);
         let certain = self.certain_reservations(ix);
-        let startable = job.waiting().min(self.canaries(ix));
+        let startable = job.waiting().min(self.trial_start_limit(ix));
         let tasks = startable.saturating_sub(certain.len() as u32);
         if tasks == 0 {
             return match self.migrations.live_for(id) {
--- a/src/coordination/migration/prospects.rs
+++ b/src/coordination/migration/prospects.rs
@@ -13,7 +13,7 @@
 /// Of the expected work: what is left at least of a task that runs for longer than expected.
 const MIN_LEFT_SHARE: f64 = 0.1;
 /// A job of less patience has an objective for its start, which only counts once it has run a while.
-const OBJECTIVE_PATIENCE_S: f64 = 120.0;
+const OBJECTIVE_TOLERANCE_S: f64 = 120.0;
 
 /// What is expected of a task instance.
 pub(super) struct Prospects {
@@ -60,7 +60,8 @@
         let saves = job.spec.checkpoint_s > 0.0;
         let running_since = instance.running_since;
         let settled = running_since.is_some_and(|since| self.now - since > SETTLED_S);
-        let has_objective = !job.start_by.is_empty() && job.patience_s < OBJECTIVE_PATIENCE_S;
+        let has_objective = !job.placement_deadlines_s.is_empty()
+            && job.start_delay_tolerance_s < OBJECTIVE_TOLERANCE_S;
         let migrated_at = self.migrations.last_migrated_at(job.spec.id, id.task);
         job.movable
             && job.state == JobState::Live
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -77,11 +77,11 @@
     /// Since when it has not got all the room it wants.
     pub unplaced_since: Option<Time>,
     /// How long after its submission finishing it is still worth most, by its class's objectives.
-    pub worthwhile_s: f64,
+    pub completion_target_s: f64,
     /// The delay at the start that costs it most of its value, by its class's objectives.
-    pub patience_s: f64,
+    pub start_delay_tolerance_s: f64,
     /// How long after its submission it must be placed to meet each objective, ascending.
-    pub start_by: Vec<f64>,
+    pub placement_deadlines_s: Vec<f64>,
     /// Small arrays of one scheduling class bid as one.
     pub scheduling_class: Option<u32>,
     /// Its large-task profile, if one task takes most of a worker.
@@ -141,9 +141,9 @@
             seen_at: 0.0,
             accepted_ms: 0,
             unplaced_since: None,
-            worthwhile_s: 0.0,
-            patience_s: 0.0,
-            start_by: Vec::new(),
+            completion_target_s: 0.0,
+            start_delay_tolerance_s: 0.0,
+            placement_deadlines_s: Vec::new(),
             scheduling_class: None,
             large_task_profile: None,
             attempt: None,
@@ -263,5 +263,5 @@
     /// Arrivals per second, smoothed.
     pub rate: f64,
     /// When the rate was last updated.
-    pub rated_at: Time,
+    pub rate_updated_at: Time,
 }
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -4,10 +4,10 @@
 use crate::settings::{Objective, Tuning};
 
 /// The worthwhile time of a job whose class has no objective.
-const DEFAULT_WORTHWHILE_S: f64 = 3600.0;
+const DEFAULT_COMPLETION_TARGET_S: f64 = 3600.0;
 /// The longest patience of a job at its start.
-const MAX_PATIENCE_S: f64 = 120.0;
-const MIN_PATIENCE_S: f64 = 0.5;
+const MAX_START_DELAY_TOLERANCE_S: f64 = 120.0;
+const MIN_START_DELAY_TOLERANCE_S: f64 = 0.5;
 /// Of the time an image takes to be fetched, what a job must be placed earlier for it.
 const FETCH_SHARE: f64 = 0.8;
 /// However long the fetch, a job has this part of its objective to be placed.
@@ -37,7 +37,7 @@
 }
 
 /// How long after its submission finishing a job is still worth most.
-pub(super) fn worthwhile_s(objectives: &[Objective], spec: &JobSpec) -> f64 {
+pub(super) fn completion_target_s(objectives: &[Objective], spec: &JobSpec) -> f64 {
     objectives
         .iter()
         .filter(|objective| objective.class.as_deref() == Some(&spec.class))
@@ -48,28 +48,32 @@
         })
         .reduce(f64::max)
         .or(spec.deadline_s)
-        .unwrap_or(DEFAULT_WORTHWHILE_S)
+        .unwrap_or(DEFAULT_COMPLETION_TARGET_S)
 }
 
 /// How long after its submission a job must be placed to start in time, by each objective, if most
 /// workers have yet to fetch its image. One that is past that lets those go first that can still
 /// be in time.
-pub(super) fn start_by(objectives: &[Objective], spec: &JobSpec, fetch_s: f64) -> Vec<f64> {
+pub(super) fn placement_deadlines_s(
+    objectives: &[Objective],
+    spec: &JobSpec,
+    fetch_s: f64,
+) -> Vec<f64> {
     let mut all: Vec<f64> = wait_limits(objectives, spec)
         .map(|within_s| (within_s - FETCH_SHARE * fetch_s).max(within_s * MIN_START_SHARE))
         .collect();
     all.sort_by(f64::total_cmp);
     if all.is_empty() {
-        all.push(patience_s(objectives, spec));
+        all.push(start_delay_tolerance_s(objectives, spec));
     }
     all
 }
 
 /// Seconds of delay at the start that cost a job most of its value.
-pub(super) fn patience_s(objectives: &[Objective], spec: &JobSpec) -> f64 {
+pub(super) fn start_delay_tolerance_s(objectives: &[Objective], spec: &JobSpec) -> f64 {
     wait_limits(objectives, spec)
-        .fold(MAX_PATIENCE_S, f64::min)
-        .max(MIN_PATIENCE_S)
+        .fold(MAX_START_DELAY_TOLERANCE_S, f64::min)
+        .max(MIN_START_DELAY_TOLERANCE_S)
 }
 
 fn wait_limits(objectives: &[Objective], spec: &JobSpec) -> impl Iterator<Item = f64> {
--- a/src/coordination/placement/leftovers.rs
+++ b/src/coordination/placement/leftovers.rs
@@ -13,7 +13,7 @@
         let mut left = self.jobs[ix]
             .waiting()
             .min(MAX_TASKS_PER_JOB)
-            .min(self.canaries(ix));
+            .min(self.trial_start_limit(ix));
         if left == 0 {
             return;
         }
--- a/src/coordination/placement/market.rs
+++ b/src/coordination/placement/market.rs
@@ -101,7 +101,10 @@
     /// What a job bids for; nothing if no lot suits it, or if it is placed as a whole.
     fn bidding_group(&self, ix: u32, supply: &Supply) -> Option<BidderGroup> {
         let job = &self.jobs[ix];
-        let demand = job.waiting().min(MAX_TASKS_PER_JOB).min(self.canaries(ix));
+        let demand = job
+            .waiting()
+            .min(MAX_TASKS_PER_JOB)
+            .min(self.trial_start_limit(ix));
         if demand == 0 || self.is_whole_gang(ix) {
             return None;
         }
--- a/src/coordination/placement/order.rs
+++ b/src/coordination/placement/order.rs
@@ -14,13 +14,13 @@
 /// The urgency of a job with the deadline boost; no other job's is as high.
 const BOOSTED_URGENCY: f64 = 2.3;
 /// A job past its last objective gets the deadline boost after this many times its patience.
-const BOOST_AFTER_PATIENCES: f64 = 6.0;
+const BOOST_AFTER_TOLERANCES: f64 = 6.0;
 /// The urgency of a job that can still meet its first objective. Smaller jobs come a little before
 /// larger ones, so that as many as possible start in time.
 const IN_TIME_URGENCY: f64 = 2.0;
 const SMALL_JOB_URGENCY: f64 = 0.2;
 /// The urgency of a job past its first objective, while finishing it is still worth most.
-const WORTHWHILE_URGENCY: f64 = 1.6;
+const ON_TARGET_URGENCY: f64 = 1.6;
 /// The urgency of any other job that has an objective for its start.
 const LATE_URGENCY: f64 = 1.3;
 /// The urgency of an array that is late already: it can wait a little more for what is not.
@@ -122,7 +122,7 @@
         let job = &self.jobs[ix];
         let waited_s = (self.now - job.seen_at).max(0.0);
         match job.spec.kind {
-            Kind::Array if waited_s > job.worthwhile_s => LATE_ARRAY_URGENCY,
+            Kind::Array if waited_s > job.completion_target_s => LATE_ARRAY_URGENCY,
             Kind::Array => {
                 let left_s = f64::from(job.spec.tasks - job.done) * job.work_s();
                 1.0 + SHORT_ARRAY_URGENCY / (1.0 + left_s / SHORT_ARRAY_WORK_S)
@@ -139,14 +139,19 @@
         if job.is_service() {
             return IN_TIME_URGENCY;
         }
-        let next = job.start_by.iter().position(|&by| waited_s <= by);
+        let next = job
+            .placement_deadlines_s
+            .iter()
+            .position(|&by| waited_s <= by);
         match next {
             Some(0) => IN_TIME_URGENCY + SMALL_JOB_URGENCY / f64::from(job.spec.tasks),
-            Some(next) if job.start_by[next] - waited_s < DEADLINE_BOOST_BEFORE_S => {
+            Some(next) if job.placement_deadlines_s[next] - waited_s < DEADLINE_BOOST_BEFORE_S => {
+                BOOSTED_URGENCY
+            }
+            None if waited_s > BOOST_AFTER_TOLERANCES * job.start_delay_tolerance_s => {
                 BOOSTED_URGENCY
             }
-            None if waited_s > BOOST_AFTER_PATIENCES * job.patience_s => BOOSTED_URGENCY,
-            _ if waited_s + job.work_s() <= job.worthwhile_s => WORTHWHILE_URGENCY,
+            _ if waited_s + job.work_s() <= job.completion_target_s => ON_TARGET_URGENCY,
             _ => LATE_URGENCY,
         }
     }
--- a/src/coordination/placement/value.rs
+++ b/src/coordination/placement/value.rs
@@ -15,7 +15,7 @@
 /// Costs below this count as this much.
 const MIN_COST: f64 = 1e-12;
 /// The share of a job's patience that a fetch may take: rates are known to a third.
-const FETCH_SHARE_OF_PATIENCE: f64 = 0.8;
+const FETCH_SHARE_OF_TOLERANCE: f64 = 0.8;
 /// The fetch rate that is assumed of an instance type that is not described.
 const DEFAULT_FETCH_GB_PER_S: f64 = 0.25;
 /// What is left on average of a fetch that has begun.
@@ -33,7 +33,9 @@
         let fetch_s = self.fetch_s(ix, m);
         let cost = self.cost(ix, m, instance_type, fetch_s);
         let gate = self.headroom_gate(m, instance_type);
-        let delay_factor = (-fetch_s / job.patience_s).exp().max(MIN_DELAY_FACTOR);
+        let delay_factor = (-fetch_s / job.start_delay_tolerance_s)
+            .exp()
+            .max(MIN_DELAY_FACTOR);
         self.weight(ix) * job.work_s() / cost.max(MIN_COST) * gate * delay_factor
     }
 
@@ -54,7 +56,7 @@
             // A worker that is reclaimed takes the work so far with it.
             occupied_s *= 1.0 + work_s / tuning.spot_mean_life_s;
         }
-        let share = if self.breaks_whole(ix, m) {
+        let share = if self.fragments_worker(ix, m) {
             // It keeps a task away that would take the whole worker.
             1.0
         } else {
@@ -86,7 +88,8 @@
     /// slowest.
     fn needs_cached_image(&self, ix: u32) -> bool {
         let job = &self.jobs[ix];
-        job.spec.image_gb / self.types.slowest_fetch() > job.patience_s * FETCH_SHARE_OF_PATIENCE
+        job.spec.image_gb / self.types.slowest_fetch()
+            > job.start_delay_tolerance_s * FETCH_SHARE_OF_TOLERANCE
     }
 
     /// How well a worker suits a job for longer than a moment; 0 is best. A replica stays, so it
@@ -95,15 +98,15 @@
     fn tier(&self, ix: u32, m: u32) -> u8 {
         let job = &self.jobs[ix];
         // A replica that is restored is missing all the while it fetches.
-        let restored = job.is_service() && self.now - job.seen_at >= job.patience_s;
+        let restored = job.is_service() && self.now - job.seen_at >= job.start_delay_tolerance_s;
         let may_fetch_s = if restored {
             0.0
         } else {
-            job.patience_s * FETCH_SHARE_OF_PATIENCE
+            job.start_delay_tolerance_s * FETCH_SHARE_OF_TOLERANCE
         };
         let fetches_too_long = self.needs_cached_image(ix) && self.fetch_s(ix, m) > may_fetch_s;
-        let breaks_whole = job.is_service() && self.breaks_whole(ix, m);
-        u8::from(fetches_too_long) + 2 * u8::from(breaks_whole)
+        let fragments_worker = job.is_service() && self.fragments_worker(ix, m);
+        u8::from(fetches_too_long) + 2 * u8::from(fragments_worker)
     }
 
     /// The best tier in which the job finds or may make room. It goes to no worse one, though lower
--- a/src/coordination/preemption/mod.rs
+++ b/src/coordination/preemption/mod.rs
@@ -35,7 +35,7 @@
             let class = self.bidding_class(ix);
             let in_vain = class.is_some_and(|class| tried.contains(&class));
             // Good work is not stopped for a job that fails everywhere.
-            if in_vain || self.is_mistaken(ix) {
+            if in_vain || self.is_faulty_job(ix) {
                 continue;
             }
             if self.is_whole_gang(ix) {
@@ -71,7 +71,7 @@
     fn tasks_without_room(&self, ix: u32) -> u32 {
         self.jobs[ix]
             .waiting()
-            .min(self.canaries(ix))
+            .min(self.trial_start_limit(ix))
             .saturating_sub(self.reserved_tasks(ix))
     }
 }
--- a/src/coordination/preemption/reservations.rs
+++ b/src/coordination/preemption/reservations.rs
@@ -73,7 +73,7 @@
     /// Free room of a worker less what is reserved for other jobs.
     pub(in crate::coordination) fn room_after_reservations(&self, m: u32, ix: u32) -> Resources {
         let mut room = self.free_room(m);
-        if let Some(kept) = self.kept_from(m, ix) {
+        if let Some(kept) = self.withheld_resources(m, ix) {
             room.sub(&kept);
         }
         for reservation in &self.workers[m].reservations {
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -5,7 +5,7 @@
 use crate::coordination::state::Core;
 
 /// A victim's time to save counts as at most so many times the patience of whom it is stopped for.
-const MAX_GRACE_IN_PATIENCES: f64 = 7.0;
+const MAX_GRACE_IN_TOLERANCES: f64 = 7.0;
 /// Every stop counts as at least so much lost work.
 const STOP_OVERHEAD_S: f64 = 2.0;
 /// How many CPUs a GPU counts as.
@@ -116,8 +116,8 @@
         }
         // What saves a checkpoint leaves its room later: replicas that were to start within a
         // second waited for lower work that saved.
-        let grace_in_patiences = self.grace_of(key.job) / self.jobs[ix].patience_s;
-        loss * grace_in_patiences.min(MAX_GRACE_IN_PATIENCES).exp()
+        let grace_in_tolerances = self.grace_of(key.job) / self.jobs[ix].start_delay_tolerance_s;
+        loss * grace_in_tolerances.min(MAX_GRACE_IN_TOLERANCES).exp()
     }
 
     /// What stopping a task instance loses: its work so far, weighted by size and importance.
--- a/src/coordination/provisioning/quarantine.rs
+++ b/src/coordination/provisioning/quarantine.rs
@@ -15,7 +15,7 @@
 /// The log warns of a job this often at most.
 const WARN_INTERVAL_S: Time = 30.0;
 /// A job is mistaken if it failed on this many workers and never ran well.
-const MISTAKEN_AFTER_WORKERS: usize = 2;
+const FAULTY_AFTER_WORKERS: usize = 2;
 /// A job without any finished task is in doubt again after it failed on this many workers.
 const IN_DOUBT_AFTER_WORKERS: usize = 3;
 /// How many tasks of a job in doubt may be tried at once.
@@ -42,8 +42,8 @@
             // It may run well for a while and then fail everywhere all the same.
             job.proved = false;
         }
-        if self.is_mistaken(id.job) {
-            self.delay_mistaken_job(id.job);
+        if self.is_faulty_job(id.job) {
+            self.delay_faulty_job(id.job);
         }
         self.workers[m].failed.insert(id.job, now + JOB_BACKOFF_S);
         if self.jobs[id.job].proved {
@@ -52,7 +52,7 @@
     }
 
     /// A job that fails wherever it runs is tried ever more seldom, until its user cancels it.
-    fn delay_mistaken_job(&mut self, ix: u32) {
+    fn delay_faulty_job(&mut self, ix: u32) {
         let now = self.now;
         let job = &mut self.jobs[ix];
         let pause_s = 2.0f64.powi(job.failures.min(MAX_JOB_RETRY_DOUBLINGS) as i32);
@@ -93,10 +93,10 @@
     }
 
     /// Whether a job has failed on several workers and has never run well.
-    pub(crate) fn is_mistaken(&self, ix: u32) -> bool {
+    pub(crate) fn is_faulty_job(&self, ix: u32) -> bool {
         self.jobs
             .get(ix)
-            .is_some_and(|job| !job.proved && job.failed_on.len() >= MISTAKEN_AFTER_WORKERS)
+            .is_some_and(|job| !job.proved && job.failed_on.len() >= FAULTY_AFTER_WORKERS)
     }
 
     /// A task of the job has run well on this worker.
@@ -110,7 +110,7 @@
     }
 
     /// How many tasks of a job may be started at once: few while the job itself is in doubt.
-    pub(crate) fn canaries(&self, ix: u32) -> u32 {
+    pub(crate) fn trial_start_limit(&self, ix: u32) -> u32 {
         let job = &self.jobs[ix];
         if job.proved || job.failed_on.is_empty() {
             u32::MAX
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -199,7 +199,7 @@
             .iter()
             .filter(|(ix, job)| {
                 job.state == JobState::Live
-                    && !self.is_mistaken(*ix)
+                    && !self.is_faulty_job(*ix)
                     && (self.wants_room(job) || demand.replicas_at_risk.contains_key(ix))
             })
             .map(|(ix, _)| (self.weight(ix), ix))
@@ -217,7 +217,9 @@
         } else {
             0
         };
-        let mut left = waiting.min(MAX_TASKS_PER_JOB).min(self.canaries(ix));
+        let mut left = waiting
+            .min(MAX_TASKS_PER_JOB)
+            .min(self.trial_start_limit(ix));
         left += demand.replicas_at_risk.get(&ix).copied().unwrap_or(0);
         for room in plan.room.iter_mut().filter(|room| room.suits(job)) {
             left = room.fill(&needs, left);
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -197,7 +197,7 @@
         self.worker_usable(m)
             && self.worker_allowed(ix, m)
             && (same_zone || self.zone_allows(ix, zone))
-            && !self.breaks_whole(ix, m)
+            && !self.fragments_worker(ix, m)
     }
 
     /// A worker as a target, if it has room or has it by preempting tasks that are no gang's.
