--- a/crates/simulation/examples/fragmentation.rs
+++ b/crates/simulation/examples/fragmentation.rs
@@ -189,7 +189,7 @@
         waits,
         never: waiting.len(),
         lost_s: (play.crew.lost_work_s - lost_before) / f64::from(started.max(1)),
-        moved: play.crew.core.moves_ended(),
+        moved: play.crew.core.finished_migrations(),
     }
 }
 
--- a/src/coordination/migration/mod.rs
+++ b/src/coordination/migration/mod.rs
@@ -232,7 +232,7 @@
     }
 
     /// Migrations that have ended under this leader, however they did.
-    pub fn moves_ended(&self) -> usize {
+    pub fn finished_migrations(&self) -> usize {
         self.migrations.finished()
     }
 }
