--- a/src/coordination/cancellation.rs
+++ b/src/coordination/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellation of jobs: nothing of a job starts from the moment that it is asked for.
+//! Cancellation of jobs. No task of a job starts once its cancellation is requested.
 
 use crate::protocol::JobId;
 use crate::protocol::job::JobOutcome;
@@ -8,7 +8,8 @@
 use super::state::Core;
 
 impl Core {
-    /// A user asks to cancel a job. The caller stores the cancellation if that is still to be done.
+    /// Begins the cancellation of a job. The caller stores the cancellation if the decision is
+    /// [`CancelDecision::Go`].
     pub(super) fn begin_cancellation(&mut self, id: JobId) -> CancelDecision {
         if let Some(outcome) = self.jobs.outcome(id) {
             return CancelDecision::Terminal(outcome);
@@ -22,9 +23,9 @@
             JobState::Finishing => CancelDecision::Busy,
             JobState::Live | JobState::Cancelling => {
                 self.jobs[ix].begin_cancelling(self.now);
-                // Before it is stored: whether it was may stay unknown for as long as the state
-                // service is down, while another controller has read that it was, and has
-                // answered the user so.
+                // Tasks are stopped before the cancellation is stored. The outcome of that write may
+                // stay unknown during an outage of the state service, although another controller
+                // has read the cancellation and confirmed it to the user.
                 self.stop_all_of(ix);
                 CancelDecision::Go {
                     done: self.jobs[ix].done,
@@ -33,13 +34,13 @@
         }
     }
 
-    /// What is stored of a job that was to be cancelled is known now.
+    /// Ends or resumes a job once the stored result of its cancellation is known.
     pub(super) fn finish_cancellation(&mut self, id: JobId, outcome: Option<JobOutcome>) {
         self.jobs.forget_early_cancellation(id);
         if let Some(outcome) = outcome {
             return self.end_job(id, outcome);
         }
-        // It was never accepted, so there is nothing to stop.
+        // No outcome is stored because the job was never accepted, so there is nothing to stop.
         if let Some(ix) = self.jobs.index_of(id)
             && self.jobs[ix].state == JobState::Cancelling
         {
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -1,9 +1,10 @@
 //! The leader's core: `step(now, inputs) -> effects`, without any I/O.
 //!
-//! It keeps possible locations, not beliefs. A task instance counts until something proves that it
-//! is gone; every start is checked against all instances that may exist at that moment.
+//! The core tracks every task instance that may exist, not only those that are likely to. An instance
+//! counts until it is proven gone, and each start is checked against all instances that may exist at
+//! that moment.
 //!
-//! Here the core is only wired: which part handles an input, and what is done at each step.
+//! This module dispatches each input to the part that handles it, and defines the work of each step.
 
 use std::collections::BTreeMap;
 
@@ -29,14 +30,15 @@
 use super::registry::WorkerRegistry;
 use super::state::BATCH_INTERVAL_S;
 
-/// Unresponsive workers and expired leases are looked for so often, and before every batch.
+/// Interval of the checks for unresponsive workers and expired leases, which also run before every
+/// batch.
 const LEASE_CHECK_INTERVAL_S: Time = 0.05;
-/// Steps come at least every 50 ms while this controller may lead; after a longer break it has not
-/// been valid without a break.
+/// A longer gap between two steps means that the leader was not valid throughout: while it is valid,
+/// steps come at least every 50 ms.
 const VALIDITY_GAP_S: Time = 0.5;
 
 impl Core {
-    /// The core of a leader elected with this fencing token.
+    /// Creates the core of a leader elected with this fencing token.
     pub fn new(
         config: Config,
         token: u64,
@@ -69,7 +71,7 @@
             large_task_profiles: Vec::new(),
             scheduling_classes: BTreeMap::new(),
             next_tail_job: 0,
-            // Unique across leaders: no two have the same token.
+            // The token makes attempt numbers unique across leaders.
             next_attempt: (token << 24) + 1,
             next_message_id: 1,
             effects: Vec::new(),
@@ -94,7 +96,7 @@
         core
     }
 
-    /// Takes in what earlier leaders have stored.
+    /// Restores the state that earlier leaders stored.
     fn restore(&mut self, snapshot: Snapshot) {
         for drain in snapshot.drains {
             self.restore_drain(drain);
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Workers whose heartbeats this leader waits for.
+    /// The number of workers whose heartbeats this leader waits for.
     fn awaited_workers(&self) -> usize {
         self.workers
             .iter()
@@ -122,7 +124,7 @@
             .count()
     }
 
-    /// Takes in what has happened by `now`, and returns what is to be done outside the core.
+    /// Processes the inputs received by `now` and returns the effects to carry out outside the core.
     pub fn step(&mut self, now: Time, inputs: Vec<Input>) -> Vec<Effect> {
         if now - self.now > VALIDITY_GAP_S {
             self.valid_since = now;
@@ -133,7 +135,7 @@
         }
         let batch_due = self.now >= self.next_batch;
         if batch_due || self.now >= self.next_lease_check {
-            // Each looks at every worker: at each message they took the larger part of a step.
+            // Both scan all workers. When they ran at every input they took most of a step's time.
             self.next_lease_check = self.now + LEASE_CHECK_INTERVAL_S;
             self.expire_leases();
             self.release_unresponsive_workers();
@@ -179,7 +181,7 @@
             known.filter(|(_, w)| w.reconciled).count()
         });
         if progress.most_just_reconciled {
-            // What waited for these need not wait for the window's end as well.
+            // Jobs that waited for these workers are placed now, not at the end of the interval.
             self.next_batch = self.now;
         }
         if progress.ended {
@@ -189,25 +191,25 @@
         }
     }
 
-    /// This process was paused while its clock ran on. Whoever was due to report in that time is not
-    /// unresponsive for it: otherwise the leader would resign, or release good workers. Leases are
-    /// another matter: they run on.
+    /// Handles a pause of this process during which its clock kept running. Heartbeat times move by
+    /// the length of the pause, so that workers due to report during it do not count as unresponsive:
+    /// the leader would resign or release healthy workers. Leases are not extended.
     pub fn paused(&mut self, pause_s: f64) {
         self.expecting_heartbeats_since += pause_s;
         self.shift_shard_statuses(pause_s);
         for (_, worker) in self.workers.iter_mut() {
-            let of_worker = [
+            let heartbeat_times = [
                 &mut worker.last_heartbeat_at,
                 &mut worker.reported_at,
                 &mut worker.unanswered_at,
             ];
-            for at in of_worker {
+            for at in heartbeat_times {
                 *at = at.map(|t| t + pause_s);
             }
         }
     }
 
-    /// What users are answered about a job. Only for a leader whose lease is valid.
+    /// Looks up the status of a job for a user. Only a leader whose lease is valid may answer with it.
     pub fn lookup(&self, id: JobId) -> Lookup {
         if let Some(end) = self.jobs.outcome(id) {
             return Lookup::Terminal(end);
@@ -222,7 +224,7 @@
                 done: job.done,
                 running: job.running,
             },
-            // An end that is being stored may already be known elsewhere.
+            // While an outcome is being stored, another controller may already have read it.
             _ => Lookup::NotInMemory,
         }
     }
--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -1,4 +1,4 @@
-//! One attempt to be elected, and when to let peers try first.
+//! A single campaign, and the rule for when to let peers campaign first.
 
 use std::time::Duration;
 
@@ -12,22 +12,22 @@
 
 use super::records::{self, LeaderKey, TermMarker};
 
-/// Nonces fit the integers that JSON numbers hold exactly.
+/// Nonces stay below this bound so that JSON numbers represent them exactly.
 const NONCE_BOUND: u64 = 1 << 52;
 
-/// An election that this controller won.
+/// The result of an election that this controller won.
 #[derive(Debug)]
 pub(super) struct WonElection {
     /// The lease of the leader key.
     pub(super) lease: u64,
     /// The fencing token of the new term.
     pub(super) token: u64,
-    /// When the lease was requested; the leader's validity counts from then.
+    /// When the lease was requested. The leader's validity is counted from this time.
     pub(super) requested_at: Instant,
 }
 
-/// Writes the leader key if there is none. `None`: another controller may lead, by its key or
-/// on a vote of this controller.
+/// Writes the leader key if it does not exist. Returns `None` if another controller may lead, either
+/// because it holds the key or because of a binding vote of this controller.
 pub(super) async fn campaign(
     context: &ControllerContext,
 ) -> Result<Option<WonElection>, StoreError> {
@@ -48,7 +48,7 @@
         Err(StoreError::Conflict(_)) => return Ok(None),
         Err(error) => return Err(error),
     }
-    // The outcome may be unknown, so the key is read back.
+    // The outcome of the write may be unknown, so the key is read back.
     let key = LeaderKey::read(context).await?;
     let own = key.filter(|key| key.nonce == Some(nonce));
     Ok(own.map(|key| WonElection {
@@ -58,19 +58,22 @@
     }))
 }
 
-/// Whether this controller restarted so recently that, as leader, it would have to count the
-/// leases of all unresponsive workers from its restart, and the fencing record names some. A peer
-/// with a longer uptime knows better when they can last have been answered.
+/// Whether this controller should let its peers campaign first.
 ///
-/// `peer_uptimes`: as far as they are known. If all peers restarted recently as well there is
-/// nobody to defer to.
+/// This is the case if the fencing record names workers and this controller has been up for at most
+/// one worker lease. As leader it would have to count the leases of all unresponsive workers from its
+/// restart, whereas a peer with a longer uptime has a tighter bound on when they were last answered.
+///
+/// `peer_uptimes` are the uptimes of all peers, if known. If all peers restarted recently as well,
+/// there is no reason to defer.
 pub(super) async fn should_defer_to_peers(
     context: &ControllerContext,
     peer_uptimes: Option<Vec<Duration>>,
 ) -> bool {
     let worker_lease_s = context.settings.cluster.workers.lease_s;
-    let recent = |uptime: &Duration| uptime.as_millis() as f64 / 1000.0 <= worker_lease_s;
-    let all_recent = peer_uptimes.is_some_and(|uptimes| uptimes.iter().all(recent));
+    let restarted_recently =
+        |uptime: &Duration| uptime.as_millis() as f64 / 1000.0 <= worker_lease_s;
+    let all_recent = peer_uptimes.is_some_and(|uptimes| uptimes.iter().all(restarted_recently));
     if context.now_s() > worker_lease_s || all_recent {
         return false;
     }
--- a/src/coordination/election/key_removal.rs
+++ b/src/coordination/election/key_removal.rs
@@ -1,16 +1,20 @@
-//! Removal of a leader key whose leader has surely ended, instead of waiting for its lease.
+//! Removal of a leader key whose leader is known to have ended, without waiting for its lease to
+//! expire.
 
 use crate::controller::context::ControllerContext;
 use crate::transport::rate_limiter::Urgency;
 
 use super::records::{self, TermMarker};
 
-/// Removes the leader key of an earlier process of this controller, which ended as leader: nobody
-/// else could lead before its lease expired. False if that process may never have known that it
-/// had won, or if the removal is not confirmed.
+/// Removes the leader key of a previous process of this controller that ended while it led. Without
+/// the removal no controller could lead before the key's lease expires.
 ///
-/// The platform starts a process of a controller only after the one before it has ended, so the
-/// key's leader is gone. While the key stood nobody else was valid: docs/notes/quick-restarts.md.
+/// Returns false if the previous process may not have known that it had won, or if the removal is not
+/// confirmed.
+///
+/// This is safe because the platform starts a controller process only after the previous one has
+/// ended, and because no other leader was valid while the key existed. See
+/// docs/notes/quick-restarts.md.
 pub(super) async fn remove_key_of_previous_process(
     context: &ControllerContext,
     token: u64,
@@ -26,8 +30,8 @@
     removed
 }
 
-/// Removes the leader key of a token whose leader surely leads no more, and will not again. Then
-/// no vote that was granted until now is binding.
+/// Removes the leader key of a token whose leader no longer leads and will not lead again. Once it is
+/// removed, no vote granted before is binding.
 pub(super) async fn remove_leader_key(context: &ControllerContext, token: u64) -> bool {
     let removal = records::removal(token);
     context.leadership.begin_no_leader_confirmation();
--- a/src/coordination/election/lease_extension.rs
+++ b/src/coordination/election/lease_extension.rs
@@ -11,10 +11,10 @@
 use super::peers::ask_all_peers;
 use super::records::LeaderKey;
 
-/// Within this the state service answers a controller that it serves.
+/// Deadline for reading the leader key. A state service that is reachable answers within this time.
 const READ_KEY_DEADLINE: Duration = Duration::from_millis(300);
 
-/// What the peers of a leader that cannot renew have answered.
+/// The result of requesting votes from all peers.
 #[derive(Debug, PartialEq)]
 pub(super) enum VoteResult {
     /// All peers granted their votes.
@@ -51,8 +51,8 @@
     }
 }
 
-/// Answers a leader that cannot renew and asks for a vote. What is known of the state service
-/// from a moment ago is enough to grant it; before it is denied, the leader key is read anew.
+/// Answers a vote request of a leader that cannot renew its lease. A vote may be granted on recent
+/// knowledge of the state service; before a vote is denied, the leader key is read again.
 pub async fn answer_vote_request(context: &ControllerContext, token: u64) -> PeerReply {
     if context.vote_to_extend_lease(token).is_granted() {
         return PeerReply::VoteGranted;
@@ -70,7 +70,7 @@
     }
 }
 
-/// Whether the state service serves this controller and has the leader key of this token.
+/// Whether the state service answers this controller and still has the leader key of this token.
 async fn sees_leader_key(context: &ControllerContext, token: u64) -> bool {
     let key = timeout(READ_KEY_DEADLINE, LeaderKey::read(context)).await;
     matches!(key, Ok(Ok(Some(key))) if key.token == token)
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -1,18 +1,18 @@
-//! Leader election and the leader's lease, by a key of the state service.
+//! Leader election and the leader's lease, based on a key in the state service.
 //!
 //! The version of the leader key is the leader's fencing token. A leader is valid until the send
-//! time of its last successful renewal + TTL - margin, on its own steady clock. The state service
-//! never ends a lease early, so no second leader exists before that.
+//! time of its last successful renewal + TTL - margin, on its own monotonic clock. The state service
+//! never ends a lease early, so there is no second leader before that time.
 //!
-//! In an outage of the state service nobody can renew, and without a valid leader the leases of
-//! all workers would expire. Two ways lead out of it:
+//! During an outage of the state service no leader can renew its lease, and without a valid leader
+//! the leases of all workers would expire. Two mechanisms prevent this:
 //!
-//! - `lease_extension`: a leader that cannot renew asks all peers for their votes. Each
+//! - `lease_extension`: a leader that cannot renew requests votes from all peers. With its vote a peer
 //!   confirms that the state service does not answer it either, and agrees not to campaign for
-//!   one TTL. With all votes, and only while it is still valid, the leader is valid for one
-//!   TTL - margin from when it asked.
-//! - `transfer`: a leader that alone cannot reach the state service gets no such votes. While
-//!   it is still valid it transfers leadership to a peer that can reach it.
+//!   one TTL. If all peers vote while the leader is still valid, it stays valid for TTL - margin
+//!   from the time of the request.
+//! - `transfer`: if only the leader cannot reach the state service, its peers deny these votes. While
+//!   it is still valid, it transfers leadership to a peer that can reach the state service.
 
 mod campaign;
 mod key_removal;
@@ -36,36 +36,36 @@
 
 pub use lease_extension::answer_vote_request;
 
-/// How often the leader key is read.
+/// Interval at which the leader key is read.
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(300);
-/// Controllers that see the leader key missing wait for up to this long, each for a random time,
-/// so that they do not all request a lease at once.
+/// Upper bound of the random delay before a campaign, so that controllers that see the leader key
+/// missing do not all request a lease at once.
 const CAMPAIGN_JITTER_MS: u64 = 40;
-/// For how long a controller lets peers campaign first; longer than a peer takes to see that
-/// there is no leader, and to win.
+/// How long a controller lets its peers campaign first. This is longer than a peer takes to notice
+/// that there is no leader and to win an election.
 const DEFERRAL: Duration = Duration::from_millis(500);
 
 /// Whether the leader key is to be read again at once or after [`FOLLOW_INTERVAL`].
-enum NextLook {
+enum NextRead {
     Now,
     Later,
 }
 
-/// Follows the leader key, campaigns when it is missing, and leads after an election won.
+/// Follows the leader key, campaigns when it is missing, and leads after winning an election.
 pub async fn run(context: Arc<ControllerContext>, handle: Handle) {
     loop {
-        take_up_transfer(&context).await;
-        match look_at_leader_key(&context, &handle).await {
-            NextLook::Now => {}
-            NextLook::Later => {
+        accept_transfer(&context).await;
+        match check_leader_key(&context, &handle).await {
+            NextRead::Now => {}
+            NextRead::Later => {
                 let _ = timeout(FOLLOW_INTERVAL, context.election_due.notified()).await;
             }
         }
     }
 }
 
-/// Removes the key of a leader that has transferred leadership to this controller.
-async fn take_up_transfer(context: &ControllerContext) {
+/// Removes the key of a leader that transferred leadership to this controller.
+async fn accept_transfer(context: &ControllerContext) {
     let Some(token) = context.take_leadership_transfer() else {
         return;
     };
@@ -74,32 +74,32 @@
     }
 }
 
-async fn look_at_leader_key(context: &Arc<ControllerContext>, handle: &Handle) -> NextLook {
+async fn check_leader_key(context: &Arc<ControllerContext>, handle: &Handle) -> NextRead {
     let key = match LeaderKey::read(context).await {
         Ok(key) => key,
         Err(error) => {
             tracing::debug!(%error, "cannot read the leader key");
-            return NextLook::Later;
+            return NextRead::Later;
         }
     };
     let Some(key) = key else {
         let backing_off = context.is_backing_off();
         handle.send(Command::LeaderSeen(None)).await;
         if backing_off {
-            return NextLook::Later;
+            return NextRead::Later;
         }
-        return stand_for_election(context, handle).await;
+        return run_for_election(context, handle).await;
     };
     let own = key.member.as_deref() == Some(&context.settings.member);
     if own && key_removal::remove_key_of_previous_process(context, key.token).await {
-        return NextLook::Now;
+        return NextRead::Now;
     }
     handle.send(Command::LeaderSeen(key.member)).await;
-    NextLook::Later
+    NextRead::Later
 }
 
-/// Campaigns, after peers that are better placed, and leads if it wins.
-async fn stand_for_election(context: &Arc<ControllerContext>, handle: &Handle) -> NextLook {
+/// Campaigns, after deferring to peers if that is preferable, and leads if it wins.
+async fn run_for_election(context: &Arc<ControllerContext>, handle: &Handle) -> NextRead {
     sleep(Duration::from_millis(context.random(CAMPAIGN_JITTER_MS))).await;
     let peer_uptimes = no_leader::confirm_no_leader(context).await;
     if campaign::should_defer_to_peers(context, peer_uptimes).await {
@@ -116,12 +116,12 @@
     match outcome {
         Ok(Some(won)) => {
             term::lead(context, handle, won).await;
-            NextLook::Now
+            NextRead::Now
         }
-        Ok(None) => NextLook::Later,
+        Ok(None) => NextRead::Later,
         Err(error) => {
             tracing::debug!(%error, "campaign failed");
-            NextLook::Later
+            NextRead::Later
         }
     }
 }
--- a/src/coordination/election/no_leader.rs
+++ b/src/coordination/election/no_leader.rs
@@ -1,4 +1,4 @@
-//! Confirmation by all peers that no leader acts on a vote of this controller.
+//! Confirmation by all peers that no leader relies on a vote of this controller.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 
 use super::peers::ask_all_peers;
 
-/// A peer that is up answers within a few milliseconds.
+/// Deadline for the replies of the peers. A peer that is up answers within a few milliseconds.
 const CONFIRMATION_DEADLINE: Duration = Duration::from_millis(300);
 
-/// Asks all peers whether they lead, if this controller may have voted for a leader. If none
-/// does, no leader is left that could act on the vote: only one whose process lives can. Without
-/// this, controllers that all crash would wait for one TTL after their restart.
+/// Asks all peers whether they lead, if a vote of this controller may still be binding. If none
+/// leads, the vote is released: only a leader whose process still runs can rely on it. Without this
+/// check, controllers that all crashed would wait for one TTL after their restart.
 ///
-/// Returns the peers' uptimes if all confirmed.
+/// Returns the peers' uptimes if all confirmed that they do not lead.
 pub(super) async fn confirm_no_leader(context: &ControllerContext) -> Option<Vec<Duration>> {
     if !context.leadership.has_binding_vote() {
         return None;
--- a/src/coordination/election/records.rs
+++ b/src/coordination/election/records.rs
@@ -1,4 +1,4 @@
-//! The two records of an election at the state service: the leader key and the term marker.
+//! The two records that an election keeps in the state service: the leader key and the term marker.
 
 use serde_json::{Value, json};
 
@@ -12,15 +12,15 @@
 const NONCE: &str = "nonce";
 const CONFIRMED_TOKEN: &str = "led";
 /// The version of a key that does not exist.
-const MISSING: u64 = 0;
+const NO_VERSION: u64 = 0;
 
-/// Who leads, on a lease of the state service.
+/// The key that names the leader, bound to a lease of the state service.
 #[derive(Debug)]
 pub(super) struct LeaderKey {
     /// The leader's name.
     pub(super) member: Option<String>,
-    /// Drawn for one campaign: distinguishes its key from one that an earlier process of the same
-    /// controller wrote.
+    /// A random number drawn for each campaign. It distinguishes the key from one that an earlier
+    /// process of the same controller wrote.
     pub(super) nonce: Option<u64>,
     /// The key's version, which is the leader's fencing token.
     pub(super) token: u64,
@@ -42,15 +42,15 @@
     }
 }
 
-/// What is known of the last election won; written with every leader key and never removed.
+/// Records the last election won. It is written together with every leader key and never removed.
 #[derive(Debug)]
 pub(super) struct TermMarker {
-    /// The last fencing token whose leader knew that it had won.
+    /// The fencing token of the last election, once its leader has confirmed that it knows it won.
     pub(super) confirmed_token: Option<u64>,
 }
 
 impl TermMarker {
-    /// `None`: there has never been a leader.
+    /// Reads the marker; `None` if there has never been a leader.
     pub(super) async fn read(context: &ControllerContext) -> Result<Option<Self>, StoreError> {
         let item = context.store.get(FOUNDED, Urgency::Renewal, false).await?;
         Ok(item.map(|item| Self {
@@ -59,10 +59,10 @@
     }
 }
 
-/// Writes the leader key, if there is none, and a term marker that nobody has confirmed.
+/// Writes the leader key, if it does not exist, and an unconfirmed term marker.
 pub(super) fn election(member: &str, nonce: u64, lease: u64) -> Transaction {
     Transaction {
-        conditions: vec![Condition::at_version(LEADER, MISSING)],
+        conditions: vec![Condition::at_version(LEADER, NO_VERSION)],
         changes: vec![
             Change::Put {
                 key: LEADER.to_string(),
@@ -74,7 +74,7 @@
     }
 }
 
-/// Confirms the term of this token, while its leader key stands.
+/// Confirms the term of this token, if its leader key still exists.
 pub(super) fn confirmation(token: u64) -> Transaction {
     Transaction {
         conditions: vec![Condition::at_version(LEADER, token)],
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -1,4 +1,4 @@
-//! The term of an elected leader: it renews its lease until the term ends.
+//! The term of an elected leader, which renews its lease until the term ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 use super::records;
 use super::transfer::transfer_leadership;
 
-/// Renewals in one TTL.
+/// Number of renewals in one TTL.
 const RENEWALS_PER_TTL: u32 = 6;
-/// After how long the first failed renewal is retried.
-const RETRY_AFTER: Duration = Duration::from_millis(80);
-/// Renewals that fail before leadership is transferred; one may fail by chance.
+/// Delay before the first failed renewal is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(80);
+/// Number of failed renewals before leadership is transferred. A single failure may be transient.
 const FAILURES_BEFORE_TRANSFER: u32 = 2;
-/// Bounds of the deadline of a renewal, which otherwise is the rest of the leader's validity.
+/// Bounds of a renewal's deadline, which otherwise is the time for which the leader is still valid.
 const MIN_RENEWAL_DEADLINE: Duration = Duration::from_millis(150);
 const MAX_RENEWAL_DEADLINE: Duration = Duration::from_millis(600);
 
@@ -31,7 +31,7 @@
 enum TermEnd {
     /// The leader stepped down, or its lease has expired at the state service.
     Ended,
-    /// Leadership is transferred to this peer.
+    /// Leadership is to be transferred to this peer.
     TransferTo(SocketAddr),
 }
 
@@ -47,7 +47,7 @@
         }
         TermEnd::Ended => {
             context.leadership.step_down(token);
-            // The next leader need not wait for the rest of the lease.
+            // Ending the lease spares the next leader the wait for it to expire.
             context.store.end_lease(lease).await;
             tracing::info!(token, "no longer leader");
             handle.send(Command::LeadershipLost).await;
@@ -55,8 +55,9 @@
     }
 }
 
-/// Records in the term marker, for later processes of this controller, that the leader of this
-/// token knew that it led, and so granted no vote. Ends by itself with the term.
+/// Records in the term marker that the leader of this token knew that it led, and therefore granted no
+/// vote. Later processes of this controller rely on this. Returns once the record is stored or the
+/// term has ended.
 async fn confirm_term(context: Arc<ControllerContext>, token: u64) {
     let confirmation = records::confirmation(token);
     while context.leadership.leads(token) {
@@ -73,17 +74,17 @@
 
 /// The renewals of one leader's lease.
 ///
-/// While they fail and the lease expires, the leader is suspended rather than deposed: after an
-/// outage of the state service every lease has its full time again, so the same key, and with it
-/// the fencing token, may still be this leader's.
+/// If renewals fail and the leader's validity runs out, its term is suspended but does not end: after
+/// an outage of the state service every lease starts again with its full TTL, so this leader may still
+/// hold the same key and fencing token.
 struct Term<'a> {
     context: &'a ControllerContext,
     lease: u64,
     token: u64,
     renewal_interval: Duration,
-    /// The lease was last prolonged by votes, not by a renewal.
+    /// Whether the last extension of the lease was by votes and not by a renewal.
     extended_by_peers: bool,
-    /// Failures since the lease was last prolonged.
+    /// Number of failures since the lease was last renewed or extended.
     failures: u32,
 }
 
@@ -102,7 +103,7 @@
 
     async fn renew_until_end(&mut self) -> TermEnd {
         loop {
-            sleep(self.pause_before_renewal()).await;
+            sleep(self.delay_before_renewal()).await;
             if !self.context.leadership.leads(self.token) {
                 return TermEnd::Ended;
             }
@@ -121,9 +122,9 @@
         }
     }
 
-    fn pause_before_renewal(&self) -> Duration {
+    fn delay_before_renewal(&self) -> Duration {
         if self.failures == 1 {
-            RETRY_AFTER
+            RETRY_DELAY
         } else {
             self.renewal_interval
         }
@@ -144,8 +145,8 @@
         leadership.record_renewal(requested_at);
     }
 
-    /// After a failed renewal. Returns the peer to transfer leadership to, if one is ready and the failure
-    /// was not the first.
+    /// Requests votes to extend the lease after a failed renewal. Returns the peer to transfer
+    /// leadership to, if one is ready and at least [`FAILURES_BEFORE_TRANSFER`] renewals failed.
     async fn extend_by_votes(
         &mut self,
         error: &StoreError,
--- a/src/coordination/election/transfer.rs
+++ b/src/coordination/election/transfer.rs
@@ -8,13 +8,14 @@
 use crate::protocol::peer::PeerRequest;
 use crate::storage::store::call_peer;
 
+/// Deadline for the successor's reply to the transfer request.
 const TRANSFER_DEADLINE: Duration = Duration::from_millis(300);
 
-/// Steps down for good, and only then asks the peer to remove this leader's key and to campaign.
+/// Ends this term, and only then asks the peer to remove this leader's key and to campaign.
 ///
-/// Waiting for the lease to expire instead would leave nobody valid for a second or two. If an
-/// outage of the state service for all began in that time, nobody would be valid throughout it,
-/// and the leases of all workers would expire.
+/// If the lease were left to expire instead, no leader would be valid for one or two seconds. An
+/// outage of the state service for all controllers that began in that time would leave the cluster
+/// without a valid leader until its end, and the leases of all workers would expire.
 pub(super) async fn transfer_leadership(
     context: &ControllerContext,
     handle: &Handle,
@@ -23,7 +24,7 @@
 ) {
     context.leadership.step_down(token);
     tracing::info!(token, %successor, "leadership transfer started");
-    // Before the event loop learns who leads next.
+    // The event loop must handle this before it learns of the next leader.
     handle.send(Command::LeadershipLost).await;
     let request = PeerRequest::TransferLeadership { token };
     call_peer(
--- a/src/coordination/failover.rs
+++ b/src/coordination/failover.rs
@@ -1,37 +1,38 @@
-//! What a failover cost after the stored state was read: one line of the log for each, for
-//! operators and for experiments. `controller` logs what came before it.
+//! Statistics of a failover, from when the stored state was read until the workers are reconciled.
+//! Each failover is logged in one line, for operators and experiments. `controller` logs the phases
+//! before that.
 
 use super::model::Time;
 
-/// The line is logged after this long, whoever has not answered by then.
-const LONGEST_S: Time = 30.0;
-/// The first burst: what is started so soon after the first start.
-const BURST_S: Time = 2.0;
+/// The statistics are logged after this time even if some workers have not answered.
+const MAX_DURATION_S: Time = 30.0;
+/// Starts within this time of the first start count as the first burst.
+const START_BURST_S: Time = 2.0;
 
 /// Counts what happens while a new leader reconciles its workers. Times are in seconds since the
 /// election.
 #[derive(Debug)]
 pub(super) struct FailoverStats {
-    /// Workers that an earlier leader knew, less those that were fenced.
+    /// Number of workers known to an earlier leader, without those that were fenced at the election.
     awaited: usize,
     half_reconciled_s: Option<Time>,
-    /// All but 1% of those awaited.
+    /// When all but 1% of the awaited workers were reconciled.
     most_reconciled_s: Option<Time>,
     first_start_s: Option<Time>,
     starts: u32,
 }
 
-/// What follows from the number of workers that are reconciled by now.
+/// Progress of a failover, derived from the number of workers reconciled so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct FailoverProgress {
     /// All but 1% of the workers have just been reconciled.
     pub(super) most_just_reconciled: bool,
-    /// There is nothing more to count.
+    /// Nothing is left to count: the statistics are complete or their time is over.
     pub(super) ended: bool,
 }
 
 impl FailoverStats {
-    /// Begins to count. `None`: nobody led before this leader, or there was nothing to lead.
+    /// Starts counting. Returns `None` if no earlier leader knew any worker that is to be awaited.
     pub(super) fn begin(awaited: usize) -> Option<Self> {
         (awaited > 0).then_some(Self {
             awaited,
@@ -42,13 +43,13 @@
         })
     }
 
-    /// A task is started.
+    /// Counts the start of a task.
     pub(super) fn record_start(&mut self, after_s: Time) {
         let first_s = *self.first_start_s.get_or_insert(after_s);
-        self.starts += u32::from(after_s <= first_s + BURST_S);
+        self.starts += u32::from(after_s <= first_s + START_BURST_S);
     }
 
-    /// Takes in how many workers are reconciled by now, which are counted only until most are.
+    /// Records how many workers are reconciled. `count_reconciled` is called only until all but 1% are.
     pub(super) fn record_reconciled(
         &mut self,
         after_s: Time,
@@ -67,14 +68,14 @@
         }
         let burst_ended = self
             .first_start_s
-            .is_some_and(|first_s| after_s > first_s + BURST_S);
+            .is_some_and(|first_s| after_s > first_s + START_BURST_S);
         FailoverProgress {
             most_just_reconciled,
-            ended: after_s > LONGEST_S || (self.most_reconciled_s.is_some() && burst_ended),
+            ended: after_s > MAX_DURATION_S || (self.most_reconciled_s.is_some() && burst_ended),
         }
     }
 
-    /// Logs what was counted.
+    /// Logs the statistics.
     pub(super) fn log(&self, token: u64, unresponsive: usize) {
         tracing::info!(
             token,
--- a/src/coordination/job_table.rs
+++ b/src/coordination/job_table.rs
@@ -1,4 +1,4 @@
-//! The jobs that this leader knows, by index and by id.
+//! The jobs known to this leader, by index and by id.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -7,14 +7,14 @@
 
 use super::model::{Job, Slab};
 
-/// Jobs by index, their ids, and what is known of jobs that are not or no longer among them.
+/// Jobs by index and by id, the outcomes of jobs that ended, and early cancellations.
 #[derive(Debug, Default)]
 pub(super) struct JobTable {
     jobs: Slab<Job>,
     by_id: BTreeMap<JobId, u32>,
-    /// Jobs that ended under this leader.
-    ended: HashMap<JobId, JobOutcome>,
-    /// Jobs to be cancelled that the watch on the stored jobs has not shown yet.
+    /// Outcomes of jobs that ended under this leader.
+    outcomes: HashMap<JobId, JobOutcome>,
+    /// Jobs whose cancellation was requested before the watch on the stored jobs reported them.
     early_cancellations: BTreeSet<JobId>,
 }
 
@@ -27,7 +27,7 @@
         index
     }
 
-    /// Takes out a job that has ended; its index may be another's after that.
+    /// Removes a job that has ended. Its index may be reused.
     pub(super) fn remove(&mut self, index: u32) {
         if let Some(job) = self.jobs.remove(index) {
             self.by_id.remove(&job.spec.id);
@@ -44,37 +44,37 @@
         self.jobs.get(index)
     }
 
-    /// All jobs with their indices, ascending.
+    /// All jobs with their indices, in ascending order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (u32, &Job)> {
         self.jobs.iter()
     }
 
-    /// All indices, ascending; for loops that change jobs.
+    /// All indices in ascending order, for loops that change the table.
     pub(super) fn indices(&self) -> Vec<u32> {
         self.jobs.indices()
     }
 
-    /// How a job ended under this leader, if it did.
+    /// The outcome of a job, if it ended under this leader.
     pub(super) fn outcome(&self, id: JobId) -> Option<JobOutcome> {
-        self.ended.get(&id).copied()
+        self.outcomes.get(&id).copied()
     }
 
-    /// A job's end is stored.
+    /// Records the stored outcome of a job.
     pub(super) fn record_outcome(&mut self, id: JobId, outcome: JobOutcome) {
-        self.ended.insert(id, outcome);
+        self.outcomes.insert(id, outcome);
     }
 
-    /// A job that is not known yet is being cancelled.
+    /// Records the cancellation of a job that is not known yet.
     pub(super) fn record_early_cancellation(&mut self, id: JobId) {
         self.early_cancellations.insert(id);
     }
 
-    /// The cancellation of a job is settled.
+    /// Removes an early cancellation once its result is known.
     pub(super) fn forget_early_cancellation(&mut self, id: JobId) {
         self.early_cancellations.remove(&id);
     }
 
-    /// Whether a job was being cancelled before it was known.
+    /// Whether the cancellation of a job was requested before the job was known.
     pub(super) fn is_cancelled_early(&self, id: JobId) -> bool {
         self.early_cancellations.contains(&id)
     }
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -1,8 +1,8 @@
-//! What goes into the core and what comes out of it.
+//! Inputs and effects of the core.
 //!
-//! A `ticket` stands for somebody who waits for an answer: the caller keeps the open request, and
-//! the core names the ticket in the effect that answers it. A `message_id` stands for a direct
-//! message to a worker, whose outcome the caller reports.
+//! A `ticket` identifies an open request that waits for an answer: the caller keeps the request, and
+//! the core names the ticket in the effect that answers it. A `message_id` identifies a direct
+//! message to a worker; the caller reports its outcome.
 
 use crate::protocol::JobId;
 use crate::protocol::cloud::{ListedWorker, MachineType};
@@ -13,93 +13,94 @@
 use crate::storage::StoredJob;
 use crate::storage::writer::{Write, Written};
 
-/// Something that has happened outside the core.
+/// An event outside the core.
 #[derive(Debug)]
 pub enum Input {
-    /// A worker has sent a heartbeat to this controller.
+    /// A worker sent a heartbeat to this controller.
     Heartbeat { ticket: u64, heartbeat: Heartbeat },
-    /// A direct message to a worker has ended.
+    /// A direct message to a worker was answered or failed.
     DirectMessageEnded {
         worker: String,
         message_id: u64,
         outcome: Outcome,
     },
-    /// A shard owner reports what its workers have sent and how its messages ended.
+    /// A shard owner reports the heartbeats of its workers and the outcomes of relayed messages.
     ShardStatus { ticket: u64, status: ShardStatus },
-    /// Heartbeats that came to this controller before it was elected.
+    /// Heartbeats that this controller received before it was elected.
     BufferedHeartbeats(Vec<ForwardedHeartbeat>),
-    /// Another controller was to deliver these messages and has not accepted them.
+    /// Another controller did not accept these messages for relay.
     RelayFailed {
         controller: u32,
         message_ids: Vec<u64>,
-        /// Of each: unsent, or not known.
+        /// The outcome of each message: unsent or unknown.
         outcome: Outcome,
     },
-    /// The watch has shown a stored job.
+    /// The watch on the stored jobs reported a job.
     Job(StoredJob),
     /// A user asks to cancel a job.
     CancelRequested { ticket: u64, job: JobId },
-    /// The cancellation of a job is settled; `end` is what is stored of it, if anything.
+    /// The result of a cancellation is known; `end` is the stored outcome of the job, if any.
     CancelSettled { job: JobId, end: Option<JobOutcome> },
-    /// An operator's request.
+    /// An operator sent a request.
     Admin {
         ticket: u64,
         request: AdminRequest,
-        /// The time of day, for what is stored.
+        /// Wall-clock time, for stored records.
         unix_ms: u64,
     },
     /// The results of an [`Effect::Write`].
     Written(Vec<(Write, Written)>),
-    /// The cloud has described its instance types.
+    /// The cloud described its machine types.
     MachineTypes(Vec<MachineType>),
-    /// The cloud has listed its workers.
+    /// The cloud listed its workers.
     WorkerList(Vec<ListedWorker>),
-    /// A request to scale out has ended.
+    /// A scale-out request ended.
     ScaledOut {
         request: String,
         outcome: ScaleOutOutcome,
     },
-    /// A request to scale in has ended; `ok`: the cloud has taken all of these back.
+    /// A scale-in request ended; `ok` if the cloud released all of these workers.
     ScaledIn { workers: Vec<String>, ok: bool },
 }
 
-/// How a request to scale out ended.
+/// Result of a scale-out request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ScaleOutOutcome {
-    /// The names of the new workers, perhaps fewer than were asked for.
+    /// Names of the new workers; may be fewer than requested.
     Workers(Vec<String>),
-    /// The cloud has no such worker now.
+    /// The cloud has no capacity for this machine type now.
     NoCapacity,
-    /// Not carried out; worth trying later.
+    /// The request was not carried out and may be retried later.
     Refused,
-    /// It may have been carried out.
+    /// The request may have been carried out.
     Unknown,
 }
 
-/// What a cancellation comes to when it is asked for.
+/// The core's decision on a request to cancel a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelDecision {
-    /// The job has ended already.
+    /// The job has already ended.
     Terminal(JobOutcome),
-    /// The job's end is just being stored.
+    /// The job's outcome is being stored.
     Busy,
-    /// Nothing of the job is started any more; the caller stores the cancellation.
+    /// No task of the job is started any more; the caller stores the cancellation.
     Go {
-        /// How many of its tasks were done.
+        /// Number of its tasks that were done.
         done: u32,
     },
 }
 
-/// Something that is to be done outside the core.
+/// An action to carry out outside the core.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Answer a heartbeat: 200 with commands.
+    /// Answer a heartbeat with status 200 and commands.
     AnswerHeartbeat { ticket: u64, body: Vec<u8> },
-    /// Answer a heartbeat without renewing a lease.
+    /// Refuse a heartbeat, without renewing the worker's lease.
     RefuseHeartbeat { ticket: u64, why: HeartbeatRefusal },
-    /// Redirect a worker to this controller, without renewing its lease.
+    /// Redirect a worker to `controller`, without renewing its lease.
     RedirectWorker { ticket: u64, controller: u32 },
-    /// Answer a shard owner; `None`: a newer status of the same owner has come before.
+    /// Answer a shard owner's status. `update` is `None` if the sender is not a peer or a newer status
+    /// of it was handled before.
     AnswerShardStatus {
         ticket: u64,
         update: Option<ShardUpdate>,
@@ -111,22 +112,22 @@
         incarnation: u64,
         message_id: u64,
         commands: Vec<Command>,
-        /// The controller that is to deliver it, if it is another one.
+        /// The controller that relays the message, if not this one.
         via: Option<u32>,
     },
-    /// Ask a worker for its heartbeat.
+    /// Request a heartbeat from a worker.
     RequestHeartbeat {
         worker: String,
         address: String,
-        /// As far as is known, or as it most likely is.
+        /// The worker's last known or most likely incarnation.
         incarnation: u64,
         message_id: u64,
-        /// The controller that is to deliver it, if it is another one.
+        /// The controller that relays the message, if not this one.
         via: Option<u32>,
     },
-    /// Store these in one transaction, and report with [`Input::Written`].
+    /// Store these in one transaction and report the results with [`Input::Written`].
     Write(Vec<Write>),
-    /// Ask the cloud for workers.
+    /// Request workers from the cloud.
     ScaleOut {
         request: String,
         machine_type: String,
@@ -134,13 +135,14 @@
         spot: bool,
         count: u32,
     },
-    /// Ask the cloud to take these workers back.
+    /// Release these workers to the cloud.
     ScaleIn(Vec<String>),
-    /// Ask the cloud for the list of its workers.
+    /// Request the list of workers from the cloud.
     ListWorkers,
-    /// Ask the cloud to describe its instance types.
+    /// Request the machine types from the cloud.
     ReadMachineTypes,
-    /// Answer a user who asked to cancel a job, or store that first.
+    /// Report the decision on a cancellation to the request handler, which stores the cancellation if
+    /// the decision is [`CancelDecision::Go`], and then answers the user.
     AnswerCancel { ticket: u64, begin: CancelDecision },
     /// Answer an operator.
     AnswerAdmin {
@@ -148,36 +150,38 @@
         status: u16,
         body: Vec<u8>,
     },
-    /// A worker has seen a higher fencing token than ours: this leader steps down.
+    /// Step down, because a worker has seen a higher fencing token.
     StepDown,
 }
 
-/// Why a heartbeat is not answered with commands and renews no lease.
+/// Why a heartbeat is refused: it gets no commands and renews no lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HeartbeatRefusal {
-    /// Its worker has seen a higher fencing token.
+    /// The worker has seen a higher fencing token.
     #[error("a newer leader is known")]
     NewerLeader,
-    /// Its worker was scaled in; the message is a late one.
+    /// The worker was scaled in; the heartbeat arrived late.
     #[error("the machine was returned")]
     ScaledIn,
-    /// The lease of its incarnation has expired; the message is a late one.
+    /// The lease of the worker's incarnation has expired; the heartbeat arrived late.
     #[error("the session is over")]
     IncarnationExpired,
-    /// It or a newer one has come before, here or at another controller.
+    /// This controller or another one has received this heartbeat or a newer one before.
     #[error("this report or a newer one has come before")]
     Duplicate,
-    /// A newer one has come while this one waited for its answer.
+    /// A newer heartbeat arrived while this one waited for its answer.
     #[error("a newer report has come")]
     Overtaken,
 }
 
-/// Where a heartbeat came from: only one that the worker sent by itself proves what became of the
-/// commands in the response before it, only a direct answer what became of its message.
+/// How a heartbeat reached the leader.
+///
+/// Only a heartbeat that the worker sent on its own shows the result of the commands in the previous
+/// response. Only the answer to a direct message shows the result of that message.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum HeartbeatSource {
-    /// The worker sent it by itself.
+    /// The worker sent it on its own.
     Worker,
-    /// It is the answer to this direct message.
+    /// It answers this direct message.
     Direct { message_id: u64, executed: bool },
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,16 +1,16 @@
-//! Who leads, and what runs where.
+//! Leader election and scheduling.
 //!
-//! `election` holds the leader key; `core` is the leader's state machine, which does no I/O.
-//! `messages` are what goes into it and comes out of it. What it keeps is in the lowest layer:
-//! `model`, the tables of jobs, workers and teams, and `state`. Above these, each module decides one
-//! thing:
+//! `election` acquires and holds the leader key. `core` is the leader's state machine, which does no
+//! I/O; `messages` defines its inputs and effects. The lowest layer holds its data: `model`, the
+//! tables of jobs, workers and teams, and `state`. The other modules build on these, each with one
+//! responsibility:
 //!
 //! - task instances and workers: `instances`, `start_conditions`, `reconciliation`, `dispatch`,
 //!   `failover`;
 //! - jobs: `jobs`, `cancellation`, `objectives`, `demand_log`;
 //! - placement: `placement`, `auction`, `gangs`, `preemption`, `forecast`, `rebalancing`, `migration`;
 //! - the set of workers: `provisioning`, `drains`, `sharding`, `fencing`;
-//! - what is stored: `registry`, `persistence`.
+//! - stored state: `registry`, `persistence`.
 
 pub mod auction;
 mod cancellation;
--- a/src/coordination/team_table.rs
+++ b/src/coordination/team_table.rs
@@ -1,31 +1,31 @@
-//! Teams: their quotas and limits, and what their task instances take.
+//! Teams: their quotas, their limits and the resources their task instances use.
 
 use crate::protocol::job::Resources;
 use crate::settings::Cluster;
 
 use super::model::Interner;
 
-/// What a team may use and may be using.
+/// A team's quota and limit, and the resources it may be using.
 #[derive(Debug, Clone, Default)]
 pub struct TeamUsage {
-    /// Up to this its jobs go before those of teams above theirs.
+    /// Jobs of a team that uses at most its quota are placed before those of teams above their quota.
     pub quota: Resources,
-    /// It never uses more than this; 0 stands for no limit.
+    /// Upper bound on the resources that the team may use; 0 means no limit.
     pub limit: Resources,
-    /// Resources of all its task instances that may exist.
+    /// Resources of all task instances of the team that may exist.
     pub used: Resources,
-    /// What workers that this leader knows too little of may hold of it besides.
+    /// Further resources that tasks of the team may use on workers that are not reconciled.
     pub unreconciled: Resources,
 }
 
 impl TeamUsage {
-    /// Whether the team has a limit at all.
+    /// Whether the team has any limit.
     pub fn is_limited(&self) -> bool {
         self.limit.cpus > 0 || self.limit.gpus > 0
     }
 }
 
-/// Teams by index: those of the settings first, in their order, then others that jobs name.
+/// Teams by index: first those of the settings, in their order, then others that jobs name.
 #[derive(Debug, Default)]
 pub(super) struct TeamTable {
     names: Interner,
@@ -33,7 +33,7 @@
 }
 
 impl TeamTable {
-    /// The teams of the settings, with nothing in use.
+    /// Creates the table with the teams of the settings, without any usage.
     pub(super) fn configured(cluster: &Cluster) -> Self {
         let mut teams = Self::default();
         for team in &cluster.teams {
@@ -47,7 +47,7 @@
         teams
     }
 
-    /// The index of a team, which is added without quota and limit if it is new.
+    /// The index of a team. A new team is added without quota and limit.
     pub(super) fn intern(&mut self, name: &str) -> u32 {
         let index = self.names.intern(name);
         if self.usage.len() <= index as usize {
@@ -56,17 +56,17 @@
         index
     }
 
-    /// How many teams there are.
+    /// The number of teams.
     pub(super) fn len(&self) -> usize {
         self.usage.len()
     }
 
-    /// All teams by index.
+    /// All teams, in index order.
     pub(super) fn iter(&self) -> std::slice::Iter<'_, TeamUsage> {
         self.usage.iter()
     }
 
-    /// All teams by index, to be changed.
+    /// Mutable references to all teams, in index order.
     pub(super) fn iter_mut(&mut self) -> std::slice::IterMut<'_, TeamUsage> {
         self.usage.iter_mut()
     }
--- a/src/coordination/time.rs
+++ b/src/coordination/time.rs
@@ -2,15 +2,15 @@
 
 use super::model::Time;
 
-/// In whole milliseconds, rounded up: a bound of when something may last have happened must not
-/// become earlier.
+/// Converts a time to whole milliseconds. Rounds up, because an upper bound on the time of an event
+/// must not become earlier.
 pub(super) fn ceil_ms(at: Time) -> u64 {
     (at.max(0.0) * 1000.0).ceil() as u64
 }
 
-/// A time that may not be known yet.
+/// Operations on a time that may not be known yet.
 pub(super) trait OptionalTime {
-    /// The later one of this time, if it is known, and `at`.
+    /// The later of this time, if it is known, and `at`.
     fn or_later(self, at: Time) -> Self;
 }
 
--- a/src/coordination/worker_table.rs
+++ b/src/coordination/worker_table.rs
@@ -1,15 +1,15 @@
-//! The workers that this leader knows, by index and by name.
+//! The workers known to this leader, by index and by name.
 
 use std::collections::{BTreeSet, HashMap};
 
 use super::model::{Slab, Worker};
 
-/// Workers by index, their names, and the names of those that were scaled in.
+/// Workers by index and by name, and the names of workers that were scaled in.
 #[derive(Debug, Default)]
 pub(super) struct WorkerTable {
     workers: Slab<Worker>,
     by_name: HashMap<String, u32>,
-    /// Their late heartbeats mean nothing. Names are never used twice.
+    /// Late heartbeats of these workers are refused. Names are never reused.
     scaled_in: BTreeSet<String>,
 }
 
@@ -22,19 +22,19 @@
         index
     }
 
-    /// Takes out a worker; its index may be another's after that.
+    /// Removes a worker. Its index may be reused.
     pub(super) fn remove(&mut self, index: u32) {
         if let Some(worker) = self.workers.remove(index) {
             self.by_name.remove(&worker.name);
         }
     }
 
-    /// The cloud has taken this worker back; its name stands for nothing any more.
+    /// Records that the cloud has released this worker.
     pub(super) fn record_scaled_in(&mut self, name: &str) {
         self.scaled_in.insert(name.to_string());
     }
 
-    /// Whether the cloud has taken this worker back.
+    /// Whether the cloud has released this worker.
     pub(super) fn is_scaled_in(&self, name: &str) -> bool {
         self.scaled_in.contains(name)
     }
@@ -49,22 +49,22 @@
         self.by_name.contains_key(name)
     }
 
-    /// The names of all workers, in no order.
+    /// The names of all workers, in arbitrary order.
     pub(super) fn names(&self) -> impl Iterator<Item = &str> {
         self.by_name.keys().map(String::as_str)
     }
 
-    /// All workers with their indices, ascending.
+    /// All workers with their indices, in ascending order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (u32, &Worker)> {
         self.workers.iter()
     }
 
-    /// All workers with their indices, ascending, to be changed.
+    /// Mutable references to all workers, with their indices, in ascending order.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (u32, &mut Worker)> {
         self.workers.iter_mut()
     }
 
-    /// All indices, ascending; for loops that change workers.
+    /// All indices in ascending order, for loops that change the table.
     pub(super) fn indices(&self) -> Vec<u32> {
         self.workers.indices()
     }
