--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -72,7 +72,7 @@
             scheduling_classes: BTreeMap::new(),
             next_tail_job: 0,
             // The token makes attempt numbers unique across leaders.
-            next_attempt: (token << 24) + 1,
+            last_attempt: (token << 24) + 1,
             next_message_id: 1,
             effects: Vec::new(),
             write_queue: WriteQueue::default(),
--- a/src/coordination/fencing/mod.rs
+++ b/src/coordination/fencing/mod.rs
@@ -1,10 +1,11 @@
-//! The fencing record of unresponsive workers, by which the next leader knows when their leases
-//! end and need not count them from its own election.
+//! The fencing record of unresponsive workers. It tells the next leader when their leases end, so that
+//! the next leader need not count them from its own election.
 //!
-//! A fenced worker gets no answer, which would renew its lease, and no start, which a lease that
-//! began unseen would carry, until its removal from the record is stored. The only exception are
-//! answers under a lease extension that all other controllers have voted for: each of them
-//! remembers its vote, and as the next leader reckons with those answers.
+//! Until its removal from the record is stored, a fenced worker gets no answers, because an answer
+//! renews its lease, and no starts, because a started task could run under a lease whose begin this
+//! leader did not see. The only exception are answers under a lease extension that all other
+//! controllers have voted for: each of them remembers its vote and, as the next leader, allows for
+//! such answers.
 
 mod state;
 
@@ -23,24 +24,26 @@
 use state::AnsweredWorker;
 pub(super) use state::{DeferredHeartbeat, Fencing};
 
-/// How long a worker may wait to be fenced: many become unresponsive together, and share a change
-/// of the state service.
+/// Delay before an unresponsive worker is fenced. Workers often become unresponsive together, and the
+/// delay lets them share one write to the state service.
 const FENCE_DELAY_S: Time = 0.6;
-/// How long the removal of a worker that holds nothing may: it does the next leader no harm.
+/// Delay before a worker without task instances is removed from the record. Its entry does not affect
+/// the next leader.
 const RELEASE_DELAY_S: Time = 5.0;
-/// What a page counts for where the values of a transaction are limited.
+/// The size that a page is assumed to have when the pages that fit a transaction are counted.
 const PAGE_BYTES: usize = 8 * 1024;
-/// Of a worker in a page, besides its name.
-const ENTRY_BYTES: usize = 20;
+/// Size of a worker's entry in a page, without its name.
+const ENTRY_OVERHEAD_BYTES: usize = 20;
 
 impl Core {
-    /// Without a bound on clocks what is stored proves nothing.
+    /// Whether the settings bound the clock error. Without a bound, the times in a stored record prove
+    /// nothing.
     fn clocks_are_bounded(&self) -> bool {
         self.config.cluster.clock_error_ms > 0.0
     }
 
-    /// Restores the record of earlier leaders: its workers stay fenced, and were last answered
-    /// when it says, or under a lease extension that this controller voted for.
+    /// Restores the record of earlier leaders. Its workers stay fenced. Each was last answered at the
+    /// recorded time, or later under a lease extension that this controller voted for.
     pub(super) fn restore_fencing(
         &mut self,
         stored: Vec<StoredFencingPage>,
@@ -71,7 +74,7 @@
         }
     }
 
-    /// When a worker of the record was last answered at the latest.
+    /// The latest time at which a worker on the record can have been answered.
     fn answered_by_record(&self, age_ms: u64, vote_binding_until: Time) -> Time {
         if self.clocks_are_bounded() {
             (self.now - age_ms as f64 / 1000.0).max(vote_binding_until)
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Takes workers off the record that no registry names any more.
+    /// Removes workers from the record that the worker registry no longer names.
     fn release_unknown_workers(&mut self) {
         let workers = self.fencing.wanted_workers();
         let unknown: Vec<String> = workers
@@ -99,24 +102,24 @@
         }
     }
 
-    /// Puts workers on the record whose heartbeats are overdue.
+    /// Adds workers whose heartbeats are overdue to the record.
     pub(super) fn fence_unresponsive_workers(&mut self) {
         if !self.clocks_are_bounded() {
             return;
         }
         let due = self.now + FENCE_DELAY_S;
         for (_, worker) in self.workers.iter() {
-            if !self.is_to_be_fenced(worker) {
+            if !self.should_be_fenced(worker) {
                 continue;
             }
-            // While a shard owner may still answer it there is nothing to record.
+            // While a shard owner may still answer the worker, its last answer is not known.
             if let Some(answered_at) = self.latest_possible_answer(worker) {
                 self.fencing.fence(&worker.name, answered_at, due);
             }
         }
     }
 
-    fn is_to_be_fenced(&self, worker: &Worker) -> bool {
+    fn should_be_fenced(&self, worker: &Worker) -> bool {
         let expired = worker.incarnation > 0 && worker.incarnation <= worker.expired_incarnation;
         if worker.fenced || worker.page.is_none() || expired || worker.returning {
             return false;
@@ -127,9 +130,9 @@
         self.now - last_heartbeat_at > self.unresponsive_after_s()
     }
 
-    /// Returns the heartbeat if it may be answered now. Otherwise it waits until its worker's
-    /// removal from the record is stored.
-    pub(super) fn may_answer(
+    /// Releases the worker from the record, and returns the heartbeat if it may be answered now.
+    /// Otherwise the answer is deferred until the worker's removal from the record is stored.
+    pub(super) fn defer_if_fenced(
         &mut self,
         m: u32,
         ticket: u64,
@@ -146,7 +149,7 @@
         None
     }
 
-    /// Has a heartbeat answered later. One of the same worker that waits already is refused.
+    /// Defers the answer to a heartbeat. An earlier deferred heartbeat of the same worker is refused.
     pub(super) fn defer_answer(&mut self, ticket: u64, heartbeat: Heartbeat) {
         let log = &mut self.reconciliation.lease_log;
         log.record_deferral(self.now, &heartbeat.worker);
@@ -156,13 +159,13 @@
         }
     }
 
-    /// Takes a worker off the record that surely holds nothing any more.
+    /// Removes a worker from the record that certainly has no task instances any more.
     pub(super) fn unfence_worker(&mut self, m: u32) {
         let due = self.now + RELEASE_DELAY_S;
         self.fencing.release(&self.workers[m].name, due);
     }
 
-    /// Adds the pages that are to be written now. Their workers are fenced from here on.
+    /// Adds the pages that are due to a batch. Their workers are fenced from now on.
     pub(super) fn add_fencing_writes(&mut self, batch: &mut WriteBatch) {
         let limit = batch.room_for_values_of(PAGE_BYTES);
         for page in self.fencing.begin_due_writes(self.now, limit) {
@@ -171,7 +174,7 @@
                 if let Some(m) = self.workers.index_of(&entry.worker) {
                     self.workers[m].fenced = true;
                 }
-                bytes += entry.worker.len() + ENTRY_BYTES;
+                bytes += entry.worker.len() + ENTRY_OVERHEAD_BYTES;
             }
             batch.push(self.fencing_write(page), bytes);
         }
@@ -190,7 +193,7 @@
         }
     }
 
-    /// The write of a page has ended.
+    /// Handles the result of writing a page.
     pub(super) fn handle_fencing_result(&mut self, page: u32, written: &Written) {
         match written {
             Written::Stored { version } => self.fencing.confirm_write(page, *version),
--- a/src/coordination/fencing/state.rs
+++ b/src/coordination/fencing/state.rs
@@ -1,4 +1,5 @@
-//! The leader's fencing record on the clock of the core, and the heartbeats that wait for it.
+//! The leader's fencing record, with times on the core's clock, and the heartbeats whose answers are
+//! deferred.
 
 use std::collections::BTreeMap;
 
@@ -8,34 +9,34 @@
 use crate::coordination::time::ceil_ms;
 use crate::protocol::worker::Heartbeat;
 
-/// A worker of a stored page, and when it was last answered at the latest.
+/// A worker of a stored page, and the latest time at which it can have been answered.
 #[derive(Debug, Clone)]
 pub(super) struct AnsweredWorker {
     /// The worker's name.
     pub name: String,
-    /// On the clock of the core.
+    /// Time of the answer on the core's clock.
     pub answered_at: Time,
 }
 
-/// A heartbeat that is answered later.
+/// A heartbeat whose answer is deferred.
 #[derive(Debug)]
 pub(in crate::coordination) struct DeferredHeartbeat {
-    /// Of the request that waits for the answer.
+    /// Ticket of the request that waits for the answer.
     pub ticket: u64,
-    /// The heartbeat as it came.
+    /// The heartbeat as received.
     pub heartbeat: Heartbeat,
 }
 
-/// Which workers are fenced, and which heartbeats wait until theirs may be answered.
+/// The fenced workers and the deferred heartbeats.
 #[derive(Debug)]
 pub(in crate::coordination) struct Fencing {
     record: FencingRecord,
-    /// The last heartbeat of each worker that waits, by its name.
+    /// The latest deferred heartbeat of each worker, by name.
     deferred: BTreeMap<String, DeferredHeartbeat>,
 }
 
 impl Fencing {
-    /// `value_bytes`: what the state service takes as one value at most.
+    /// Creates an empty record. `value_bytes` is the maximum size of a value in the state service.
     pub fn new(value_bytes: usize) -> Self {
         Self {
             record: FencingRecord::new(value_bytes),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Restores a stored page; `None` if it does not parse.
+    /// Restores a stored page. `workers` is `None` if the page does not parse.
     pub(super) fn restore(
         &mut self,
         page: u32,
@@ -63,50 +64,51 @@
         self.record.restore(stored, ceil_ms(now));
     }
 
-    /// An unresponsive worker is to be on the record, by a write that leaves at `due`.
+    /// Adds an unresponsive worker to the record, with a write that is due at `due`.
     pub(super) fn fence(&mut self, worker: &str, answered_at: Time, due: Time) {
         self.record
             .fence(worker, ceil_ms(answered_at), ceil_ms(due));
     }
 
-    /// A worker is to be off the record, by a write that leaves at `due`.
+    /// Removes a worker from the record, with a write that is due at `due`.
     pub fn release(&mut self, worker: &str, due: Time) {
         self.record.release(worker, ceil_ms(due));
     }
 
-    /// Whether the stored record may name a worker: then it is given no answer and no start.
+    /// Whether the stored record may name a worker. Such a worker gets no answers and no starts.
     pub fn is_fenced(&self, worker: &str) -> bool {
         self.record.is_fenced(worker)
     }
 
-    /// The workers that the record is to name.
+    /// The workers that the record should name.
     pub(super) fn wanted_workers(&self) -> impl Iterator<Item = &str> {
         self.record.wanted_workers()
     }
 
-    /// The pages that are to be written now, at most `limit` of them.
+    /// Begins the writes of the pages that are due, at most `limit` of them.
     pub(super) fn begin_due_writes(&mut self, now: Time, limit: usize) -> Vec<PageWrite> {
         self.record.begin_due_writes(ceil_ms(now), limit)
     }
 
-    /// A write was acknowledged.
+    /// Records that a write was acknowledged.
     pub(super) fn confirm_write(&mut self, page: u32, version: u64) {
         self.record.confirm_write(page, version);
     }
 
-    /// A write may or may not have been carried out; the page has this version now.
+    /// Schedules a page to be written again after a write of unknown outcome. `version` is the current
+    /// version of the stored page.
     pub(super) fn retry_write(&mut self, page: u32, version: u64, now: Time) {
         self.record.retry_write(page, version, ceil_ms(now));
     }
 
-    /// Has a heartbeat wait. Returns the one of the same worker that waited before.
+    /// Defers a heartbeat. Returns the previously deferred heartbeat of the same worker, if any.
     pub fn defer(&mut self, ticket: u64, heartbeat: Heartbeat) -> Option<DeferredHeartbeat> {
         let worker = heartbeat.worker.clone();
         let deferred = DeferredHeartbeat { ticket, heartbeat };
         self.deferred.insert(worker, deferred)
     }
 
-    /// The heartbeats that wait, in the order of their workers' names.
+    /// Takes all deferred heartbeats, in the order of the worker names.
     pub fn take_deferred(&mut self) -> BTreeMap<String, DeferredHeartbeat> {
         std::mem::take(&mut self.deferred)
     }
--- a/src/coordination/instances.rs
+++ b/src/coordination/instances.rs
@@ -128,8 +128,8 @@
 
     /// A number that no attempt of any leader has.
     pub(super) fn new_attempt(&mut self) -> u64 {
-        self.next_attempt += 1;
-        self.next_attempt
+        self.last_attempt += 1;
+        self.last_attempt
     }
 
     /// Decides a start. The caller has checked `may_start`.
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -79,7 +79,7 @@
             Ok(m) => m,
             Err(why) => return self.refuse(ticket, &heartbeat, why),
         };
-        let Some(heartbeat) = self.may_answer(m, ticket, heartbeat) else {
+        let Some(heartbeat) = self.defer_if_fenced(m, ticket, heartbeat) else {
             return;
         };
         let newer = self.is_newer(m, &heartbeat);
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -97,7 +97,7 @@
         }
         // The next leader reads from the worker registry which images are where.
         if !known {
-            self.images_changed(m);
+            self.schedule_images_write(m);
         }
     }
 
--- a/src/coordination/registry/mod.rs
+++ b/src/coordination/registry/mod.rs
@@ -1,9 +1,9 @@
-//! The worker registry: which workers may have been given tasks, as the state service keeps it,
-//! so that the next leader can ask each at once which task instances it holds.
+//! The worker registry: the stored list of workers that may have been given tasks. It lets the next
+//! leader ask each of them at once which task instances it has.
 //!
-//! A worker is on a stored page before its first start. Many workers share a page: with a record
-//! for each, the first minute of a site of a thousand workers, and every change of the images
-//! they have, would use up the changes per second that submissions need.
+//! A worker is on a stored page before its first start. Many workers share a page. With one record per
+//! worker, the first minute of a site with a thousand workers, and every change of a worker's images,
+//! would use up the writes per second that job submissions need.
 
 mod pages;
 
@@ -18,19 +18,20 @@
 
 pub(super) use pages::WorkerRegistry;
 
-/// How long a change of a worker's images, which are only a hint, may wait to be written.
+/// Delay before a change of a worker's images is written. The stored images are only a hint.
 const IMAGES_DELAY_S: Time = 10.0;
-/// How long a removal may: a worker too many only costs the next leader a question.
+/// Delay before the removal of a worker is written. A superfluous worker on a page costs the next
+/// leader only one probe.
 const REMOVAL_DELAY_S: Time = 0.3;
-/// Of a write, besides its value.
+/// Size of a write without its value.
 const WRITE_OVERHEAD_BYTES: usize = 100;
-/// Of a worker's record, besides its name, its address and its images.
+/// Size of a worker's record without its name, address and images.
 const RECORD_OVERHEAD_BYTES: usize = 120;
-/// Of an image in a record: quotes and a comma.
+/// Size of the quotes and the comma around an image name in a record.
 const IMAGE_OVERHEAD_BYTES: usize = 3;
 
 impl Core {
-    /// Takes over a page that an earlier leader has stored.
+    /// Restores a page that an earlier leader stored.
     pub(super) fn restore_registry(&mut self, stored: StoredRegistryPage) {
         self.registry.restore_page(stored.page, stored.version);
         let Some(workers) = stored.workers else {
@@ -62,7 +63,7 @@
         self.registry.restore_worker(page, m);
     }
 
-    /// Puts a worker on a page; it may be given tasks once that is stored.
+    /// Adds a worker to a page. It may be given tasks once the page is stored.
     pub(super) fn register_worker(&mut self, m: u32) {
         if self.workers[m].page.is_none() {
             let page = self.registry.add(m, self.now);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// A worker that surely holds nothing, and gets nothing until its next heartbeat.
+    /// Removes a worker that certainly has no task instances and gets none until its next heartbeat.
     pub(super) fn unregister_worker(&mut self, m: u32) {
         self.unfence_worker(m);
         self.workers[m].registered = false;
@@ -79,15 +80,15 @@
         }
     }
 
-    /// The images of a worker have changed.
-    pub(super) fn images_changed(&mut self, m: u32) {
+    /// Schedules a write of the worker's page after a change of its images.
+    pub(super) fn schedule_images_write(&mut self, m: u32) {
         if let Some(page) = self.workers[m].page {
             let due = self.now + IMAGES_DELAY_S;
             self.registry.schedule_write(page, due);
         }
     }
 
-    /// Adds the pages that are to be written now, as long as there is room for them.
+    /// Adds the pages that are due to a batch, as long as there is room.
     pub(super) fn add_registry_writes(&mut self, batch: &mut WriteBatch) {
         for page in self.registry.due_pages(self.now) {
             if !batch.has_room_for_value() {
@@ -115,7 +116,7 @@
         Value::Object(value)
     }
 
-    /// A worker's record, with the most recently used images: as many as there is room for.
+    /// Builds a worker's record, with as many of its most recently used images as there is room for.
     fn worker_record(&self, m: u32) -> WorkerRecord {
         let worker = &self.workers[m];
         let mut record = WorkerRecord {
@@ -125,21 +126,21 @@
             spot: worker.spot,
             images: Vec::new(),
         };
-        let fixed = worker.name.len() + 2 * record.address.len() + RECORD_OVERHEAD_BYTES;
-        let mut left = self.registry.bytes_per_worker().saturating_sub(fixed);
+        let fixed_bytes = worker.name.len() + 2 * record.address.len() + RECORD_OVERHEAD_BYTES;
+        let mut bytes_left = self.registry.bytes_per_worker().saturating_sub(fixed_bytes);
         for &image in worker.images.iter().rev() {
             let name = self.images.name(image);
             let bytes = name.len() + IMAGE_OVERHEAD_BYTES;
-            if bytes > left {
+            if bytes > bytes_left {
                 break;
             }
-            left -= bytes;
+            bytes_left -= bytes;
             record.images.insert(0, name.to_string());
         }
         record
     }
 
-    /// The write of a page has ended.
+    /// Handles the result of writing a page.
     pub(super) fn handle_registry_result(&mut self, page: u32, value: &Value, written: &Written) {
         self.registry.end_write(page);
         match written {
@@ -155,8 +156,8 @@
         }
     }
 
-    /// The workers that a stored page names may be given tasks, but for those that were taken off
-    /// it while it was written.
+    /// Marks the workers on a stored page as registered, so that they may be given tasks. Workers that
+    /// were removed from the page during the write are skipped.
     fn mark_registered(&mut self, page: u32, value: &Value) {
         for name in value.as_object().into_iter().flat_map(|names| names.keys()) {
             if let Some(m) = self.workers.index_of(name)
--- a/src/coordination/registry/pages.rs
+++ b/src/coordination/registry/pages.rs
@@ -1,26 +1,27 @@
-//! The stored pages of the worker registry: who is on which, and which are to be written.
+//! The pages of the worker registry: which workers each one names, and which must be written.
 
 use crate::coordination::model::Time;
 
-/// Room in a stored page for one worker with its images.
+/// Space in a stored page for one worker with its images.
 const BYTES_PER_WORKER: usize = 512;
-/// However large a value may be: a larger page is written whole for one worker more.
-const MAX_PER_PAGE: usize = 32;
-/// The part of a value that a page uses, in tenths.
+/// Maximum number of workers on a page, even if values may be larger: adding one worker rewrites the
+/// whole page.
+const MAX_WORKERS_PER_PAGE: usize = 32;
+/// Share of the maximum value size that a page uses, in tenths.
 const USED_TENTHS: usize = 9;
 
-/// One page, as it is wanted and as it is stored.
+/// One page: its intended content and the state of the stored copy.
 #[derive(Debug, Default)]
 struct Page {
-    /// The workers on it, by index.
+    /// The indices of its workers.
     workers: Vec<u32>,
-    /// Of the stored page, 0 if there is none.
+    /// Version of the stored page, 0 if there is none.
     version: u64,
-    /// When the page is to be written, if it differs from what is stored.
+    /// When the page must be written; `None` if the stored copy is up to date.
     due: Option<Time>,
-    /// A write of it is in flight.
+    /// Whether a write of the page is in flight.
     writing: bool,
-    /// Holds a value that does not parse, which is never overwritten.
+    /// Whether the stored value does not parse. Such a page is never overwritten.
     unreadable: bool,
 }
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// The pages of the worker registry. Workers are given by index.
+/// The pages of the worker registry. Workers are identified by index.
 #[derive(Debug)]
 pub(in crate::coordination) struct WorkerRegistry {
     pages: Vec<Page>,
@@ -39,9 +40,9 @@
 }
 
 impl WorkerRegistry {
-    /// `value_bytes`: what the state service takes as one value at most.
+    /// Creates an empty registry. `value_bytes` is the maximum size of a value in the state service.
     pub fn new(value_bytes: usize) -> Self {
-        let workers_per_page = (value_bytes / BYTES_PER_WORKER).clamp(1, MAX_PER_PAGE);
+        let workers_per_page = (value_bytes / BYTES_PER_WORKER).clamp(1, MAX_WORKERS_PER_PAGE);
         Self {
             pages: Vec::new(),
             workers_per_page,
@@ -49,27 +50,27 @@
         }
     }
 
-    /// Bytes that the record of one worker may take.
+    /// Maximum size of the record of one worker.
     pub fn bytes_per_worker(&self) -> usize {
         self.bytes_per_worker
     }
 
-    /// Takes over a page that an earlier leader has stored, without its workers yet.
+    /// Restores a page that an earlier leader stored, without its workers.
     pub fn restore_page(&mut self, number: u32, version: u64) {
         self.page(number).version = version;
     }
 
-    /// A stored page does not parse.
+    /// Marks a page whose stored value does not parse.
     pub fn mark_unreadable(&mut self, number: u32) {
         self.page(number).unreadable = true;
     }
 
-    /// Takes over a worker that a stored page names.
+    /// Restores a worker that a stored page names.
     pub fn restore_worker(&mut self, number: u32, worker: u32) {
         self.page(number).workers.push(worker);
     }
 
-    /// Puts a worker on the first page with room, to be written by `due`; returns its number.
+    /// Adds a worker to the first page with room, to be written by `due`. Returns the page's number.
     pub fn add(&mut self, worker: u32, due: Time) -> u32 {
         let limit = self.workers_per_page;
         let has_room = |page: &Page| !page.unreadable && page.workers.len() < limit;
@@ -81,19 +82,19 @@
         number
     }
 
-    /// Takes a worker off its page, which is to be written by `due`.
+    /// Removes a worker from its page, to be written by `due`.
     pub fn remove(&mut self, number: u32, worker: u32, due: Time) {
         let page = self.page(number);
         page.workers.retain(|&other| other != worker);
         page.due_by(due);
     }
 
-    /// Has a page written by `due`.
+    /// Schedules a page to be written by `due`.
     pub fn schedule_write(&mut self, number: u32, due: Time) {
         self.page(number).due_by(due);
     }
 
-    /// The numbers of the pages that are to be written now.
+    /// The numbers of the pages that are due to be written.
     pub fn due_pages(&self, now: Time) -> Vec<u32> {
         let is_due = |page: &Page| {
             page.due.is_some_and(|due| due <= now) && !page.writing && !page.unreadable
@@ -111,7 +112,7 @@
         page.map_or(&[], |page| &page.workers)
     }
 
-    /// A write of the page begins; returns the version that guards it.
+    /// Begins a write of a page. Returns the version that the write must be conditional on.
     pub fn begin_write(&mut self, number: u32) -> u64 {
         let page = self.page(number);
         page.due = None;
@@ -119,12 +120,12 @@
         page.version
     }
 
-    /// The write of a page has ended.
+    /// Marks the write of a page as ended.
     pub fn end_write(&mut self, number: u32) {
         self.page(number).writing = false;
     }
 
-    /// What version the stored page has now.
+    /// Sets the version of the stored page.
     pub fn set_version(&mut self, number: u32, version: u64) {
         self.page(number).version = version;
     }
--- a/src/coordination/sharding/balance.rs
+++ b/src/coordination/sharding/balance.rs
@@ -1,5 +1,5 @@
-//! What is done for the shards once a batch: late workers are revoked, unreachable shard owners
-//! lose their workers, and workers move for balance.
+//! Shard maintenance, once per batch: late workers are revoked, workers of unreachable shard owners
+//! are reassigned, and workers move between controllers for balance.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +9,15 @@
 
 use super::Sharding;
 
-/// A worker is revoked so long before it counts as unresponsive: only for workers without a shard
-/// owner does a missing heartbeat prove anything.
+/// A late worker is revoked this long before it counts as unresponsive. A missing heartbeat is
+/// evidence only for a worker without a shard owner.
 const REVOKE_LEAD_S: Time = 0.6;
-/// With more than one of so many workers late, a mass loss is being handled.
+/// More than one late worker in this many is a mass loss.
 const MASS_LOSS_DIVISOR: usize = 50;
+/// Interval between two log lines about the shards.
 const LOG_INTERVAL_S: Time = 30.0;
 
-/// Counts the messages of shard owners between two log lines.
+/// Counts messages of shard owners since the last log line.
 pub(super) struct TrafficLog {
     next_at: Time,
     statuses: u32,
@@ -61,17 +62,17 @@
     }
 }
 
-/// The workers that are late.
+/// The workers to revoke, and whether many are late.
 struct LateWorkers {
-    /// Their numbers, and those of workers whose answers must carry stops.
+    /// Numbers of the workers that are late, and of those whose answers must carry stops.
     to_revoke: Vec<u32>,
-    /// So many are late that a mass loss is being handled.
+    /// Whether so many workers are late that they count as a mass loss.
     is_mass_loss: bool,
 }
 
 impl Core {
-    /// Once a batch: revokes workers that are late, reassigns those of unreachable shard owners,
-    /// moves workers for balance, and ends messages that were lost with their relays.
+    /// Revokes late workers, reassigns workers of unreachable shard owners, moves workers for balance,
+    /// and ends messages that were lost with their relays. Called once per batch.
     pub(in crate::coordination) fn balance_shards(&mut self) {
         if self.sharding.is_none() {
             return;
@@ -95,7 +96,7 @@
         self.answer_deferred_heartbeats();
     }
 
-    /// Only the leader may answer these workers from now on.
+    /// Revokes these workers from their shard owners: only the leader may answer them from now on.
     fn revoke_workers(&mut self, numbers: Vec<u32>) {
         let Some(sharding) = &mut self.sharding else {
             return;
@@ -129,7 +130,7 @@
             let is_late = self.now - last_heartbeat_at > late_after_s;
             let lease_expired = worker.incarnation <= worker.expired_incarnation;
             all += 1;
-            // A worker whose lease has expired is dealt with.
+            // Workers whose lease has expired are already handled and do not count as late.
             late += usize::from(is_late && !lease_expired);
             if is_late || self.requires_stops_in_answers(m) {
                 to_revoke.push(worker.number);
--- a/src/coordination/sharding/mod.rs
+++ b/src/coordination/sharding/mod.rs
@@ -1,9 +1,9 @@
-//! Sharding of the workers among the controllers, on the leader's side: which controller answers
-//! which worker, and which one relays commands to it. The decisions are made by
-//! [`copperfield_sharding`]; this module connects them with the rest of the core.
+//! The leader's side of sharding the workers among the controllers: which controller answers a worker,
+//! and which one relays commands to it. [`copperfield_sharding`] makes these decisions; this module
+//! connects it to the rest of the core.
 //!
 //! `routing` decides where a heartbeat is answered, `status` handles the messages of shard owners,
-//! `relays` the commands that they relay, and `balance` what is done once a batch.
+//! `relays` tracks the commands that they relay, and `balance` does the maintenance of each batch.
 
 mod balance;
 mod relays;
@@ -27,7 +27,7 @@
     /// The names of all controllers, by index.
     controllers: Vec<String>,
     worker_names: BTreeMap<WorkerNumber, String>,
-    /// Numbers are never used twice.
+    /// The number of the next worker. Numbers are never reused.
     next_number: WorkerNumber,
     relayed: RelayedMessages,
     traffic: TrafficLog,
@@ -49,8 +49,8 @@
 }
 
 impl Core {
-    /// Shards the workers among the controllers, all of them by name and zone, of which this one
-    /// has the index `own_index`. To be called before the first step.
+    /// Shards the workers among the controllers. `controllers` lists the name and zone of each, and
+    /// `own_index` is the position of this one. Must be called before the first step.
     pub fn enable_sharding(&mut self, own_index: u32, controllers: &[(&str, &str)]) {
         let zones: Vec<u32> = controllers
             .iter()
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Adds a worker that was not known. Shard owners of an earlier leader may answer it for a TTL
-    /// from the election on, unless it is fenced, so that nobody may.
+    /// Adds a new worker to the shards. Unless it is fenced, shard owners of an earlier leader may
+    /// answer it until one TTL after the election. A fenced worker gets no answers.
     pub(super) fn add_worker_to_shards(&mut self, m: u32) {
         let ttl_s = self.config.tuning.leader_ttl_ms as f64 / 1000.0;
         let Some(sharding) = &mut self.sharding else {
@@ -90,19 +90,19 @@
         worker.number = sharding.add_worker(&worker.name, worker.zone, last_answer);
     }
 
-    /// Removes a worker that is gone.
+    /// Removes a worker from the shards.
     pub(super) fn remove_worker_from_shards(&mut self, m: u32) {
         if let Some(sharding) = &mut self.sharding {
             sharding.remove_worker(self.workers[m].number);
         }
     }
 
-    /// The index of this controller among all.
+    /// The index of this controller among all controllers.
     pub(super) fn own_controller_index(&self) -> u32 {
         self.sharding.as_ref().map_or(0, |s| s.own_index)
     }
 
-    /// This process was paused: shard owners are not late because of that.
+    /// Handles a pause of this process: it does not make shard owners late.
     pub(super) fn shift_shard_statuses(&mut self, pause_s: f64) {
         if let Some(sharding) = &mut self.sharding {
             sharding.coordinator.handle_pause((pause_s * 1000.0) as u64);
--- a/src/coordination/sharding/relays.rs
+++ b/src/coordination/sharding/relays.rs
@@ -1,4 +1,4 @@
-//! Commands that other controllers relay to workers.
+//! Commands that other controllers relay to workers for the leader.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,9 @@
 
 use super::Sharding;
 
-/// A message that a relay accepted and reports no outcome of for so long is lost with the relay.
+/// A relayed message without an outcome after this time counts as lost with its relay.
 const RELAY_TIMEOUT_S: Time = 3.0;
-/// A worker that did not answer is probed again after so long, if no other controller can do so.
+/// Delay before a worker that did not answer is probed again, if no other controller can probe it.
 const PROBE_RETRY_S: Time = 1.0;
 
 struct RelayedMessage {
@@ -19,7 +19,7 @@
     sent_at: Time,
 }
 
-/// The messages that relays have and whose outcome is not known.
+/// Messages that were sent through relays and whose outcome is not known.
 #[derive(Default)]
 pub(super) struct RelayedMessages {
     by_id: BTreeMap<u64, RelayedMessage>,
@@ -31,7 +31,7 @@
         self.by_id.insert(message_id, message);
     }
 
-    /// Removes a message and returns the worker that it is for.
+    /// Removes a message and returns the worker it was sent to.
     pub(super) fn remove(&mut self, message_id: u64) -> Option<String> {
         Some(self.by_id.remove(&message_id)?.worker)
     }
@@ -44,32 +44,32 @@
 }
 
 impl Core {
-    /// The controller that relays messages to a worker, `None` if this one sends them itself.
+    /// The controller that relays messages to a worker, or `None` if the leader sends them itself.
     pub(in crate::coordination) fn relay_for(&self, m: u32) -> Option<u32> {
         let sharding = self.sharding.as_ref()?;
         let worker = &self.workers[m];
         let now = ceil_ms(self.now);
         let owner = sharding.coordinator.owner_relay(worker.number, now);
         match worker.missed() {
-            // A new leader probes the workers without a shard owner with the help of all others.
+            // A new leader spreads the probes of workers without a shard owner over all controllers.
             Unanswered {
                 own: false,
                 relayed: false,
             } if owner.is_none() && !worker.reconciled => {
                 sharding.coordinator.relay_or_leader(worker.number, now)
             }
-            // The other way next, as either controller may reach what the other does not, and by
-            // turns from then on.
+            // After a failure the other path is tried, since either controller may reach workers
+            // that the other does not. Once both have failed, they alternate.
             Unanswered { own, relayed } if own || relayed => {
-                let by_other = !relayed || (own && self.next_message_id.is_multiple_of(2));
-                by_other.then(|| sharding.coordinator.any_relay(worker.number, now))?
+                let use_relay = !relayed || (own && self.next_message_id.is_multiple_of(2));
+                use_relay.then(|| sharding.coordinator.any_relay(worker.number, now))?
             }
             _ => owner,
         }
     }
 
-    /// Whether a worker has answered neither this controller nor, if one can relay, another. A
-    /// leader that alone has lost its connections must not take good workers for lost.
+    /// Whether a worker has answered neither this controller nor, if another can relay, that one. A
+    /// leader that alone has lost its connections to the workers must not treat them as lost.
     pub(in crate::coordination) fn is_unreachable_by_all(&self, m: u32) -> bool {
         let Unanswered { own, relayed } = self.workers[m].missed();
         own && (relayed || !self.has_relay(m))
@@ -81,7 +81,8 @@
         self.sharding.as_ref().and_then(relay).is_some()
     }
 
-    /// When a worker that has not answered is probed next: at once, if by another controller.
+    /// When a worker that has not answered is probed next: at once if only one of the two paths, direct
+    /// and relayed, has failed and a relay is available.
     pub(in crate::coordination) fn next_probe_at(&self, m: u32) -> Time {
         let Unanswered { own, relayed } = self.workers[m].missed();
         if own != relayed && self.has_relay(m) {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Records that a message is sent through another controller.
+    /// Records that a message is sent through a relay.
     pub(in crate::coordination) fn record_relayed_message(&mut self, m: u32, message_id: u64) {
         if let Some(sharding) = &mut self.sharding {
             let worker = self.workers[m].name.clone();
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Records whether a worker has answered a message.
+    /// Records whether a worker answered a command.
     pub(in crate::coordination) fn record_command_result(&mut self, m: u32, answered: bool) {
         if let Some(sharding) = &mut self.sharding {
             let (now, number) = (ceil_ms(self.now), self.workers[m].number);
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Handles messages that a relay did not accept, all with the same outcome.
+    /// Handles messages that a relay did not accept; all have the same outcome.
     pub(in crate::coordination) fn handle_relay_failure(
         &mut self,
         controller: u32,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Ends the messages whose relays have reported nothing for too long.
+    /// Ends messages without an outcome after [`RELAY_TIMEOUT_S`].
     pub(super) fn expire_relayed_messages(&mut self) {
         let Some(sharding) = &self.sharding else {
             return;
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Ends a message that a relay has lost, which does not count against the worker.
+    /// Ends a message that a relay lost. The worker does not count as having failed to answer.
     fn end_relayed_message(&mut self, message_id: u64, outcome: Outcome) {
         let sharding = self.sharding.as_mut();
         let Some(name) = sharding.and_then(|s| s.relayed.remove(message_id)) else {
--- a/src/coordination/sharding/routing.rs
+++ b/src/coordination/sharding/routing.rs
@@ -1,4 +1,4 @@
-//! Which controller answers a worker's heartbeats, and since when none may.
+//! Decides which controller answers a worker's heartbeats, and bounds when it was last answered.
 
 use copperfield_sharding::{AnswerPermission, Route};
 
@@ -8,13 +8,13 @@
 use crate::coordination::state::Core;
 use crate::coordination::time::ceil_ms;
 
-/// A worker that still runs a task of a job that has been ending for so long is answered by the
-/// leader alone: its answers carry commands, and without answers the worker's lease expires.
+/// If a worker still runs a task this long after the task's job began to end, only the leader may
+/// answer it. The leader's answers carry the stops; without answers the worker's lease expires.
 const STOP_TIMEOUT_S: Time = 6.0;
 
 impl Core {
-    /// When a worker may last have been answered, by any controller. `None`: a shard owner may
-    /// answer it now.
+    /// The latest time at which any controller can have answered a worker, or `None` if a shard owner
+    /// may answer it now.
     pub(in crate::coordination) fn latest_possible_answer(&self, worker: &Worker) -> Option<Time> {
         let own = worker.answered_at.unwrap_or(self.elected_at);
         let Some(sharding) = &self.sharding else {
@@ -24,13 +24,14 @@
         Some(own.max(others as f64 / 1000.0))
     }
 
-    /// The shard owner of a worker, `None` if only this controller may answer it.
+    /// The shard owner of a worker, or `None` if only this controller may answer it.
     pub(in crate::coordination) fn shard_owner_of(&self, m: u32) -> Option<u32> {
         let sharding = self.sharding.as_ref()?;
         sharding.coordinator.shard_owner(self.workers[m].number)
     }
 
-    /// The name of the controller that answers a worker, where workers are sharded.
+    /// The name of the controller that answers a worker. `None` if workers are not sharded, or if the
+    /// worker has no shard owner and is unresponsive.
     pub(in crate::coordination) fn answering_controller(&self, m: u32) -> Option<&str> {
         let sharding = self.sharding.as_ref()?;
         let index = match self.shard_owner_of(m) {
@@ -44,7 +45,7 @@
     /// Which controllers may be assigned a worker now.
     pub(super) fn answer_permission(&self, m: u32) -> AnswerPermission {
         if self.fencing.is_fenced(&self.workers[m].name) {
-            // While all peers extend its lease, the leader itself may answer fenced workers.
+            // Under a lease extension by all peers, the leader itself may answer fenced workers.
             return if self.now < self.lease_extended_until {
                 AnswerPermission::LeaderOnly
             } else {
@@ -58,10 +59,11 @@
         }
     }
 
-    /// Whether a worker's lease may be renewed only together with its stops: it still runs a task of
-    /// a job that has been ending for long, or of one that this leader does not know, so that it may
-    /// have ended at any time. Counted from when the job began to end and not from the order to this
-    /// instance, of which the leader may have learned only now.
+    /// Whether a worker's lease may be renewed only by answers that carry its stops. This is the case if
+    /// it still runs a task of a job that began to end more than [`STOP_TIMEOUT_S`] ago, or of a job
+    /// that this leader does not know, which may have ended at any time. The time counts from when the
+    /// job began to end and not from the stop command to this instance, because the leader may have
+    /// learned of the instance only now.
     pub(super) fn requires_stops_in_answers(&self, m: u32) -> bool {
         let worker = &self.workers[m];
         let runs_ended_task = |(id, instance): (&InstanceId, &TaskInstance)| {
@@ -72,8 +74,8 @@
         worker.running_orphans().next().is_some() || worker.instances.iter().any(runs_ended_task)
     }
 
-    /// Where a heartbeat that the controller `at` received is to be answered. `waits`: its worker
-    /// waits for the answer there and now.
+    /// Decides where a heartbeat that controller `at` received is answered. `waits` tells whether the
+    /// worker's request is still open at that controller.
     pub(in crate::coordination) fn route_heartbeat(
         &mut self,
         m: u32,
@@ -81,7 +83,7 @@
         waits: bool,
     ) -> Route {
         let permission = self.answer_permission(m);
-        let before = self.shard_owner_of(m);
+        let previous_owner = self.shard_owner_of(m);
         let number = self.workers[m].number;
         let Some(sharding) = &mut self.sharding else {
             return Route::Here;
@@ -91,7 +93,7 @@
             .coordinator
             .handle_heartbeat(now, number, at, permission, waits);
         let owner = sharding.coordinator.shard_owner(number);
-        if owner != before {
+        if owner != previous_owner {
             let worker = &self.workers[m].name;
             let log = &mut self.reconciliation.lease_log;
             log.record_assignment(self.now, worker, owner, "heartbeat");
@@ -99,14 +101,15 @@
         route
     }
 
-    /// Answers the heartbeats that were deferred while another controller might still answer their
-    /// workers, or while these were fenced.
+    /// Answers deferred heartbeats whose workers are no longer fenced and can no longer be answered by
+    /// another controller. Workers that have a shard owner by now are redirected to it; the other
+    /// heartbeats stay deferred.
     pub(in crate::coordination) fn answer_deferred_heartbeats(&mut self) {
         for (name, DeferredHeartbeat { ticket, heartbeat }) in self.fencing.take_deferred() {
             let fenced = self.fencing.is_fenced(&name) && self.now >= self.lease_extended_until;
             let m = self.workers.index_of(&name);
             if let Some(controller) = m.and_then(|m| self.shard_owner_of(m)) {
-                // The worker has reported to another controller meanwhile.
+                // The worker has since reported to another controller.
                 self.effects
                     .push(Effect::RedirectWorker { ticket, controller });
                 continue;
--- a/src/coordination/sharding/status.rs
+++ b/src/coordination/sharding/status.rs
@@ -1,4 +1,4 @@
-//! The messages of shard owners: their statuses, and the heartbeats that they forward.
+//! Handles the messages of shard owners: their statuses and the heartbeats they forward.
 
 use copperfield_sharding::Route;
 
@@ -9,12 +9,12 @@
 use crate::protocol::peer::{ForwardedHeartbeat, ShardStatus, ShardUpdate};
 use crate::protocol::worker::Heartbeat;
 
-/// A new leader waits so long for the heartbeats that shard owners have buffered before it probes
-/// workers itself.
+/// How long a new leader waits for the heartbeats that shard owners have buffered before it probes
+/// the workers itself.
 const FORWARDING_WAIT_S: Time = 0.12;
 
 impl Core {
-    /// Handles the status of a shard owner, and answers it.
+    /// Handles the status of a shard owner and answers it.
     pub(in crate::coordination) fn handle_shard_status(
         &mut self,
         ticket: u64,
@@ -25,7 +25,8 @@
             .push(Effect::AnswerShardStatus { ticket, update });
     }
 
-    /// `None` for a status of no peer, or one that is not newer than the last.
+    /// Applies a status. Returns `None` if the sender is not a peer or the status is not newer than its
+    /// last one.
     fn apply_shard_status(&mut self, status: ShardStatus) -> Option<ShardUpdate> {
         let now = ceil_ms(self.now);
         let valid_for = ceil_ms(self.valid_until - self.now).saturating_sub(1);
@@ -35,12 +36,16 @@
             return None;
         }
         sharding.traffic.record_status(status.forwarded.len());
-        // First of all: what is reported of workers that it has released is routed by that.
-        let (owner_status, forwarded_all) = (&status.owner_status, status.all);
-        let lease =
-            sharding
-                .coordinator
-                .handle_status(now, from, owner_status, forwarded_all, valid_for);
+        // The owner status is applied first, because heartbeats of workers that the owner has released
+        // are routed by it.
+        let (owner_status, has_forwarded_all) = (&status.owner_status, status.all);
+        let lease = sharding.coordinator.handle_status(
+            now,
+            from,
+            owner_status,
+            has_forwarded_all,
+            valid_for,
+        );
         for (message_id, outcome) in status.outcomes {
             let sharding = self.sharding.as_mut()?;
             if let Some(worker) = sharding.relayed.remove(message_id) {
@@ -56,7 +61,7 @@
         }
         let mut shard_lease = lease?;
         let sharding = self.sharding.as_ref()?;
-        // The heartbeats may have led to more changes.
+        // Handling the heartbeats may have added changes.
         shard_lease.changes = sharding.coordinator.pending_changes(from);
         let names = shard_lease
             .assigned_workers()
@@ -69,8 +74,7 @@
         })
     }
 
-    /// Handles the heartbeats that this controller had buffered as a shard owner before it was
-    /// elected.
+    /// Handles the heartbeats that this controller buffered as a shard owner before it was elected.
     pub(in crate::coordination) fn handle_buffered_heartbeats(
         &mut self,
         buffered: Vec<ForwardedHeartbeat>,
@@ -83,8 +87,8 @@
         }
     }
 
-    /// Handles a heartbeat that a shard owner received. `is_outdated`: the status that forwards it
-    /// is. Returns the controller to which its worker is redirected, if it is.
+    /// Handles a heartbeat that a shard owner received. `is_outdated` tells whether the status that
+    /// forwards it is outdated. Returns the controller to which the worker is redirected, if any.
     fn handle_forwarded_heartbeat(
         &mut self,
         from: u32,
@@ -120,7 +124,7 @@
         }
     }
 
-    /// Applies a heartbeat as of when it came in.
+    /// Applies a forwarded heartbeat with the time at which the shard owner received it.
     fn apply_forwarded_heartbeat(&mut self, m: u32, heartbeat: Heartbeat, received_at: Time) {
         let worker = &self.workers[m];
         let (answered_at, last_heartbeat_at) = (worker.answered_at, worker.last_heartbeat_at);
@@ -129,14 +133,15 @@
         let worker = &mut self.workers[m];
         worker.last_heartbeat_at = last_heartbeat_at;
         if worker.incarnation > incarnation {
-            // It had begun by then. Answers of any controller since are bounded by the shards.
+            // The incarnation had begun by the time of the heartbeat. Later answers by other controllers
+            // are bounded by the shard coordinator.
             worker.answered_at = answered_at.or_later(received_at);
         }
         self.queue_follow_up(m);
     }
 
-    /// Queues the commands that a heartbeat leads to. The shard owner's answer carries none, so
-    /// they leave with the next direct message.
+    /// Queues the commands that follow from a heartbeat. A shard owner's answer carries no commands, so
+    /// they are sent with the next direct message.
     fn queue_follow_up(&mut self, m: u32) {
         if self.workers[m].in_flight.is_some() {
             return;
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -1,5 +1,5 @@
-//! All that the leader's core keeps. The modules of [`crate::coordination`] each own a part of it
-//! and of what is done with it.
+//! The state of the leader's core. Each module of [`crate::coordination`] owns a part of the state and
+//! the operations on it.
 
 use std::collections::BTreeMap;
 
@@ -21,88 +21,91 @@
 pub use super::team_table::TeamUsage;
 use super::worker_table::WorkerTable;
 
-/// Tasks that come within this time are placed together.
+/// Interval of placement batches: tasks that arrive within it are placed together.
 pub const BATCH_INTERVAL_S: f64 = 0.2;
 
-/// A task is not moved within this time of its start if that can be avoided: by the
-/// objectives a start counts only if the task then runs for half a minute.
+/// A task is not moved within this time of its start if that can be avoided, because a start counts
+/// towards the objectives only if the task then runs for half a minute.
 pub(super) const MIN_RUN_BEFORE_MOVE_S: f64 = 35.0;
 
-/// The settings that the core works by.
+/// The settings of the core.
 pub struct Config {
-    /// The cluster, as all controllers have it.
+    /// The cluster settings, which are the same for all controllers.
     pub cluster: Cluster,
-    /// How the scheduler decides.
+    /// Parameters of the scheduler's decisions.
     pub tuning: Tuning,
 }
 
-/// All that the leader keeps. Each part of [`crate::coordination`] owns some of the fields; the
-/// tables and the types of single parts keep theirs private.
+/// The leader's core. Each module of [`crate::coordination`] owns some of the fields; the fields of
+/// the tables and of the types that belong to a single module are private.
 pub struct Core {
-    /// The settings that it works by.
+    /// The settings.
     pub config: Config,
-    /// Its fencing token.
+    /// The leader's fencing token.
     pub token: u64,
-    /// When it was elected.
+    /// When the leader was elected.
     pub(super) elected_at: Time,
-    /// Its election, later by the pauses of this process since.
+    /// The time from which this leader expects heartbeats: its election, shifted by the length of all
+    /// pauses of this process since.
     pub(super) expecting_heartbeats_since: Time,
-    /// Since when this leader has been valid without a break, as far as its steps tell.
+    /// Since when this leader has been valid without interruption, judged by the gaps between its steps.
     pub(super) valid_since: Time,
     /// The time of the current step.
     pub(super) now: Time,
     /// Zones by index.
     pub(super) zones: Interner,
-    /// Instance types by index.
+    /// Machine types by index.
     pub(super) types: Types,
     /// Images by index.
     pub(super) images: Images,
-    /// Teams by index, and what they use.
+    /// Teams by index, with their usage.
     pub(super) teams: TeamTable,
     /// Jobs by index and id.
     pub(super) jobs: JobTable,
     /// Workers by index and name.
     pub(super) workers: WorkerTable,
-    /// What the cloud is asked for.
+    /// Requests to the cloud: scaling out and in.
     pub(super) provisioning: Provisioning,
-    /// Kinds of tasks that take most of a worker, by index.
+    /// Profiles of tasks that need most of a worker, by index.
     pub(super) large_task_profiles: Vec<LargeTaskProfile>,
-    /// Scheduling classes and their indices.
+    /// Index of each scheduling class.
     pub(super) scheduling_classes: BTreeMap<SchedulingClass, u32>,
-    /// Where the last batch left off among the jobs that it had no time for.
+    /// Position at which the next batch continues among the jobs that do not fit every batch.
     pub(super) next_tail_job: usize,
-    /// The last attempt number that was used.
-    pub(super) next_attempt: u64,
+    /// The last attempt number used.
+    pub(super) last_attempt: u64,
     /// The id of the next direct message.
     pub(super) next_message_id: u64,
-    /// What this step has decided.
+    /// Effects of the current step.
     pub(super) effects: Vec<Effect>,
-    /// What waits to be written to the state service.
+    /// Changes that wait to be written to the state service.
     pub(super) write_queue: WriteQueue,
+    /// The worker registry and the state of its stored pages.
     pub(super) registry: WorkerRegistry,
-    /// Unresponsive workers that this leader does not answer, and their heartbeats that wait.
+    /// Fenced workers, and heartbeats whose answers are deferred.
     pub(super) fencing: Fencing,
-    /// Where other nodes speak with some of the workers.
+    /// Assignment of workers to controllers, if workers are sharded.
     pub(super) sharding: Option<Sharding>,
     /// Until when the votes of all peers extend this leader's lease.
     pub lease_extended_until: Time,
-    /// Until when this leader is valid, for the shard leases that it grants.
+    /// Until when this leader is valid, which bounds the shard leases that it grants.
     pub valid_until: Time,
-    /// When waiting tasks are placed next.
+    /// Time of the next placement batch.
     pub(super) next_batch: Time,
-    /// When the work of every second is done next.
+    /// Time of the next periodic work, which is done once per second.
     pub(super) next_periodic_work: Time,
-    /// When leases and unresponsive workers are looked at next.
+    /// Time of the next check for expired leases and unresponsive workers.
     pub(super) next_lease_check: Time,
-    /// For how many seconds replicas may still be away for migrations.
+    /// Remaining downtime in seconds that replicas may have for migrations.
     pub(super) replica_downtime_budget_s: f64,
-    /// Task migrations under way, and what is remembered of earlier ones.
+    /// Task migrations in progress, and records of earlier ones.
     pub(super) migrations: Migrations,
-    /// Workers that operators drain, by name; they may be unknown yet.
+    /// Drains requested by operators, by worker name. The workers may not be known yet.
     pub(super) drains: BTreeMap<String, Drain>,
-    /// What is not known yet of the task instances of earlier leaders.
+    /// Reconciliation of the task instances that earlier leaders started.
     pub(super) reconciliation: Reconciliation,
-    /// Statistics of the failover, while it lasts.
+    /// Statistics of the failover, until it is complete.
     pub(super) failover: Option<FailoverStats>,
+    /// Number of tasks in one stored chunk of a job's progress.
     pub(super) tasks_per_chunk: u32,
 }
--- a/tests/cancellation.rs
+++ b/tests/cancellation.rs
@@ -15,7 +15,7 @@
 /// How many jobs are cancelled in one run; each would run for longer than that.
 const JOBS: usize = 6;
 /// When the tasks of all jobs are running.
-const SETTLED_S: f64 = 12.0;
+const RUNNING_BY_S: f64 = 12.0;
 /// The leader's TTL in the simulated world, in steps of the sweep.
 const TTL_STEPS: u32 = 30;
 const STEP_S: f64 = 0.05;
@@ -42,10 +42,10 @@
         for i in 1..=JOBS {
             let id = format!("wk-{i:06}");
             let body = job(i, "sweep", 2, json!({"cpus": 1.0}));
-            let cancel = SETTLED_S - 1.2 + 0.3 * i as f64;
+            let cancel = RUNNING_BY_S - 1.2 + 0.3 * i as f64;
             tokio::spawn(submit_and_cancel_at(world.clone(), id, body, cancel));
         }
-        sleep(Duration::from_secs_f64(SETTLED_S - 0.4)).await;
+        sleep(Duration::from_secs_f64(RUNNING_BY_S - 0.4)).await;
         if acknowledgements == Acknowledgements::Lost {
             world.lock().unwrap().answers_lost = 1.0;
         }
