--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -68,7 +68,7 @@
             provisioning,
             large_task_profiles: Vec::new(),
             scheduling_classes: BTreeMap::new(),
-            next_in_tail: 0,
+            batch_tail_offset: 0,
             // Unique across leaders: no two have the same token.
             next_attempt: (token << 24) + 1,
             next_message_id: 1,
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -183,7 +183,7 @@
         for id in ids {
             let instance = self.workers[m].instances.get(&id);
             if instance.is_some_and(|instance| instance.possible() && instance.stop.is_none()) {
-                self.stop_in_order(m, id);
+                self.stop_gracefully(m, id);
             }
         }
     }
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -131,7 +131,7 @@
                         && self.worker_suits_profile(&self.large_task_profiles[s as usize], m)
                         && !self.worker_holds_profile(s, m)
                 })
-                .filter_map(|m| self.drained_in(&needs, m).map(|t| (t, m)))
+                .filter_map(|m| self.seconds_until_room(&needs, m).map(|t| (t, m)))
                 .collect();
             choices.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
             for (_, m) in choices.into_iter().take(expected - kept.len()) {
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -9,14 +9,14 @@
 const GATHER_CLAIM_S: f64 = 2.5 * WINDOW_S;
 
 /// A grace that surely covers the time a task says it needs to save.
-pub(super) fn grace_to_save(save_s: f64) -> f64 {
+pub(super) fn checkpoint_grace_s(save_s: f64) -> f64 {
     save_s * 1.5 + 1.0
 }
 
 impl Core {
     /// A task of a gang's attempt is gone without being done: the rest of the
     /// attempt is of no use, and leaves before the next one starts.
-    pub(super) fn gang_lost_task(&mut self, key: InstanceId) {
+    pub(super) fn abort_gang_attempt(&mut self, key: InstanceId) {
         let Some(job) = self.jobs.get(key.job) else {
             return;
         };
@@ -35,7 +35,7 @@
     /// All that may hold something of an old gang has been heard. An earlier leader may have ended
     /// between two orders of a start or of a stop: what is there of an attempt that is not whole
     /// would hold its places, and the next attempt back, until it gives up by itself.
-    pub(super) fn end_broken_attempts(&mut self, ix: u32) {
+    pub(super) fn abort_partial_attempts(&mut self, ix: u32) {
         let mut tasks: BTreeMap<u64, BTreeSet<u32>> = BTreeMap::new();
         for m in self.workers.indices() {
             for key in self.instances_of(m, ix) {
@@ -47,7 +47,7 @@
         let all = self.jobs[ix].spec.tasks as usize;
         for (attempt, _) in tasks.into_iter().filter(|(_, t)| t.len() < all) {
             tracing::info!(job = %self.jobs[ix].spec.id, attempt, "an inherited attempt is broken");
-            self.gang_lost_task(InstanceId {
+            self.abort_gang_attempt(InstanceId {
                 job: ix,
                 task: 0,
                 attempt,
@@ -57,7 +57,7 @@
 
     /// Orderly: every task is told in the same step, with the time to save.
     pub(super) fn stop_gang(&mut self, ix: u32) {
-        let grace = grace_to_save(self.jobs[ix].spec.save_s);
+        let grace = checkpoint_grace_s(self.jobs[ix].spec.save_s);
         for m in self.workers.indices() {
             for key in self.instances_of(m, ix) {
                 self.stop_instance(m, key, grace);
@@ -66,21 +66,21 @@
     }
 
     /// Stops a copy with the time to save, and a gang as a whole.
-    pub(super) fn stop_in_order(&mut self, m: u32, key: InstanceId) {
-        if self.is_whole_gang(key.job) {
+    pub(super) fn stop_gracefully(&mut self, m: u32, key: InstanceId) {
+        if self.is_multi_task_gang(key.job) {
             self.stop_gang(key.job);
         } else {
-            self.stop_instance(m, key, self.grace_of(key.job));
+            self.stop_instance(m, key, self.stop_grace_s(key.job));
         }
     }
 
     /// The worker will be taken: what can save does so now, gangs as a whole.
     /// What cannot save runs on, and may finish before.
-    pub(super) fn save_before_reclaim(&mut self, m: u32) {
+    pub(super) fn checkpoint_before_reclaim(&mut self, m: u32) {
         let keys: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
         for key in keys {
-            if self.grace_of(key.job) > 0.0 {
-                self.stop_in_order(m, key);
+            if self.stop_grace_s(key.job) > 0.0 {
+                self.stop_gracefully(m, key);
             }
         }
     }
@@ -148,7 +148,7 @@
             if held_by_zone.iter().all(|&h| h) {
                 return;
             }
-            if !self.is_whole_gang(ix)
+            if !self.is_multi_task_gang(ix)
                 || self.jobs[ix].active > 0
                 || self.jobs[ix].waiting() == 0
                 || !self.has_deadline_boost(ix)
@@ -198,7 +198,7 @@
             .into_iter()
             .filter(|&m| self.workers[m].zone == zone && self.reservable(ix, m))
             .filter(|&m| self.workers[m].reservations.iter().all(yields))
-            .filter_map(|m| Some((self.drained_in(&job.spec.needs, m)?, m)))
+            .filter_map(|m| Some((self.seconds_until_room(&job.spec.needs, m)?, m)))
             .collect();
         workers.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let tasks = job.spec.tasks as usize;
@@ -220,7 +220,7 @@
         for (task, &m) in (0u32..).zip(places) {
             if !self.may_start(ix, task, m) {
                 tracing::error!(job = %self.jobs[ix].spec.id, "a planned gang does not fit");
-                self.gang_lost_task(InstanceId {
+                self.abort_gang_attempt(InstanceId {
                     job: ix,
                     task,
                     attempt,
--- a/src/coordination/instances.rs
+++ b/src/coordination/instances.rs
@@ -86,7 +86,7 @@
         let ids: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
         for id in ids {
             self.remove_instance(m, id);
-            self.gang_lost_task(id);
+            self.abort_gang_attempt(id);
         }
         let worker = &mut self.workers[m];
         worker.outbox.clear();
@@ -198,7 +198,7 @@
             .collect();
         for id in queued {
             self.unqueue(m, id);
-            self.gang_lost_task(id);
+            self.abort_gang_attempt(id);
         }
     }
 }
--- a/src/coordination/migration/mod.rs
+++ b/src/coordination/migration/mod.rs
@@ -102,7 +102,7 @@
     fn migrate_for(&mut self, ix: u32) -> Result<usize, Obstacle> {
         let job = &self.jobs[ix];
         let id = job.spec.id;
-        let whole = self.is_whole_gang(ix);
+        let whole = self.is_multi_task_gang(ix);
         let certain = self.certain_reservations(ix);
         let startable = job.waiting().min(self.canaries(ix));
         let tasks = startable.saturating_sub(certain.len() as u32);
@@ -194,7 +194,7 @@
             let prospects = self.prospects(id, instance);
             if instance.stop.is_some() || prospects.ends_in_s <= SOON_S {
                 room.add(&spec.needs);
-            } else if spec.priority < priority && !self.is_whole_gang(id.job) {
+            } else if spec.priority < priority && !self.is_multi_task_gang(id.job) {
                 let cost = self.weight(id.job) * (prospects.lost_s + MOVE_S);
                 victims.push((cost, *id));
             }
@@ -205,7 +205,7 @@
                 return;
             }
             room.add(&self.jobs[id.job].spec.needs);
-            self.stop_in_order(m, id);
+            self.stop_gracefully(m, id);
         }
     }
 
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -50,7 +50,7 @@
         let mut workers = self.workers.indices();
         workers.retain(is_reserved);
         workers.retain(|&m| {
-            let drained_in_s = self.drained_in(&job.spec.needs, m);
+            let drained_in_s = self.seconds_until_room(&job.spec.needs, m);
             is_being_freed(m) || drained_in_s.is_some_and(|s| s <= SOON_S)
         });
         workers
@@ -64,7 +64,7 @@
             let is_own = |reservation: &Reservation| reservation.job == ix;
             if self.reservable(ix, m)
                 && self.workers[m].reservations.iter().all(is_own)
-                && let Some(drained_in_s) = self.drained_in(&job.spec.needs, m)
+                && let Some(drained_in_s) = self.seconds_until_room(&job.spec.needs, m)
             {
                 let zone = if job.spec.one_zone {
                     self.workers[m].zone
@@ -232,7 +232,7 @@
     fn preemptible(&self, m: u32, kind: &MachineType, price: f64) -> Vec<defrag::Yield> {
         let instances = self.workers[m].instances.iter();
         let stoppable = instances.filter(|(id, instance)| {
-            instance.possible() && instance.stop.is_none() && !self.is_whole_gang(id.job)
+            instance.possible() && instance.stop.is_none() && !self.is_multi_task_gang(id.job)
         });
         let mut preemptible: Vec<defrag::Yield> = stoppable
             .map(|(id, instance)| {
@@ -253,7 +253,7 @@
     fn planned_work(&self, ix: u32, migrating: u32) -> defrag::Work {
         let job = &self.jobs[ix];
         let away_share = self.config.tuning.defragmentation.away_share;
-        let gang = self.is_whole_gang(ix);
+        let gang = self.is_multi_task_gang(ix);
         let max_away = if gang {
             job.spec.tasks
         } else {
--- a/src/coordination/migration/prospects.rs
+++ b/src/coordination/migration/prospects.rs
@@ -1,6 +1,6 @@
 //! What a stop of a task instance would cost, and whether it may be migrated now.
 
-use crate::coordination::gangs::grace_to_save;
+use crate::coordination::gangs::checkpoint_grace_s;
 use crate::coordination::model::*;
 use crate::coordination::state::{Core, SETTLED_S};
 use crate::protocol::worker::TaskPhase;
@@ -79,10 +79,10 @@
     /// From the order to stop a task of a job until it is surely gone.
     pub(super) fn stop_s(&self, ix: u32) -> f64 {
         let workers = &self.config.cluster.workers;
-        let grace_s = if self.is_whole_gang(ix) {
-            grace_to_save(self.jobs[ix].spec.save_s) + workers.gang_peer_s
+        let grace_s = if self.is_multi_task_gang(ix) {
+            checkpoint_grace_s(self.jobs[ix].spec.save_s) + workers.gang_peer_s
         } else {
-            self.grace_of(ix)
+            self.stop_grace_s(ix)
         };
         grace_s + workers.heartbeat_interval_s * HEARTBEAT_JITTER + PROOF_S
     }
--- a/src/coordination/migration/start.rs
+++ b/src/coordination/migration/start.rs
@@ -26,14 +26,14 @@
         let victims = self.hold_targets(view, moves, wanted_by)?;
         // The same instance may be preempted for two migrations: one stop does for both.
         for (m, id) in victims {
-            self.stop_in_order(m, id);
+            self.stop_gracefully(m, id);
         }
         let mut leaving = Vec::new();
         for planned in moves {
             leaving.push(self.start_migration(view, planned, wanted_by));
         }
         for (m, id) in leaving {
-            self.stop_in_order(m, id);
+            self.stop_gracefully(m, id);
         }
         Ok(())
     }
@@ -64,7 +64,7 @@
                 }
                 return Err(Obstacle::TargetRoomGone);
             };
-            let stop_s = self.stop_s(ix) + self.grace_for(&preemption.victims);
+            let stop_s = self.stop_s(ix) + self.longest_stop_grace_s(&preemption.victims);
             let start_s = self.start_s(ix, target);
             self.hold(target, ix, stop_s + start_s);
             held.push((target, ix));
--- a/src/coordination/placement/leftovers.rs
+++ b/src/coordination/placement/leftovers.rs
@@ -7,7 +7,7 @@
 impl Core {
     /// Starts tasks of a job wherever they fit, on the workers it values most first.
     pub(super) fn place_leftovers(&mut self, ix: u32) {
-        if self.is_whole_gang(ix) {
+        if self.is_multi_task_gang(ix) {
             return;
         }
         let mut left = self.jobs[ix]
--- a/src/coordination/placement/market.rs
+++ b/src/coordination/placement/market.rs
@@ -102,7 +102,7 @@
     fn bidding_group(&self, ix: u32, supply: &Supply) -> Option<BidderGroup> {
         let job = &self.jobs[ix];
         let demand = job.waiting().min(MAX_TASKS_PER_JOB).min(self.canaries(ix));
-        if demand == 0 || self.is_whole_gang(ix) {
+        if demand == 0 || self.is_multi_task_gang(ix) {
             return None;
         }
         let (cpu_slots, gpu_slots) =
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -39,14 +39,14 @@
 
     /// Whether a job is a gang of several tasks, which is placed as a whole; a gang of one is like
     /// any task.
-    pub(super) fn is_whole_gang(&self, ix: u32) -> bool {
+    pub(super) fn is_multi_task_gang(&self, ix: u32) -> bool {
         let job = &self.jobs[ix];
         job.is_gang() && job.spec.tasks > 1
     }
 
     fn place_gangs(&mut self, batch: &[u32]) {
         for &ix in batch {
-            if self.is_whole_gang(ix)
+            if self.is_multi_task_gang(ix)
                 && self.jobs[ix].waiting() > 0
                 && let Some(places) = self.plan_gang(ix)
             {
--- a/src/coordination/placement/order.rs
+++ b/src/coordination/placement/order.rs
@@ -73,8 +73,8 @@
             return jobs;
         }
         let tail = jobs.split_off(limit / 2);
-        let first = self.next_in_tail % tail.len();
-        self.next_in_tail = first + limit / 2;
+        let first = self.batch_tail_offset % tail.len();
+        self.batch_tail_offset = first + limit / 2;
         // The tail is longer than a turn, so none is in one twice.
         let mut turn: Vec<usize> = (first..first + limit / 2)
             .map(|at| at % tail.len())
--- a/src/coordination/preemption/gangs.rs
+++ b/src/coordination/preemption/gangs.rs
@@ -28,14 +28,17 @@
         let Some(plan) = self.cheapest_gang_plan(ix) else {
             return false;
         };
-        let graces = plan.places.iter().map(|p| self.grace_for(&p.victims));
+        let graces = plan
+            .places
+            .iter()
+            .map(|p| self.longest_stop_grace_s(&p.victims));
         let reservation_s = PREEMPTION_RESERVATION_S + graces.fold(0.0, f64::max);
         for Place {
             worker: m, victims, ..
         } in plan.places
         {
             for key in victims {
-                self.stop_instance(m, key, self.grace_of(key.job));
+                self.stop_instance(m, key, self.stop_grace_s(key.job));
             }
             if self.workers[m].reservations.is_empty() {
                 self.reserve(m, ix, reservation_s);
--- a/src/coordination/preemption/mod.rs
+++ b/src/coordination/preemption/mod.rs
@@ -38,7 +38,7 @@
             if in_vain || self.is_mistaken(ix) {
                 continue;
             }
-            if self.is_whole_gang(ix) {
+            if self.is_multi_task_gang(ix) {
                 if self.tasks_without_room(ix) > 0 && self.make_room_for_gang(ix) {
                     budget -= 1;
                 }
--- a/src/coordination/preemption/reservations.rs
+++ b/src/coordination/preemption/reservations.rs
@@ -116,7 +116,7 @@
         let reservations = workers.iter().flat_map(|&m| &self.workers[m].reservations);
         let with_reservations: BTreeSet<u32> = reservations.map(|r| r.job).collect();
         for &ix in batch {
-            if self.is_whole_gang(ix) || !with_reservations.contains(&ix) {
+            if self.is_multi_task_gang(ix) || !with_reservations.contains(&ix) {
                 continue;
             }
             for m in self.workers.indices() {
@@ -156,7 +156,7 @@
     /// gathers workers gives way only to what comes before it.
     fn most_urgent_like(&self, holder: u32, m: u32, batch: &[u32]) -> Option<u32> {
         let profile = self.jobs[holder].large_task_profile?;
-        let holder_is_gang = self.is_whole_gang(holder);
+        let holder_is_gang = self.is_multi_task_gang(holder);
         batch
             .iter()
             .copied()
@@ -164,7 +164,7 @@
             .find(|&ix| {
                 let job = &self.jobs[ix];
                 job.large_task_profile == Some(profile)
-                    && !self.is_whole_gang(ix)
+                    && !self.is_multi_task_gang(ix)
                     && job.waiting() > 0
                     && self.worker_allowed(ix, m)
             })
--- a/src/coordination/preemption/single_tasks.rs
+++ b/src/coordination/preemption/single_tasks.rs
@@ -112,9 +112,13 @@
                 worker = self.workers[m].name,
                 "preempting"
             );
-            self.stop_in_order(m, *key);
+            self.stop_gracefully(m, *key);
         }
-        self.reserve(m, ix, PREEMPTION_RESERVATION_S + self.grace_for(victims));
+        self.reserve(
+            m,
+            ix,
+            PREEMPTION_RESERVATION_S + self.longest_stop_grace_s(victims),
+        );
     }
 
     /// Keeps a worker free of new work until a task fits that needs much of it. Returns whether
@@ -131,7 +135,7 @@
                 let instance_type = self.types.get(self.workers[m].kind);
                 instance_type.is_some_and(|t| needs.share_of(&t.whole) > DRAIN_MIN_SHARE)
             })
-            .filter_map(|m| self.drained_in(&needs, m).map(|in_s| (m, in_s)))
+            .filter_map(|m| self.seconds_until_room(&needs, m).map(|in_s| (m, in_s)))
             .min_by(|a, b| a.1.total_cmp(&b.1).then(a.0.cmp(&b.0)));
         let Some((m, _)) = soonest else {
             return false;
@@ -141,7 +145,11 @@
     }
 
     /// Seconds until enough has ended by itself on a worker, as far as estimates tell.
-    pub(in crate::coordination) fn drained_in(&self, needs: &Resources, m: u32) -> Option<f64> {
+    pub(in crate::coordination) fn seconds_until_room(
+        &self,
+        needs: &Resources,
+        m: u32,
+    ) -> Option<f64> {
         let mut room = self.free_room(m);
         let mut ends: Vec<(f64, Resources)> = self.workers[m]
             .instances
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -1,6 +1,6 @@
 //! Victims: the task instances on one worker that are stopped to make room for a task.
 
-use crate::coordination::gangs::grace_to_save;
+use crate::coordination::gangs::checkpoint_grace_s;
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 
@@ -42,7 +42,7 @@
     /// gang stops as a whole, which is much to lose: only for replicas, which are missed from the
     /// first second on.
     fn may_stop(&self, ix: u32, other: u32) -> bool {
-        self.outranks(ix, other) && (self.jobs[ix].is_service() || !self.is_whole_gang(other))
+        self.outranks(ix, other) && (self.jobs[ix].is_service() || !self.is_multi_task_gang(other))
     }
 
     /// Whether [`Self::victims`] finds a set, without looking for the cheapest.
@@ -111,12 +111,12 @@
     /// What stopping a task instance costs the job that it is stopped for.
     fn stop_cost(&self, ix: u32, key: &InstanceId, instance: &TaskInstance) -> f64 {
         let mut loss = self.loss(key, instance);
-        if self.is_whole_gang(key.job) {
+        if self.is_multi_task_gang(key.job) {
             loss *= f64::from(self.jobs[key.job].spec.tasks);
         }
         // What saves a checkpoint leaves its room later: replicas that were to start within a
         // second waited for lower work that saved.
-        let grace_in_patiences = self.grace_of(key.job) / self.jobs[ix].patience_s;
+        let grace_in_patiences = self.stop_grace_s(key.job) / self.jobs[ix].patience_s;
         loss * grace_in_patiences.min(MAX_GRACE_IN_PATIENCES).exp()
     }
 
@@ -135,20 +135,20 @@
     }
 
     /// The time to save that a task of a job gets when it is stopped, in seconds.
-    pub(in crate::coordination) fn grace_of(&self, ix: u32) -> f64 {
+    pub(in crate::coordination) fn stop_grace_s(&self, ix: u32) -> f64 {
         let spec = &self.jobs[ix].spec;
         if spec.checkpoint_s > 0.0 {
-            grace_to_save(spec.save_s)
+            checkpoint_grace_s(spec.save_s)
         } else {
             0.0
         }
     }
 
     /// The longest time to save that any of these gets, in seconds.
-    pub(in crate::coordination) fn grace_for(&self, victims: &[InstanceId]) -> f64 {
+    pub(in crate::coordination) fn longest_stop_grace_s(&self, victims: &[InstanceId]) -> f64 {
         victims
             .iter()
-            .map(|key| self.grace_of(key.job))
+            .map(|key| self.stop_grace_s(key.job))
             .fold(0.0, f64::max)
     }
 }
--- a/src/coordination/reconciliation/blocked_jobs.rs
+++ b/src/coordination/reconciliation/blocked_jobs.rs
@@ -19,8 +19,8 @@
         for ix in self.jobs.indices() {
             let blocked = self.must_block(ix, &unreconciled, unknown_workers);
             let unblocked = std::mem::replace(&mut self.jobs[ix].blocked, blocked) && !blocked;
-            if unblocked && self.is_whole_gang(ix) {
-                self.end_broken_attempts(ix);
+            if unblocked && self.is_multi_task_gang(ix) {
+                self.abort_partial_attempts(ix);
             }
         }
         self.count_unknown_usage(&unreconciled, unknown_workers);
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -91,7 +91,7 @@
                 .is_some_and(|i| !i.unacknowledged && i.sent_directly_in(message.id));
             if unsent {
                 self.remove_instance(m, *id);
-                self.gang_lost_task(*id);
+                self.abort_gang_attempt(*id);
             }
         }
     }
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -188,7 +188,7 @@
         self.clear_orphaned_tasks(m);
         self.log_applied(m, &heartbeat, source, was_reconciled);
         if reclaim_noticed {
-            self.save_before_reclaim(m);
+            self.checkpoint_before_reclaim(m);
         }
         let now = self.now;
         let worker = &mut self.workers[m];
@@ -320,7 +320,7 @@
             let lost = matches!(self.workers[m].instances[&id].sent, Sent::Response { .. });
             self.workers[m].commands_unanswered |= lost;
             self.remove_instance(m, id);
-            self.gang_lost_task(id);
+            self.abort_gang_attempt(id);
         }
     }
 }
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -125,7 +125,7 @@
             Exit::Stopped { .. } | Exit::PeersGone | Exit::Alone => {}
         }
         if exit != Exit::Done {
-            self.gang_lost_task(id);
+            self.abort_gang_attempt(id);
         }
     }
 
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -70,7 +70,7 @@
     /// Scheduling classes and their indices.
     pub(super) scheduling_classes: BTreeMap<SchedulingClass, u32>,
     /// Where the last batch left off among the jobs that it had no time for.
-    pub(super) next_in_tail: usize,
+    pub(super) batch_tail_offset: usize,
     /// The last attempt number that was used.
     pub(super) next_attempt: u64,
     /// The id of the next direct message.
