--- a/src/coordination/migration/prospects.rs
+++ b/src/coordination/migration/prospects.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::gangs::checkpoint_grace_s;
 use crate::coordination::model::*;
-use crate::coordination::state::{Core, SETTLED_S};
+use crate::coordination::state::{Core, MIN_RUN_BEFORE_MOVE_S};
 use crate::protocol::worker::TaskPhase;
 
 /// From an order to stop to the proof that it was carried out, beside the time to save: a heartbeat,
@@ -59,7 +59,7 @@
         let settings = &self.config.tuning.defragmentation;
         let saves = job.spec.checkpoint_s > 0.0;
         let running_since = instance.running_since;
-        let settled = running_since.is_some_and(|since| self.now - since > SETTLED_S);
+        let settled = running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
         let has_objective = !job.placement_deadlines_s.is_empty()
             && job.start_delay_tolerance_s < OBJECTIVE_TOLERANCE_S;
         let migrated_at = self.migrations.last_migrated_at(job.spec.id, id.task);
