--- a/src/coordination/placement/market.rs
+++ b/src/coordination/placement/market.rs
@@ -105,7 +105,7 @@
             .waiting()
             .min(MAX_TASKS_PER_JOB)
             .min(self.trial_start_limit(ix));
-        if demand == 0 || self.is_whole_gang(ix) {
+        if demand == 0 || self.is_multi_task_gang(ix) {
             return None;
         }
         let (cpu_slots, gpu_slots) =
