--- a/src/coordination/cancellation.rs
+++ b/src/coordination/cancellation.rs
@@ -25,7 +25,7 @@
                 // Before it is stored: whether it was may stay unknown for as long as the state
                 // service is down, while another controller has read that it was, and has
                 // answered the user so.
-                self.stop_all_of(ix);
+                self.stop_all_instances(ix);
                 CancelDecision::Go {
                     done: self.jobs[ix].done,
                 }
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -60,7 +60,7 @@
             valid_since: now,
             now,
             zones,
-            types: Types::default(),
+            types: InstanceTypes::default(),
             images: Images::default(),
             teams,
             jobs: JobTable::default(),
@@ -254,7 +254,7 @@
                 unix_ms,
             } => self.handle_admin_request(ticket, request, unix_ms),
             Input::Written(results) => self.handle_write_results(results),
-            Input::MachineTypes(types) => self.learn_types(types),
+            Input::MachineTypes(types) => self.update_instance_types(types),
             Input::WorkerList(list) => self.handle_worker_list(list),
             Input::ScaledOut { request, outcome } => {
                 self.handle_scale_out_result(&request, outcome);
--- a/src/coordination/demand_log.rs
+++ b/src/coordination/demand_log.rs
@@ -91,7 +91,7 @@
     }
 
     fn holds_any(&self, worker: &Worker, test: fn(&Job) -> bool) -> bool {
-        let mut instances = worker.instances.iter().filter(|(_, i)| i.possible());
+        let mut instances = worker.instances.iter().filter(|(_, i)| i.may_exist());
         instances.any(|(id, _)| test(&self.jobs[id.job]))
     }
 }
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -68,9 +68,9 @@
 
 impl Core {
     /// Asks a worker for its heartbeat.
-    pub(super) fn ask_worker(&mut self, m: u32) {
+    pub(super) fn send_probe(&mut self, m: u32) {
         let message_id = self.new_message_id();
-        self.workers[m].next_probe = self.now + PROBE_INTERVAL_S;
+        self.workers[m].next_message_at = self.now + PROBE_INTERVAL_S;
         let via = self.record_in_flight(m, message_id, Vec::new(), false);
         let worker = &self.workers[m];
         self.effects.push(Effect::RequestHeartbeat {
@@ -118,7 +118,7 @@
     }
 
     /// How many more late or unresponsive workers may be probed now.
-    pub(super) fn questions_left(&self) -> usize {
+    pub(super) fn remaining_probes(&self) -> usize {
         MAX_TO_UNRESPONSIVE.saturating_sub(self.in_flight_load().to_unresponsive)
     }
 
@@ -170,7 +170,7 @@
         if worker.may_be_alive() && worker.reconciled {
             self.send_commands(m);
         } else {
-            self.ask_worker(m);
+            self.send_probe(m);
         }
     }
 
@@ -202,7 +202,7 @@
     fn reason_to_send(&mut self, m: u32) -> Option<Reason> {
         let unresponsive = self.is_unresponsive(m);
         let worker = &self.workers[m];
-        let may_probe = worker.next_probe <= self.now;
+        let may_probe = worker.next_message_at <= self.now;
         let unreconciled =
             worker.known_to_predecessor && !worker.reconciled && !self.reconciliation.is_complete();
         if !worker.may_be_alive() || (unresponsive && unreconciled) {
@@ -217,7 +217,7 @@
         }
         let commands_unanswered = worker.commands_unanswered;
         if unresponsive || worker.fenced || commands_unanswered {
-            self.unqueue_all(m);
+            self.cancel_queued_starts(m);
         }
         if unresponsive || !may_probe {
             return None;
@@ -247,7 +247,8 @@
 
     fn send_commands(&mut self, m: u32) {
         let message_id = self.new_message_id();
-        let commands = self.drain_outbox(m, MAX_COMMANDS, Sent::Direct { message_id });
+        let commands =
+            self.take_queued_commands(m, MAX_COMMANDS, StartDelivery::Direct { message_id });
         let starts = commands
             .iter()
             .filter(|command| command.verb == Verb::Start)
--- a/src/coordination/drains/admin.rs
+++ b/src/coordination/drains/admin.rs
@@ -91,7 +91,7 @@
         let worker = &self.workers[m];
         let possible_instances = || {
             let instances = worker.instances.iter();
-            instances.filter(|(_, instance)| instance.possible())
+            instances.filter(|(_, instance)| instance.may_exist())
         };
         let capacity = self.types.get(worker.kind).map(|kind| kind.whole);
         let capacity = readable_amounts(&capacity.unwrap_or_default());
@@ -123,8 +123,8 @@
 
     fn node_state(&self, m: u32) -> views::NodeState {
         let worker = &self.workers[m];
-        let is_empty = || !worker.instances.values().any(TaskInstance::possible);
-        if worker.returning {
+        let is_empty = || !worker.instances.values().any(TaskInstance::may_exist);
+        if worker.scaling_in {
             views::NodeState::Returning
         } else if worker.incarnation <= worker.expired_incarnation {
             views::NodeState::Lost
@@ -179,7 +179,7 @@
         (job.waiting() > 0).then(|| views::Waiting {
             job: format!("{id} ({})", job.spec.class),
             tasks: job.waiting(),
-            waited_s: self.now - job.seen_at,
+            waited_s: self.now - job.accepted_at,
             reason,
         })
     }
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -75,7 +75,7 @@
         drain.waiters.push(ticket);
         drain.due |= !unchanged;
         self.workers[m].draining = true;
-        self.unqueue_all(m);
+        self.cancel_queued_starts(m);
         if unchanged {
             let name = self.workers[m].name.clone();
             self.answer_drain_waiters(&name);
@@ -182,7 +182,7 @@
         let ids: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
         for id in ids {
             let instance = self.workers[m].instances.get(&id);
-            if instance.is_some_and(|instance| instance.possible() && instance.stop.is_none()) {
+            if instance.is_some_and(|instance| instance.may_exist() && instance.stop.is_none()) {
                 self.stop_gracefully(m, id);
             }
         }
@@ -192,7 +192,7 @@
     fn protected_jobs_on(&self, m: u32) -> Vec<String> {
         let instances = self.workers[m].instances.iter();
         let mut jobs: Vec<u32> = instances
-            .filter(|(id, instance)| instance.possible() && self.jobs[id.job].protected)
+            .filter(|(id, instance)| instance.may_exist() && self.jobs[id.job].protected)
             .map(|(id, _)| id.job)
             .collect();
         jobs.dedup();
--- a/src/coordination/fencing/mod.rs
+++ b/src/coordination/fencing/mod.rs
@@ -118,7 +118,7 @@
 
     fn is_to_be_fenced(&self, worker: &Worker) -> bool {
         let expired = worker.incarnation > 0 && worker.incarnation <= worker.expired_incarnation;
-        if worker.fenced || worker.page.is_none() || expired || worker.returning {
+        if worker.fenced || worker.page.is_none() || expired || worker.scaling_in {
             return false;
         }
         let last_heartbeat_at = worker
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -23,7 +23,7 @@
         let job = &self.jobs[ix];
         let largest = self
             .types
-            .known
+            .descriptions
             .iter()
             .enumerate()
             .filter(|(k, _)| job.types.as_ref().is_none_or(|l| l.contains(&(*k as u32))))
@@ -173,7 +173,7 @@
             // largest GPU workers in the first seconds would stay there for good.
             let limit = self
                 .types
-                .known
+                .descriptions
                 .iter()
                 .flatten()
                 .map(|t| t.whole.gpus)
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -39,7 +39,7 @@
         let mut tasks: BTreeMap<u64, BTreeSet<u32>> = BTreeMap::new();
         for m in self.workers.indices() {
             for key in self.instances_of(m, ix) {
-                if self.workers[m].instances[&key].possible() {
+                if self.workers[m].instances[&key].may_exist() {
                     tasks.entry(key.attempt).or_default().insert(key.task);
                 }
             }
@@ -233,10 +233,10 @@
         tracing::debug!(
             job = %job.spec.id,
             tasks = job.spec.tasks,
-            waited_s = self.now - job.seen_at,
+            waited_s = self.now - job.accepted_at,
             "gang placed"
         );
-        job.fresh = job.spec.tasks;
-        job.retry.clear();
+        job.first_unstarted = job.spec.tasks;
+        job.retry_queue.clear();
     }
 }
--- a/src/coordination/instances.rs
+++ b/src/coordination/instances.rs
@@ -8,32 +8,32 @@
 impl Core {
     /// Adds an instance to a worker, and to what its job and team use there.
     pub(super) fn add_instance(&mut self, m: u32, id: InstanceId, instance: TaskInstance) {
-        let possible = instance.possible();
+        let possible = instance.may_exist();
         let running = instance.is_running();
         let worker = &mut self.workers[m];
         let before = worker.instances.insert(id, instance);
         debug_assert!(before.is_none(), "an instance is added once");
         worker.idle_since = None;
         let job = &mut self.jobs[id.job];
-        job.entries += 1;
+        job.listed_instances += 1;
         job.running += u32::from(running);
         if possible {
-            self.occupy(m, id);
+            self.allocate_resources(m, id);
         }
     }
 
     /// An instance counts from now on: it may be on the worker.
-    fn occupy(&mut self, m: u32, id: InstanceId) {
+    fn allocate_resources(&mut self, m: u32, id: InstanceId) {
         let job = &mut self.jobs[id.job];
         let needs = job.spec.needs;
         let worker = &mut self.workers[m];
         let zone = worker.zone as usize;
         worker.used.add(&needs);
         self.teams[job.team as usize].used.add(&needs);
-        if job.by_zone.len() <= zone {
-            job.by_zone.resize(zone + 1, 0);
+        if job.instances_by_zone.len() <= zone {
+            job.instances_by_zone.resize(zone + 1, 0);
         }
-        job.by_zone[zone] += 1;
+        job.instances_by_zone[zone] += 1;
         let task = &mut job.tasks[id.task as usize];
         task.instances += 1;
         if task.instances == 1 && !task.done {
@@ -42,14 +42,14 @@
     }
 
     /// An instance stops counting: it is surely not on the worker, now or later.
-    pub(super) fn release(&mut self, m: u32, id: InstanceId) {
+    pub(super) fn release_resources(&mut self, m: u32, id: InstanceId) {
         let job = &mut self.jobs[id.job];
         let needs = job.spec.needs;
         let worker = &mut self.workers[m];
         let zone = worker.zone as usize;
         worker.used.sub(&needs);
         self.teams[job.team as usize].used.sub(&needs);
-        job.by_zone[zone] -= 1;
+        job.instances_by_zone[zone] -= 1;
         let task = &mut job.tasks[id.task as usize];
         task.instances -= 1;
         if task.instances > 0 {
@@ -57,8 +57,8 @@
         }
         if !task.done {
             job.active -= 1;
-            if id.task < job.fresh {
-                job.retry.push_back(id.task);
+            if id.task < job.first_unstarted {
+                job.retry_queue.push_back(id.task);
             }
         }
         if job.is_gang() && job.active == 0 {
@@ -73,12 +73,12 @@
             return;
         };
         let job = &mut self.jobs[id.job];
-        job.entries -= 1;
+        job.listed_instances -= 1;
         job.running -= u32::from(instance.is_running());
-        if instance.possible() {
-            self.release(m, id);
+        if instance.may_exist() {
+            self.release_resources(m, id);
         }
-        self.free_if_ended(id.job);
+        self.remove_if_ended(id.job);
     }
 
     /// Everything on a worker is gone.
@@ -101,8 +101,8 @@
         if instance.exit().is_some() {
             return;
         }
-        if instance.sent == Sent::Queued {
-            self.unqueue(m, id);
+        if instance.start_delivery == StartDelivery::Queued {
+            self.cancel_queued_start(m, id);
             return;
         }
         if instance.stop.is_some_and(|stop| stop.grace_s <= grace_s) {
@@ -144,7 +144,7 @@
             job = %job.spec.id,
             task,
             worker = self.workers[m].name,
-            waited_s = self.now - job.seen_at,
+            waited_s = self.now - job.accepted_at,
             class = job.spec.class,
             fetches = !self.workers[m].images.contains(&job.image),
             "start"
@@ -182,22 +182,22 @@
     }
 
     /// A start that has not left for its worker does not leave any more.
-    pub(super) fn unqueue(&mut self, m: u32, id: InstanceId) {
+    pub(super) fn cancel_queued_start(&mut self, m: u32, id: InstanceId) {
         let start = self.command(id, Verb::Start);
         self.workers[m].outbox.retain(|command| *command != start);
         self.remove_instance(m, id);
     }
 
     /// No start that has not left for a worker leaves for it any more.
-    pub(super) fn unqueue_all(&mut self, m: u32) {
+    pub(super) fn cancel_queued_starts(&mut self, m: u32) {
         let queued: Vec<InstanceId> = self.workers[m]
             .instances
             .iter()
-            .filter(|(_, instance)| instance.sent == Sent::Queued)
+            .filter(|(_, instance)| instance.start_delivery == StartDelivery::Queued)
             .map(|(id, _)| *id)
             .collect();
         for id in queued {
-            self.unqueue(m, id);
+            self.cancel_queued_start(m, id);
             self.abort_gang_attempt(id);
         }
     }
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -19,7 +19,7 @@
 
 impl Core {
     /// Takes in the cloud's descriptions of instance types.
-    pub(super) fn learn_types(&mut self, types: Vec<MachineType>) {
+    pub(super) fn update_instance_types(&mut self, types: Vec<MachineType>) {
         self.types.update(types);
         for ix in self.jobs.indices() {
             // Jobs that came before their types were known.
@@ -50,7 +50,7 @@
             .as_ref()
             .map(|list| list.iter().map(|t| self.types.intern(t)).collect());
         let chunks = spec.tasks.div_ceil(self.tasks_per_chunk) as usize;
-        let fetch_s = spec.image_gb / self.types.fastest_fetch(types.as_deref());
+        let fetch_s = spec.image_gb / self.types.max_fetch_gb_per_s(types.as_deref());
         let predates_election = stored.version < self.token;
         let wanted = &self.config.cluster.objectives;
         let tuning = &self.config.tuning;
@@ -61,12 +61,12 @@
         job.version = stored.version;
         job.zone = zone;
         job.types = types;
-        job.by_zone = vec![0; self.zones.len()];
-        job.chunks = vec![0; chunks];
+        job.instances_by_zone = vec![0; self.zones.len()];
+        job.chunk_versions = vec![0; chunks];
         job.chunk_due = vec![None; chunks];
         job.predates_election = predates_election;
         job.blocked = predates_election && !self.reconciliation.is_complete();
-        job.seen_at = self.now - stored.age_s;
+        job.accepted_at = self.now - stored.age_s;
         job.accepted_ms = stored.accepted_ms;
         job.completion_target_s = objectives::completion_target_s(wanted, &job.spec);
         job.start_delay_tolerance_s = objectives::start_delay_tolerance_s(wanted, &job.spec);
@@ -115,21 +115,21 @@
         };
         let job = &mut self.jobs[ix];
         job.end(outcome, self.now);
-        let chunks: Vec<(u32, u64)> = (0u32..).zip(job.chunks.iter().copied()).collect();
+        let chunks: Vec<(u32, u64)> = (0u32..).zip(job.chunk_versions.iter().copied()).collect();
         for (chunk, version) in chunks {
-            self.drop_chunk(id, chunk, version);
+            self.remove_chunk(id, chunk, version);
         }
         tracing::info!(job = %id, phase = outcome.phase.spelling(), "job finished");
-        if self.jobs[ix].entries == 0 {
-            self.free_if_ended(ix);
+        if self.jobs[ix].listed_instances == 0 {
+            self.remove_if_ended(ix);
             return;
         }
         // The last of its instances to go frees the job.
-        self.stop_all_of(ix);
+        self.stop_all_instances(ix);
     }
 
     /// Nothing of a job starts any more, and all of it that may be on a worker is stopped.
-    pub(super) fn stop_all_of(&mut self, ix: u32) {
+    pub(super) fn stop_all_instances(&mut self, ix: u32) {
         for m in self.workers.indices() {
             for key in self.instances_of(m, ix) {
                 self.stop_instance(m, key, 0.0);
@@ -138,22 +138,22 @@
     }
 
     /// Forgets a job that has ended once no worker holds anything of it.
-    pub(super) fn free_if_ended(&mut self, ix: u32) {
+    pub(super) fn remove_if_ended(&mut self, ix: u32) {
         let job = &self.jobs[ix];
-        if !matches!(job.state, JobState::Terminal(_)) || job.entries > 0 {
+        if !matches!(job.state, JobState::Terminal(_)) || job.listed_instances > 0 {
             return;
         }
         for (_, worker) in self.workers.iter_mut() {
             worker
                 .reservations
                 .retain(|reservation| reservation.job != ix);
-            worker.failed.remove(&ix);
+            worker.failed_jobs.remove(&ix);
         }
         self.jobs.remove(ix);
     }
 
     /// A task has ended well.
-    pub(super) fn mark_done(&mut self, ix: u32, task: u32) {
+    pub(super) fn mark_task_done(&mut self, ix: u32, task: u32) {
         let tasks_per_chunk = self.tasks_per_chunk;
         let due = self.now + PROGRESS_EVERY_S;
         let job = &mut self.jobs[ix];
--- a/src/coordination/migration/mod.rs
+++ b/src/coordination/migration/mod.rs
@@ -186,10 +186,10 @@
     fn preempt_lower_priority(&mut self, m: u32, ix: u32) {
         let needs = self.jobs[ix].spec.needs;
         let priority = self.jobs[ix].spec.priority;
-        let mut room = self.free_room(m);
+        let mut room = self.free_resources(m);
         let mut victims: Vec<(f64, InstanceId)> = Vec::new();
         let instances = self.workers[m].instances.iter();
-        for (id, instance) in instances.filter(|(_, instance)| instance.possible()) {
+        for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
             let spec = &self.jobs[id.job].spec;
             let prospects = self.prospects(id, instance);
             if instance.stop.is_some() || prospects.ends_in_s <= SOON_S {
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -87,7 +87,7 @@
         let job = &self.jobs[ix];
         let settings = &self.config.tuning.defragmentation;
         let place_price = self.cheapest_place_price(ix)?;
-        let mut by_zone = job.by_zone.clone();
+        let mut by_zone = job.instances_by_zone.clone();
         by_zone.resize(self.zones.len(), 0);
         for &m in missing.certain {
             by_zone[self.workers[m].zone as usize] += 1;
@@ -119,7 +119,7 @@
                 .is_none_or(|allowed| allowed.contains(kind))
         };
         (0u32..)
-            .zip(&self.types.known)
+            .zip(&self.types.descriptions)
             .filter(|(kind, _)| is_allowed(kind))
             .filter_map(|(_, instance_type)| instance_type.as_ref())
             .filter(|instance_type| needs.fits_in(&instance_type.whole))
@@ -156,12 +156,12 @@
             view.workers.push(m);
             let planned = self.planned_worker(m, kind, waiting_job, certain);
             view.fleet.workers.push(planned);
-            let failed = worker.failed.iter();
+            let failed = worker.failed_jobs.iter();
             for (&ix, _) in failed.filter(|(_, until)| **until > self.now) {
                 avoided_by_job.entry(ix).or_default().push(at);
             }
             let instances = worker.instances.iter();
-            for (id, instance) in instances.filter(|(_, instance)| instance.possible()) {
+            for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
                 let work = *work_of_job.entry(id.job).or_insert_with(|| {
                     let migrating = migrating.get(&self.jobs[id.job].spec.id).copied();
                     let work = self.planned_work(id.job, migrating.unwrap_or(0));
@@ -232,7 +232,7 @@
     fn preemptible(&self, m: u32, kind: &MachineType, price: f64) -> Vec<defrag::Yield> {
         let instances = self.workers[m].instances.iter();
         let stoppable = instances.filter(|(id, instance)| {
-            instance.possible() && instance.stop.is_none() && !self.is_multi_task_gang(id.job)
+            instance.may_exist() && instance.stop.is_none() && !self.is_multi_task_gang(id.job)
         });
         let mut preemptible: Vec<defrag::Yield> = stoppable
             .map(|(id, instance)| {
@@ -268,7 +268,7 @@
             spot: job.spec.spot,
             one_zone: job.spec.one_zone,
             zone_cap: job.zone_cap(),
-            by_zone: job.by_zone.clone(),
+            by_zone: job.instances_by_zone.clone(),
             image: job.image,
             image_gb: job.spec.image_gb,
             gang,
--- a/src/coordination/migration/progress.rs
+++ b/src/coordination/migration/progress.rs
@@ -90,7 +90,7 @@
         let m = self.workers.index_of(worker_name)?;
         let mut instances = self.workers[m].instances.iter();
         instances
-            .find(|(id, instance)| instance.possible() && test(id))
+            .find(|(id, instance)| instance.may_exist() && test(id))
             .map(|(_, instance)| instance)
     }
 
@@ -106,7 +106,7 @@
         let reservations = &mut self.workers[m].reservations;
         let held = reservations
             .iter_mut()
-            .find(|reservation| reservation.job == ix && reservation.held);
+            .find(|reservation| reservation.job == ix && reservation.for_migration);
         if let Some(reservation) = held {
             reservation.count = reservation.count.saturating_sub(1);
         }
--- a/src/coordination/migration/prospects.rs
+++ b/src/coordination/migration/prospects.rs
@@ -69,7 +69,7 @@
             // A waiting task of the job would take the target before this one comes there.
             && job.waiting() == 0
             && instance.phase == Some(TaskPhase::Running)
-            && instance.sent == Sent::Seen
+            && instance.start_delivery == StartDelivery::Reported
             && !instance.unacknowledged
             && instance.stop.is_none()
             && (draining || settled || !(has_objective || job.is_service()))
--- a/src/coordination/migration/start.rs
+++ b/src/coordination/migration/start.rs
@@ -117,6 +117,6 @@
         let reservations = self.workers[m].reservations.iter_mut();
         reservations
             .filter(|reservation| reservation.job == ix)
-            .for_each(|reservation| reservation.held = true);
+            .for_each(|reservation| reservation.for_migration = true);
     }
 }
--- a/src/coordination/model/instance.rs
+++ b/src/coordination/model/instance.rs
@@ -17,7 +17,7 @@
 
 /// How the start of an instance left for its worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Sent {
+pub enum StartDelivery {
     /// Decided, but no message has left yet.
     Queued,
     /// In the response to the heartbeat with this counter: it never arrives late.
@@ -25,14 +25,14 @@
     /// In a direct message that has no answer yet.
     Direct { message_id: u64 },
     /// A heartbeat has listed the instance.
-    Seen,
+    Reported,
 }
 
 /// One task that may be on one worker.
 #[derive(Debug, Clone)]
 pub struct TaskInstance {
     /// How its start was sent.
-    pub sent: Sent,
+    pub start_delivery: StartDelivery,
     /// What its worker last reported of it.
     pub phase: Option<TaskPhase>,
     /// A direct start without an answer may still arrive.
@@ -56,7 +56,7 @@
     /// An instance whose start is decided and not sent yet.
     pub fn queued() -> Self {
         Self {
-            sent: Sent::Queued,
+            start_delivery: StartDelivery::Queued,
             phase: None,
             unacknowledged: false,
             stop: None,
@@ -68,7 +68,7 @@
     /// phase is taken in as that of any other.
     pub fn adopted(exited: Option<TaskPhase>) -> Self {
         Self {
-            sent: Sent::Seen,
+            start_delivery: StartDelivery::Reported,
             phase: exited,
             ..Self::queued()
         }
@@ -91,7 +91,7 @@
     /// Whether the task may be on the worker, now or later. One that has exited may not, even with
     /// a start in flight: a worker ignores the start of an attempt that it holds, and an
     /// unacknowledged attempt is never forgotten.
-    pub fn possible(&self) -> bool {
+    pub fn may_exist(&self) -> bool {
         self.exit().is_none()
     }
 
@@ -102,6 +102,6 @@
 
     /// Whether its start left in the direct message with this id and no heartbeat has shown it.
     pub fn sent_directly_in(&self, message_id: u64) -> bool {
-        self.sent == (Sent::Direct { message_id })
+        self.start_delivery == (StartDelivery::Direct { message_id })
     }
 }
--- a/src/coordination/model/instance_types.rs
+++ b/src/coordination/model/instance_types.rs
@@ -7,34 +7,34 @@
 /// Instance types by index. An index without an entry is a type that a worker or a job has named
 /// and the cloud has not described.
 #[derive(Debug, Default)]
-pub struct Types {
+pub struct InstanceTypes {
     /// Names of all types that were mentioned.
     pub names: Interner,
     /// What the cloud says of each, by index.
-    pub known: Vec<Option<MachineType>>,
+    pub descriptions: Vec<Option<MachineType>>,
 }
 
-impl Types {
+impl InstanceTypes {
     /// Takes in the cloud's descriptions.
     pub fn update(&mut self, types: Vec<MachineType>) {
         for described in types {
             let index = self.intern(&described.name) as usize;
-            self.known[index] = Some(described);
+            self.descriptions[index] = Some(described);
         }
     }
 
     /// The index of a type's name, which is added if it is new.
     pub fn intern(&mut self, name: &str) -> u32 {
         let index = self.names.intern(name);
-        if self.known.len() <= index as usize {
-            self.known.resize(index as usize + 1, None);
+        if self.descriptions.len() <= index as usize {
+            self.descriptions.resize(index as usize + 1, None);
         }
         index
     }
 
     /// The lowest rate at which any type fetches images, in GB/s.
-    pub fn slowest_fetch(&self) -> f64 {
-        self.known
+    pub fn min_fetch_gb_per_s(&self) -> f64 {
+        self.descriptions
             .iter()
             .flatten()
             .map(|described| described.fetch_gb_per_s)
@@ -42,9 +42,9 @@
     }
 
     /// The highest rate among the allowed types, in GB/s; infinite if none is described.
-    pub fn fastest_fetch(&self, allowed: Option<&[u32]>) -> f64 {
+    pub fn max_fetch_gb_per_s(&self, allowed: Option<&[u32]>) -> f64 {
         let rate = (0u32..)
-            .zip(&self.known)
+            .zip(&self.descriptions)
             .filter(|(index, _)| allowed.is_none_or(|list| list.contains(index)))
             .filter_map(|(_, described)| Some(described.as_ref()?.fetch_gb_per_s))
             .fold(0.0, f64::max);
@@ -53,6 +53,8 @@
 
     /// The description of a type, if the cloud has given one.
     pub fn get(&self, index: u32) -> Option<&MachineType> {
-        self.known.get(index as usize).and_then(Option::as_ref)
+        self.descriptions
+            .get(index as usize)
+            .and_then(Option::as_ref)
     }
 }
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -61,17 +61,17 @@
     /// Instances that were last reported as running, for display.
     pub running: u32,
     /// Instances that may exist, by zone.
-    pub by_zone: Vec<u32>,
+    pub instances_by_zone: Vec<u32>,
     /// Tasks from this number on have never been started.
-    pub fresh: u32,
-    /// Tasks below `fresh` that are to be started again.
-    pub retry: VecDeque<u32>,
+    pub first_unstarted: u32,
+    /// Tasks below `first_unstarted` that are to be started again.
+    pub retry_queue: VecDeque<u32>,
     /// Stored before this leader was elected: an earlier one may have started it.
     pub predates_election: bool,
     /// A worker that has not reported to this leader yet may hold an instance of it.
     pub blocked: bool,
     /// When it was accepted, on this controller's clock.
-    pub seen_at: Time,
+    pub accepted_at: Time,
     /// When it was accepted, in ms of the time of day.
     pub accepted_ms: u64,
     /// Since when it has not got all the room it wants.
@@ -89,7 +89,7 @@
     /// Of a gang: the current attempt, if an instance of it may exist.
     pub attempt: Option<u64>,
     /// A task has run well, so failures are not the job's own fault.
-    pub proved: bool,
+    pub known_good: bool,
     /// Workers it has failed on since it last ran well.
     pub failed_on: Vec<u32>,
     /// Failures since it last ran well.
@@ -97,11 +97,11 @@
     /// Nothing of it is started before this time.
     pub retry_at: Time,
     /// Versions of the stored bitmap chunks, 0 where none is stored.
-    pub chunks: Vec<u64>,
+    pub chunk_versions: Vec<u64>,
     /// When each chunk is to be stored, if it has changed.
     pub chunk_due: Vec<Option<Time>>,
     /// Instances of any kind that workers still have, exited ones included.
-    pub entries: u32,
+    pub listed_instances: u32,
     /// Its team's usage is within its quota.
     pub within_quota: bool,
     /// When the log last warned of it.
@@ -133,12 +133,12 @@
             done: 0,
             active: 0,
             running: 0,
-            by_zone: Vec::new(),
-            fresh: 0,
-            retry: VecDeque::new(),
+            instances_by_zone: Vec::new(),
+            first_unstarted: 0,
+            retry_queue: VecDeque::new(),
             predates_election: false,
             blocked: false,
-            seen_at: 0.0,
+            accepted_at: 0.0,
             accepted_ms: 0,
             unplaced_since: None,
             completion_target_s: 0.0,
@@ -147,13 +147,13 @@
             scheduling_class: None,
             large_task_profile: None,
             attempt: None,
-            proved: false,
+            known_good: false,
             failed_on: Vec::new(),
             failures: 0,
             retry_at: 0.0,
-            chunks: Vec::new(),
+            chunk_versions: Vec::new(),
             chunk_due: Vec::new(),
-            entries: 0,
+            listed_instances: 0,
             within_quota: false,
             warned_at: 0.0,
             movable: false,
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -11,13 +11,13 @@
 
 pub use command_list::{append_missing, is_stop};
 pub use images::Images;
-pub use instance::{InstanceId, Sent, Stop, TaskInstance};
-pub use instance_types::Types;
+pub use instance::{InstanceId, StartDelivery, Stop, TaskInstance};
+pub use instance_types::InstanceTypes;
 pub use interner::Interner;
 pub use job::{Job, JobState, LargeTaskProfile, SchedulingClass, Task};
 pub use slab::Slab;
 pub use worker::{
-    HeartbeatReceipt, HeartbeatSequence, InFlightMessage, Reservation, Unanswered, Worker,
+    HeartbeatReceipt, HeartbeatSequence, InFlightMessage, Reservation, UnansweredSenders, Worker,
 };
 
 /// Seconds on this controller's steady clock.
--- a/src/coordination/model/worker.rs
+++ b/src/coordination/model/worker.rs
@@ -34,7 +34,7 @@
     /// It lapses then.
     pub until: Time,
     /// Of a migration: kept although no task of the job waits yet.
-    pub held: bool,
+    pub for_migration: bool,
 }
 
 /// The order of a worker's own heartbeats: a later process of the worker has a higher incarnation,
@@ -117,7 +117,7 @@
     /// The fencing record may name it: it gets no answer and no start.
     pub fenced: bool,
     /// Its number among the controllers that share the workers.
-    pub number: u32,
+    pub shard_number: u32,
     /// Indices of the images in its cache, the least recently used first.
     pub images: Vec<u32>,
     /// Room reserved on it.
@@ -125,31 +125,31 @@
     /// Kept empty for the next job of this large-task profile.
     pub reserved_for: Option<u32>,
     /// Jobs that failed here since the last success, and until when they stay away.
-    pub failed: BTreeMap<u32, Time>,
+    pub failed_jobs: BTreeMap<u32, Time>,
     /// Nothing is started on it before this time.
     pub quarantined_until: Time,
     /// How often it has been quarantined since a task last ran well on it.
-    pub quarantines: u32,
+    pub quarantine_count: u32,
     /// It is being scaled in.
-    pub returning: bool,
+    pub scaling_in: bool,
     /// An operator drains it: nothing new is started on it.
     pub draining: bool,
     /// Since when nothing has been on it.
     pub idle_since: Option<Time>,
     /// No direct message is sent to it before this time.
-    pub next_probe: Time,
+    pub next_message_at: Time,
     /// Commands to it had no answer or no effect, and it has answered nothing since. It may send
     /// heartbeats all the same: then it is one-way partitioned.
     pub commands_unanswered: bool,
     /// When it first failed to answer since its last heartbeat.
     pub unanswered_at: Option<Time>,
     /// Whose messages it has not answered since then.
-    pub missed: Unanswered,
+    pub unanswered_senders: UnansweredSenders,
 }
 
 /// Who has had no answer from a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Unanswered {
+pub struct UnansweredSenders {
     /// This controller.
     pub own: bool,
     /// Another controller, which relayed a message for this one.
@@ -183,20 +183,20 @@
             registered: false,
             known_to_predecessor: false,
             fenced: false,
-            number: 0,
+            shard_number: 0,
             images: Vec::new(),
             reservations: Vec::new(),
             reserved_for: None,
-            failed: BTreeMap::new(),
+            failed_jobs: BTreeMap::new(),
             quarantined_until: 0.0,
-            quarantines: 0,
-            returning: false,
+            quarantine_count: 0,
+            scaling_in: false,
             draining: false,
             idle_since: None,
-            next_probe: 0.0,
+            next_message_at: 0.0,
             commands_unanswered: false,
             unanswered_at: None,
-            missed: Unanswered::default(),
+            unanswered_senders: UnansweredSenders::default(),
         }
     }
 
@@ -228,21 +228,21 @@
     pub fn record_unanswered(&mut self, now: Time, relayed: bool) {
         if self.unanswered_at <= self.last_heartbeat_at {
             self.unanswered_at = Some(now);
-            self.missed = Unanswered::default();
+            self.unanswered_senders = UnansweredSenders::default();
         }
         if relayed {
-            self.missed.relayed = true;
+            self.unanswered_senders.relayed = true;
         } else {
-            self.missed.own = true;
+            self.unanswered_senders.own = true;
         }
     }
 
     /// Who has had no answer since its last heartbeat.
-    pub fn missed(&self) -> Unanswered {
+    pub fn unanswered_senders(&self) -> UnansweredSenders {
         if self.unanswered_at > self.last_heartbeat_at {
-            self.missed
+            self.unanswered_senders
         } else {
-            Unanswered::default()
+            UnansweredSenders::default()
         }
     }
 }
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -98,7 +98,7 @@
             job: job.spec.id,
             chunk,
             value: bitmap.to_record(),
-            version: job.chunks[chunk as usize],
+            version: job.chunk_versions[chunk as usize],
         };
         batch.push(write, bitmap.digits() + PROGRESS_OVERHEAD_BYTES);
     }
@@ -163,12 +163,12 @@
             Written::Ended(_) => return,
         };
         let Some(ix) = self.jobs.index_of(id) else {
-            return self.drop_chunk(id, chunk, version);
+            return self.remove_chunk(id, chunk, version);
         };
         let job = &mut self.jobs[ix];
-        job.chunks[chunk as usize] = version;
+        job.chunk_versions[chunk as usize] = version;
         if matches!(job.state, JobState::Terminal(_)) {
-            return self.drop_chunk(id, chunk, version);
+            return self.remove_chunk(id, chunk, version);
         }
         if let Written::Stored { .. } = written {
             self.mark_stored(ix, chunk, value);
@@ -208,7 +208,7 @@
         };
         let first = self.first_task_of_chunk(chunk);
         let job = &mut self.jobs[ix];
-        if let Some(of_chunk) = job.chunks.get_mut(chunk as usize) {
+        if let Some(of_chunk) = job.chunk_versions.get_mut(chunk as usize) {
             *of_chunk = version;
         }
         let tasks = job.tasks.iter_mut().skip(first);
@@ -243,7 +243,7 @@
     }
 
     /// Has a chunk of a job that has ended removed, if it is stored.
-    pub(super) fn drop_chunk(&mut self, job: JobId, chunk: u32, version: u64) {
+    pub(super) fn remove_chunk(&mut self, job: JobId, chunk: u32, version: u64) {
         if version > 0 {
             self.write_queue.push_obsolete_chunk(ObsoleteChunk {
                 job,
--- a/src/coordination/placement/market.rs
+++ b/src/coordination/placement/market.rs
@@ -155,7 +155,7 @@
         let job = &self.jobs[ix];
         (0..self.zones.len())
             .map(|zone| {
-                let here = job.by_zone.get(zone).copied().unwrap_or(0);
+                let here = job.instances_by_zone.get(zone).copied().unwrap_or(0);
                 job.zone_cap().saturating_sub(here)
             })
             .collect()
@@ -167,7 +167,10 @@
         if !job.spec.one_zone {
             return None;
         }
-        let zone = job.by_zone.iter().position(|&instances| instances > 0);
+        let zone = job
+            .instances_by_zone
+            .iter()
+            .position(|&instances| instances > 0);
         zone.map(|zone| zone as u32)
     }
 
--- a/src/coordination/placement/order.rs
+++ b/src/coordination/placement/order.rs
@@ -120,7 +120,7 @@
 
     fn urgency(&self, ix: u32) -> f64 {
         let job = &self.jobs[ix];
-        let waited_s = (self.now - job.seen_at).max(0.0);
+        let waited_s = (self.now - job.accepted_at).max(0.0);
         match job.spec.kind {
             Kind::Array if waited_s > job.completion_target_s => LATE_ARRAY_URGENCY,
             Kind::Array => {
@@ -158,7 +158,7 @@
 
     /// Whether a late job goes before all others of its priority now.
     pub(in crate::coordination) fn has_deadline_boost(&self, ix: u32) -> bool {
-        let waited_s = self.now - self.jobs[ix].seen_at;
+        let waited_s = self.now - self.jobs[ix].accepted_at;
         self.start_urgency(ix, waited_s) >= BOOSTED_URGENCY
     }
 
--- a/src/coordination/placement/start.rs
+++ b/src/coordination/placement/start.rs
@@ -9,7 +9,7 @@
             return false;
         };
         if !self.may_start(ix, task, m) {
-            self.jobs[ix].retry.push_front(task);
+            self.jobs[ix].retry_queue.push_front(task);
             return false;
         }
         let attempt = self.new_attempt();
@@ -24,8 +24,8 @@
     fn take_next_task(&mut self, ix: u32) -> Option<u32> {
         let now = self.now;
         let job = &mut self.jobs[ix];
-        for _ in 0..job.retry.len() {
-            let task = job.retry.pop_front()?;
+        for _ in 0..job.retry_queue.len() {
+            let task = job.retry_queue.pop_front()?;
             let state = &job.tasks[task as usize];
             if state.done || state.instances > 0 {
                 continue;
@@ -33,11 +33,11 @@
             if f64::from(state.not_before) <= now {
                 return Some(task);
             }
-            job.retry.push_back(task);
+            job.retry_queue.push_back(task);
         }
-        while job.fresh < job.spec.tasks {
-            let task = job.fresh;
-            job.fresh += 1;
+        while job.first_unstarted < job.spec.tasks {
+            let task = job.first_unstarted;
+            job.first_unstarted += 1;
             let state = &job.tasks[task as usize];
             if !state.done && state.instances == 0 {
                 return Some(task);
--- a/src/coordination/placement/value.rs
+++ b/src/coordination/placement/value.rs
@@ -73,7 +73,7 @@
     /// Between 0 and 1: low for a worker that is nearly full or has sent no heartbeat for long.
     fn headroom_gate(&self, m: u32, instance_type: &MachineType) -> f64 {
         let tuning = &self.config.tuning;
-        let room = self.free_room(m);
+        let room = self.free_resources(m);
         let whole = &instance_type.whole;
         let headroom = free_part(room.cpus, whole.cpus)
             .min(free_part(room.memory, whole.memory))
@@ -88,7 +88,7 @@
     /// slowest.
     fn needs_cached_image(&self, ix: u32) -> bool {
         let job = &self.jobs[ix];
-        job.spec.image_gb / self.types.slowest_fetch()
+        job.spec.image_gb / self.types.min_fetch_gb_per_s()
             > job.start_delay_tolerance_s * FETCH_SHARE_OF_TOLERANCE
     }
 
@@ -98,7 +98,8 @@
     fn tier(&self, ix: u32, m: u32) -> u8 {
         let job = &self.jobs[ix];
         // A replica that is restored is missing all the while it fetches.
-        let restored = job.is_service() && self.now - job.seen_at >= job.start_delay_tolerance_s;
+        let restored =
+            job.is_service() && self.now - job.accepted_at >= job.start_delay_tolerance_s;
         let may_fetch_s = if restored {
             0.0
         } else {
--- a/src/coordination/preemption/reservations.rs
+++ b/src/coordination/preemption/reservations.rs
@@ -20,7 +20,7 @@
                 job: ix,
                 count: 1,
                 until,
-                held: false,
+                for_migration: false,
             }),
         }
     }
@@ -45,7 +45,7 @@
             let jobs = &self.jobs;
             let wanted = |reservation: &Reservation| {
                 jobs.get(reservation.job).is_some_and(|job| {
-                    job.state == JobState::Live && (reservation.held || job.waiting() > 0)
+                    job.state == JobState::Live && (reservation.for_migration || job.waiting() > 0)
                 })
             };
             self.workers[m]
@@ -72,7 +72,7 @@
 
     /// Free room of a worker less what is reserved for other jobs.
     pub(in crate::coordination) fn room_after_reservations(&self, m: u32, ix: u32) -> Resources {
-        let mut room = self.free_room(m);
+        let mut room = self.free_resources(m);
         if let Some(kept) = self.withheld_resources(m, ix) {
             room.sub(&kept);
         }
@@ -143,7 +143,7 @@
                 let holder = self.workers[m].reservations[at].job;
                 if let Some(best) = self.most_urgent_like(holder, m, batch)
                     && best != holder
-                    && self.free_room(m).cpus >= self.jobs[best].spec.needs.cpus
+                    && self.free_resources(m).cpus >= self.jobs[best].spec.needs.cpus
                     && !self.has_reservation(m, best)
                 {
                     self.workers[m].reservations[at].job = best;
--- a/src/coordination/preemption/single_tasks.rs
+++ b/src/coordination/preemption/single_tasks.rs
@@ -150,11 +150,11 @@
         needs: &Resources,
         m: u32,
     ) -> Option<f64> {
-        let mut room = self.free_room(m);
+        let mut room = self.free_resources(m);
         let mut ends: Vec<(f64, Resources)> = self.workers[m]
             .instances
             .iter()
-            .filter(|(key, instance)| instance.possible() && !self.jobs[key.job].is_service())
+            .filter(|(key, instance)| instance.may_exist() && !self.jobs[key.job].is_service())
             .map(|(key, instance)| {
                 let job = &self.jobs[key.job];
                 let ran_s = instance.running_since.map_or(0.0, |at| self.now - at);
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -55,7 +55,7 @@
                 return false;
             };
             let stops = instance.stop.is_some() || self.may_stop(ix, key.job);
-            if instance.possible() && stops {
+            if instance.may_exist() && stops {
                 room.add(&self.jobs[key.job].spec.needs);
             }
         }
@@ -67,7 +67,7 @@
         let needs = self.jobs[ix].spec.needs;
         let mut room = self.room_for_one_more(ix, m);
         for (key, instance) in &self.workers[m].instances {
-            if instance.possible() && instance.stop.is_some() {
+            if instance.may_exist() && instance.stop.is_some() {
                 // Its room is on the way, and reserved for whoever ordered the stop.
                 room.add(&self.jobs[key.job].spec.needs);
             }
@@ -100,7 +100,7 @@
         let mut candidates: Vec<(f64, InstanceId)> = self.workers[m]
             .instances
             .iter()
-            .filter(|(_, instance)| instance.possible() && instance.stop.is_none())
+            .filter(|(_, instance)| instance.may_exist() && instance.stop.is_none())
             .filter(|(key, _)| self.may_stop(ix, key.job))
             .map(|(key, instance)| (self.stop_cost(ix, key, instance), *key))
             .collect();
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -123,6 +123,6 @@
             None => self.add_worker(&entry.name, &entry.address, kind, zone, entry.spot),
         };
         self.provisioning.booting.remove(&entry.name);
-        self.workers[m].returning = true;
+        self.workers[m].scaling_in = true;
     }
 }
--- a/src/coordination/provisioning/quarantine.rs
+++ b/src/coordination/provisioning/quarantine.rs
@@ -40,13 +40,15 @@
         let in_doubt = job.failed_on.len() >= IN_DOUBT_AFTER_WORKERS && job.done == 0;
         if in_doubt && !job.is_service() {
             // It may run well for a while and then fail everywhere all the same.
-            job.proved = false;
+            job.known_good = false;
         }
         if self.is_faulty_job(id.job) {
             self.delay_faulty_job(id.job);
         }
-        self.workers[m].failed.insert(id.job, now + JOB_BACKOFF_S);
-        if self.jobs[id.job].proved {
+        self.workers[m]
+            .failed_jobs
+            .insert(id.job, now + JOB_BACKOFF_S);
+        if self.jobs[id.job].known_good {
             self.quarantine(m);
         }
     }
@@ -66,13 +68,13 @@
     /// The job has run well, so where it failed the worker was at fault. Only such a job shows
     /// that: several mistaken ones at once, each on its first tries, look like as many good jobs
     /// on a faulty worker, and new workers that have done no other work would be quarantined.
-    pub(crate) fn mark_job_proved(&mut self, ix: u32) {
-        if std::mem::replace(&mut self.jobs[ix].proved, true) {
+    pub(crate) fn mark_job_known_good(&mut self, ix: u32) {
+        if std::mem::replace(&mut self.jobs[ix].known_good, true) {
             return;
         }
         self.jobs[ix].failures = 0;
         for m in self.workers.indices() {
-            let backs_off_until = self.workers[m].failed.get(&ix);
+            let backs_off_until = self.workers[m].failed_jobs.get(&ix);
             if backs_off_until.is_some_and(|&until| until > self.now) {
                 self.quarantine(m);
             }
@@ -85,8 +87,8 @@
         if worker.quarantined_until > now {
             return;
         }
-        worker.quarantines += 1;
-        let doublings = worker.quarantines.min(MAX_QUARANTINE_STEPS) as i32 - 1;
+        worker.quarantine_count += 1;
+        let doublings = worker.quarantine_count.min(MAX_QUARANTINE_STEPS) as i32 - 1;
         let pause = FIRST_QUARANTINE_S * 2.0f64.powi(doublings);
         worker.quarantined_until = now + pause;
         tracing::info!(worker = worker.name, pause, "quarantined");
@@ -96,23 +98,23 @@
     pub(crate) fn is_faulty_job(&self, ix: u32) -> bool {
         self.jobs
             .get(ix)
-            .is_some_and(|job| !job.proved && job.failed_on.len() >= FAULTY_AFTER_WORKERS)
+            .is_some_and(|job| !job.known_good && job.failed_on.len() >= FAULTY_AFTER_WORKERS)
     }
 
     /// A task of the job has run well on this worker.
     pub(crate) fn record_task_success(&mut self, m: u32, ix: u32) {
         self.jobs[ix].failed_on.retain(|&failed| failed != m);
         let worker = &mut self.workers[m];
-        worker.failed.remove(&ix);
-        if worker.failed.is_empty() && worker.quarantined_until <= self.now {
-            worker.quarantines = 0;
+        worker.failed_jobs.remove(&ix);
+        if worker.failed_jobs.is_empty() && worker.quarantined_until <= self.now {
+            worker.quarantine_count = 0;
         }
     }
 
     /// How many tasks of a job may be started at once: few while the job itself is in doubt.
     pub(crate) fn trial_start_limit(&self, ix: u32) -> u32 {
         let job = &self.jobs[ix];
-        if job.proved || job.failed_on.is_empty() {
+        if job.known_good || job.failed_on.is_empty() {
             u32::MAX
         } else {
             TRIAL_TASKS.saturating_sub(job.active)
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -53,10 +53,10 @@
             }
             let idle = worker.idle_since.is_some_and(|t| now - t > idle_return_s);
             let unused = idle && !waiting && !worker.draining;
-            let faulty =
-                worker.quarantined_until > now && worker.quarantines >= QUARANTINES_BEFORE_RETURN;
+            let faulty = worker.quarantined_until > now
+                && worker.quarantine_count >= QUARANTINES_BEFORE_RETURN;
             if unused || faulty {
-                worker.returning = true;
+                worker.scaling_in = true;
             }
         }
         self.send_scale_in();
@@ -70,7 +70,7 @@
         let mut names: Vec<String> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.returning)
+            .filter(|(_, worker)| worker.scaling_in)
             .map(|(_, worker)| worker.name.clone())
             .take(MAX_WORKERS_PER_REQUEST)
             .collect();
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -274,7 +274,7 @@
             }
             for (id, instance) in &worker.instances {
                 let job = &self.jobs[id.job];
-                if instance.possible() && job.is_service() && job.state == JobState::Live {
+                if instance.may_exist() && job.is_service() && job.state == JobState::Live {
                     *replicas.entry(id.job).or_default() += 1;
                 }
             }
@@ -294,7 +294,7 @@
             .map(|(m, worker)| Room {
                 kind: worker.kind,
                 spot: worker.spot,
-                free: self.free_room(m),
+                free: self.free_resources(m),
             })
             .collect()
     }
@@ -309,7 +309,7 @@
     ) -> Option<CapacityPool> {
         let job = &self.jobs[ix];
         let mut best: Option<((f64, u32), CapacityPool)> = None;
-        for (kind, described) in (0u32..).zip(&self.types.known) {
+        for (kind, described) in (0u32..).zip(&self.types.descriptions) {
             let Some(described) = described else { continue };
             let allowed = job.types.as_ref().is_none_or(|types| types.contains(&kind));
             if !allowed || !job.spec.needs.fits_in(&described.whole) {
--- a/src/coordination/provisioning/unresponsive.rs
+++ b/src/coordination/provisioning/unresponsive.rs
@@ -78,13 +78,13 @@
             };
             if release {
                 released.push(m);
-                self.workers[m].returning = true;
+                self.workers[m].scaling_in = true;
                 self.send_scale_in();
             } else if self.may_probe(m) {
-                let left = probes_left.get_or_insert_with(|| self.questions_left());
+                let left = probes_left.get_or_insert_with(|| self.remaining_probes());
                 if *left > 0 {
                     *left -= 1;
-                    self.ask_worker(m);
+                    self.send_probe(m);
                 }
             }
         }
@@ -118,7 +118,7 @@
     /// Whether a direct message may be sent to a worker now.
     fn may_probe(&self, m: u32) -> bool {
         let worker = &self.workers[m];
-        worker.in_flight.is_none() && worker.next_probe <= self.now
+        worker.in_flight.is_none() && worker.next_message_at <= self.now
     }
 
     /// Which workers are late. Heartbeats come a quarter of their interval early or late: a worker
@@ -132,7 +132,7 @@
             let Some(last_heartbeat_at) = worker.last_heartbeat_at else {
                 continue;
             };
-            if worker.returning || !worker.may_be_alive() {
+            if worker.scaling_in || !worker.may_be_alive() {
                 continue;
             }
             if self.now - last_heartbeat_at < late_after_s {
@@ -152,7 +152,7 @@
         self.workers[m]
             .instances
             .iter()
-            .any(|(id, instance)| instance.possible() && self.jobs[id.job].is_service())
+            .any(|(id, instance)| instance.may_exist() && self.jobs[id.job].is_service())
     }
 
     /// Releases the workers that have not answered a new leader while their zones have, if they are
@@ -176,9 +176,9 @@
                 .unanswered_at
                 .is_some_and(|t| self.now - t > SECOND_PROBE_S)
                 && self.is_unreachable_by_all(m);
-            if probed_twice && !worker.returning && self.zone_is_reachable(&recent, m, since) {
+            if probed_twice && !worker.scaling_in && self.zone_is_reachable(&recent, m, since) {
                 released.push(m);
-                self.workers[m].returning = true;
+                self.workers[m].scaling_in = true;
             }
         }
         self.log_released(ReleaseReason::Unreconciled, &released);
@@ -200,8 +200,8 @@
             let sends_heartbeats = worker
                 .last_heartbeat_at
                 .is_some_and(|t| t - expired_at > max_interval_s);
-            if sends_heartbeats && !worker.returning {
-                worker.returning = true;
+            if sends_heartbeats && !worker.scaling_in {
+                worker.scaling_in = true;
                 released.push(m);
             }
         }
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -108,7 +108,7 @@
         let mut room = self.types.get(worker.kind)?.whole;
         let mut replicas = Vec::new();
         let instances = worker.instances.iter();
-        for (id, instance) in instances.filter(|(_, instance)| instance.possible()) {
+        for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
             let job = &self.jobs[id.job];
             if job.is_service() {
                 room.sub(&job.spec.needs);
--- a/src/coordination/reconciliation/blocked_jobs.rs
+++ b/src/coordination/reconciliation/blocked_jobs.rs
@@ -54,7 +54,9 @@
         job.predates_election
             && (unknown_workers
                 || (limited && !unreconciled.is_empty())
-                || unreconciled.iter().any(|&m| self.worker_suits(ix, m)))
+                || unreconciled
+                    .iter()
+                    .any(|&m| self.constraints_allow_worker(ix, m)))
     }
 
     /// Workers that an earlier leader may have given tasks to and that have not reported to this
@@ -90,7 +92,7 @@
         let mut unbounded = unknown_workers;
         for m in unreconciled.iter().copied().chain(with_orphans) {
             unbounded |= self.types.get(self.workers[m].kind).is_none();
-            let free = self.free_room(m);
+            let free = self.free_resources(m);
             hidden.cpus += free.cpus.max(0);
             hidden.gpus += free.gpus.max(0);
         }
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -30,7 +30,7 @@
                 self.remove_unsent_starts(m, &message);
             }
             Outcome::Executed(heartbeat) => {
-                self.workers[m].next_probe = self.now;
+                self.workers[m].next_message_at = self.now;
                 self.apply_direct_answer(m, &message, heartbeat, true);
             }
             Outcome::Rejected(heartbeat) => self.handle_rejection(m, &message, heartbeat),
@@ -40,7 +40,7 @@
 
     fn record_missed_answer(&mut self, m: u32, message: &InFlightMessage) {
         self.workers[m].record_unanswered(self.now, message.relayed);
-        self.workers[m].next_probe = self.next_probe_at(m);
+        self.workers[m].next_message_at = self.next_probe_at(m);
     }
 
     /// The worker has not executed the message.
@@ -52,7 +52,7 @@
     ) {
         // One that answers is written to again at once: a new leader's next message carries the
         // fencing token that it needs.
-        self.workers[m].next_probe = if heartbeat.is_some() {
+        self.workers[m].next_message_at = if heartbeat.is_some() {
             self.now
         } else {
             self.now + REJECTED_RETRY_S
@@ -138,7 +138,7 @@
                 .iter()
                 .any(|status| status.task == id.task && status.attempt == id.attempt);
             if listed {
-                instance.sent = Sent::Seen;
+                instance.start_delivery = StartDelivery::Reported;
             } else if !instance.unacknowledged {
                 self.remove_instance(m, *id);
             }
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -313,13 +313,16 @@
             .filter(|(id, instance)| {
                 !listed.contains(*id)
                     && !instance.unacknowledged
-                    && arrived_before(instance.sent, counter, source)
+                    && arrived_before(instance.start_delivery, counter, source)
             })
             .map(|(id, _)| *id)
             .collect();
         for id in absent {
             // An answer with a start in it was lost. Perhaps all are.
-            let lost = matches!(self.workers[m].instances[&id].sent, Sent::Response { .. });
+            let lost = matches!(
+                self.workers[m].instances[&id].start_delivery,
+                StartDelivery::Response { .. }
+            );
             self.workers[m].commands_unanswered |= lost;
             self.remove_instance(m, id);
             self.abort_gang_attempt(id);
@@ -329,14 +332,14 @@
 
 /// Whether a start that was sent so had reached the worker, if it ever would, when the worker
 /// sent the heartbeat with this counter.
-fn arrived_before(sent: Sent, heartbeat_counter: u64, source: HeartbeatSource) -> bool {
+fn arrived_before(sent: StartDelivery, heartbeat_counter: u64, source: HeartbeatSource) -> bool {
     match sent {
-        Sent::Queued => false,
-        Sent::Seen => true,
-        Sent::Response { counter } => {
+        StartDelivery::Queued => false,
+        StartDelivery::Reported => true,
+        StartDelivery::Response { counter } => {
             source == HeartbeatSource::Worker && heartbeat_counter > counter
         }
-        Sent::Direct { message_id } => {
+        StartDelivery::Direct { message_id } => {
             source
                 == (HeartbeatSource::Direct {
                     message_id,
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -29,8 +29,9 @@
         }
         let first_report = instance.phase.is_none();
         let was_running = instance.is_running();
-        let arrived = matches!(instance.sent, Sent::Response { .. }) || instance.unacknowledged;
-        instance.sent = Sent::Seen;
+        let arrived = matches!(instance.start_delivery, StartDelivery::Response { .. })
+            || instance.unacknowledged;
+        instance.start_delivery = StartDelivery::Reported;
         instance.phase = Some(phase);
         let is_running = instance.is_running();
         if is_running && !was_running {
@@ -51,11 +52,11 @@
         // A replica never ends, so running is all it can prove. Without this, a service that
         // failed on one faulty worker waited for ever although its other replicas ran.
         if runs_well {
-            self.mark_job_proved(id.job);
+            self.mark_job_known_good(id.job);
         }
         if matches!(phase, TaskPhase::Exited(_)) {
             self.handle_task_exit(m, id, phase);
-            self.release(m, id);
+            self.release_resources(m, id);
             return;
         }
         if phase != TaskPhase::Fetching {
@@ -119,7 +120,7 @@
             Exit::NoRoom => {
                 self.retry_after(id, NO_ROOM_RETRY_S);
                 let avoid_until = self.now + NO_ROOM_AVOID_S;
-                self.workers[m].failed.insert(id.job, avoid_until);
+                self.workers[m].failed_jobs.insert(id.job, avoid_until);
             }
             Exit::Busy | Exit::Unknown => self.retry_after(id, BUSY_RETRY_S),
             Exit::Stopped { .. } | Exit::PeersGone | Exit::Alone => {}
@@ -136,13 +137,13 @@
     fn handle_task_done(&mut self, m: u32, id: InstanceId) {
         self.record_image(m, id.job);
         self.record_task_success(m, id.job);
-        self.mark_job_proved(id.job);
+        self.mark_job_known_good(id.job);
         if !self.jobs[id.job].is_gang() {
-            return self.mark_done(id.job, id.task);
+            return self.mark_task_done(id.job, id.task);
         }
         // The tasks of a gang complete together: when one is done, all of them are.
         for task in 0..self.jobs[id.job].spec.tasks {
-            self.mark_done(id.job, task);
+            self.mark_task_done(id.job, task);
         }
     }
 
--- a/src/coordination/reconciliation/worker_commands.rs
+++ b/src/coordination/reconciliation/worker_commands.rs
@@ -17,7 +17,7 @@
         let room = MAX_COMMANDS - stops.len();
         let mut commands = Vec::new();
         if self.workers[m].in_flight.is_none() {
-            commands = self.drain_outbox(m, room, Sent::Response { counter });
+            commands = self.take_queued_commands(m, room, StartDelivery::Response { counter });
         }
         let follow_up = self.follow_up_commands(m, room.saturating_sub(commands.len()));
         append_missing(&mut commands, follow_up);
@@ -38,7 +38,7 @@
         let mut stops: Vec<Command> = worker.running_orphans().map(orphan_command).collect();
         for (id, instance) in &worker.instances {
             let ends = self.jobs[id.job].is_ending() && instance.exit().is_none();
-            if !ends || instance.sent == Sent::Queued {
+            if !ends || instance.start_delivery == StartDelivery::Queued {
                 continue;
             }
             if instance.may_arrive_late() {
@@ -113,7 +113,12 @@
     }
 
     /// Takes the commands that are to be sent, at most `limit`, and records how their starts leave.
-    pub(crate) fn drain_outbox(&mut self, m: u32, limit: usize, how: Sent) -> Vec<Command> {
+    pub(crate) fn take_queued_commands(
+        &mut self,
+        m: u32,
+        limit: usize,
+        how: StartDelivery,
+    ) -> Vec<Command> {
         let now = self.now;
         let worker = &mut self.workers[m];
         let count = worker.outbox.len().min(limit);
@@ -132,7 +137,7 @@
                 continue;
             };
             match command.verb {
-                Verb::Start => instance.sent = how,
+                Verb::Start => instance.start_delivery = how,
                 Verb::Stop { .. } => {
                     if let Some(stop) = &mut instance.stop {
                         stop.sent_at = Some(now);
--- a/src/coordination/sharding/balance.rs
+++ b/src/coordination/sharding/balance.rs
@@ -132,7 +132,7 @@
             // A worker whose lease has expired is dealt with.
             late += usize::from(is_late && !lease_expired);
             if is_late || self.requires_stops_in_answers(m) {
-                to_revoke.push(worker.number);
+                to_revoke.push(worker.shard_number);
             }
         }
         LateWorkers {
--- a/src/coordination/sharding/mod.rs
+++ b/src/coordination/sharding/mod.rs
@@ -87,13 +87,13 @@
         } else {
             ceil_ms(self.elected_at + ttl_s)
         };
-        worker.number = sharding.add_worker(&worker.name, worker.zone, last_answer);
+        worker.shard_number = sharding.add_worker(&worker.name, worker.zone, last_answer);
     }
 
     /// Removes a worker that is gone.
     pub(super) fn remove_worker_from_shards(&mut self, m: u32) {
         if let Some(sharding) = &mut self.sharding {
-            sharding.remove_worker(self.workers[m].number);
+            sharding.remove_worker(self.workers[m].shard_number);
         }
     }
 
--- a/src/coordination/sharding/relays.rs
+++ b/src/coordination/sharding/relays.rs
@@ -49,20 +49,20 @@
         let sharding = self.sharding.as_ref()?;
         let worker = &self.workers[m];
         let now = ceil_ms(self.now);
-        let owner = sharding.coordinator.owner_relay(worker.number, now);
-        match worker.missed() {
+        let owner = sharding.coordinator.owner_relay(worker.shard_number, now);
+        match worker.unanswered_senders() {
             // A new leader probes the workers without a shard owner with the help of all others.
-            Unanswered {
+            UnansweredSenders {
                 own: false,
                 relayed: false,
-            } if owner.is_none() && !worker.reconciled => {
-                sharding.coordinator.relay_or_leader(worker.number, now)
-            }
+            } if owner.is_none() && !worker.reconciled => sharding
+                .coordinator
+                .relay_or_leader(worker.shard_number, now),
             // The other way next, as either controller may reach what the other does not, and by
             // turns from then on.
-            Unanswered { own, relayed } if own || relayed => {
+            UnansweredSenders { own, relayed } if own || relayed => {
                 let by_other = !relayed || (own && self.next_message_id.is_multiple_of(2));
-                by_other.then(|| sharding.coordinator.any_relay(worker.number, now))?
+                by_other.then(|| sharding.coordinator.any_relay(worker.shard_number, now))?
             }
             _ => owner,
         }
@@ -71,19 +71,19 @@
     /// Whether a worker has answered neither this controller nor, if one can relay, another. A
     /// leader that alone has lost its connections must not take good workers for lost.
     pub(in crate::coordination) fn is_unreachable_by_all(&self, m: u32) -> bool {
-        let Unanswered { own, relayed } = self.workers[m].missed();
+        let UnansweredSenders { own, relayed } = self.workers[m].unanswered_senders();
         own && (relayed || !self.has_relay(m))
     }
 
     fn has_relay(&self, m: u32) -> bool {
         let now = ceil_ms(self.now);
-        let relay = |s: &Sharding| s.coordinator.any_relay(self.workers[m].number, now);
+        let relay = |s: &Sharding| s.coordinator.any_relay(self.workers[m].shard_number, now);
         self.sharding.as_ref().and_then(relay).is_some()
     }
 
     /// When a worker that has not answered is probed next: at once, if by another controller.
     pub(in crate::coordination) fn next_probe_at(&self, m: u32) -> Time {
-        let Unanswered { own, relayed } = self.workers[m].missed();
+        let UnansweredSenders { own, relayed } = self.workers[m].unanswered_senders();
         if own != relayed && self.has_relay(m) {
             self.now
         } else {
@@ -102,7 +102,7 @@
     /// Records whether a worker has answered a message.
     pub(in crate::coordination) fn record_command_result(&mut self, m: u32, answered: bool) {
         if let Some(sharding) = &mut self.sharding {
-            let (now, number) = (ceil_ms(self.now), self.workers[m].number);
+            let (now, number) = (ceil_ms(self.now), self.workers[m].shard_number);
             sharding
                 .coordinator
                 .record_command_result(now, number, answered);
@@ -145,13 +145,13 @@
             return;
         };
         let worker = &self.workers[m];
-        let (unanswered_at, missed) = (worker.unanswered_at, worker.missed);
+        let (unanswered_at, unanswered_senders) = (worker.unanswered_at, worker.unanswered_senders);
         let commands_unanswered = worker.commands_unanswered;
         self.handle_command_outcome(&name, message_id, outcome);
         let worker = &mut self.workers[m];
         worker.unanswered_at = unanswered_at;
-        worker.missed = missed;
+        worker.unanswered_senders = unanswered_senders;
         worker.commands_unanswered = commands_unanswered;
-        worker.next_probe = self.now;
+        worker.next_message_at = self.now;
     }
 }
--- a/src/coordination/sharding/routing.rs
+++ b/src/coordination/sharding/routing.rs
@@ -20,14 +20,16 @@
         let Some(sharding) = &self.sharding else {
             return Some(own);
         };
-        let others = sharding.coordinator.unanswered_since(worker.number)?;
+        let others = sharding.coordinator.unanswered_since(worker.shard_number)?;
         Some(own.max(others as f64 / 1000.0))
     }
 
     /// The shard owner of a worker, `None` if only this controller may answer it.
     pub(in crate::coordination) fn shard_owner_of(&self, m: u32) -> Option<u32> {
         let sharding = self.sharding.as_ref()?;
-        sharding.coordinator.shard_owner(self.workers[m].number)
+        sharding
+            .coordinator
+            .shard_owner(self.workers[m].shard_number)
     }
 
     /// The name of the controller that answers a worker, where workers are sharded.
@@ -82,7 +84,7 @@
     ) -> Route {
         let permission = self.answer_permission(m);
         let before = self.shard_owner_of(m);
-        let number = self.workers[m].number;
+        let number = self.workers[m].shard_number;
         let Some(sharding) = &mut self.sharding else {
             return Route::Here;
         };
--- a/src/coordination/start_conditions.rs
+++ b/src/coordination/start_conditions.rs
@@ -23,7 +23,7 @@
             && !job.blocked
             && self.worker_usable(m)
             && self.worker_allowed(ix, m)
-            && job.spec.needs.fits_in(&self.free_room(m))
+            && job.spec.needs.fits_in(&self.free_resources(m))
             && self.zone_allows(ix, worker.zone)
             && self.team_allows(job.team, &job.spec.needs)
     }
@@ -36,9 +36,13 @@
     /// The same where `planned` more of its tasks are to be started there.
     pub(super) fn zone_allows_more(&self, ix: u32, zone: u32, planned: u32) -> bool {
         let job = &self.jobs[ix];
-        let here = job.by_zone.get(zone as usize).copied().unwrap_or(0);
+        let here = job
+            .instances_by_zone
+            .get(zone as usize)
+            .copied()
+            .unwrap_or(0);
         here + planned < job.zone_cap()
-            && (!job.spec.one_zone || job.by_zone.iter().sum::<u32>() == here)
+            && (!job.spec.one_zone || job.instances_by_zone.iter().sum::<u32>() == here)
     }
 
     /// Whether the team's limit allows these resources beside all that may be in use.
@@ -55,16 +59,16 @@
     /// Whether the job may run on the worker, and has not failed there lately.
     pub(super) fn worker_allowed(&self, ix: u32, m: u32) -> bool {
         let worker = &self.workers[m];
-        self.worker_suits(ix, m)
+        self.constraints_allow_worker(ix, m)
             && worker
-                .failed
+                .failed_jobs
                 .get(&ix)
                 .is_none_or(|&until| until <= self.now)
     }
 
     /// Whether the job's own conditions allow the worker, whatever has happened there: any leader
     /// may start the job on it.
-    pub(super) fn worker_suits(&self, ix: u32, m: u32) -> bool {
+    pub(super) fn constraints_allow_worker(&self, ix: u32, m: u32) -> bool {
         let job = &self.jobs[ix];
         let worker = &self.workers[m];
         (!worker.spot || job.spec.spot)
@@ -103,7 +107,7 @@
     pub(super) fn worker_usable(&self, m: u32) -> bool {
         let worker = &self.workers[m];
         worker.reconciled
-            && !worker.returning
+            && !worker.scaling_in
             && !worker.draining
             && worker.orphaned_tasks.is_empty()
             && !worker.commands_unanswered
@@ -118,7 +122,7 @@
 
     /// What no task instance that may be on a worker takes of it; nothing if its instance type is
     /// not described.
-    pub(super) fn free_room(&self, m: u32) -> Resources {
+    pub(super) fn free_resources(&self, m: u32) -> Resources {
         let worker = &self.workers[m];
         let Some(instance_type) = self.types.get(worker.kind) else {
             return Resources::default();
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -54,7 +54,7 @@
     /// Zones by index.
     pub(super) zones: Interner,
     /// Instance types by index.
-    pub(super) types: Types,
+    pub(super) types: InstanceTypes,
     /// Images by index.
     pub(super) images: Images,
     /// Teams by index, and what they use.
