--- a/src/coordination/cancellation.rs
+++ b/src/coordination/cancellation.rs
@@ -26,7 +26,7 @@
                 // Tasks are stopped before the cancellation is stored. The outcome of that write may
                 // stay unknown during an outage of the state service, although another controller
                 // has read the cancellation and confirmed it to the user.
-                self.stop_all_of(ix);
+                self.stop_all_instances(ix);
                 CancelDecision::Go {
                     done: self.jobs[ix].done,
                 }
--- a/src/coordination/sharding/balance.rs
+++ b/src/coordination/sharding/balance.rs
@@ -133,7 +133,7 @@
             // Workers whose lease has expired are already handled and do not count as late.
             late += usize::from(is_late && !lease_expired);
             if is_late || self.requires_stops_in_answers(m) {
-                to_revoke.push(worker.number);
+                to_revoke.push(worker.shard_number);
             }
         }
         LateWorkers {
--- a/src/coordination/sharding/relays.rs
+++ b/src/coordination/sharding/relays.rs
@@ -49,20 +49,20 @@
         let sharding = self.sharding.as_ref()?;
         let worker = &self.workers[m];
         let now = ceil_ms(self.now);
-        let owner = sharding.coordinator.owner_relay(worker.number, now);
-        match worker.missed() {
+        let owner = sharding.coordinator.owner_relay(worker.shard_number, now);
+        match worker.unanswered_senders() {
             // A new leader spreads the probes of workers without a shard owner over all controllers.
-            Unanswered {
+            UnansweredSenders {
                 own: false,
                 relayed: false,
-            } if owner.is_none() && !worker.reconciled => {
-                sharding.coordinator.relay_or_leader(worker.number, now)
-            }
+            } if owner.is_none() && !worker.reconciled => sharding
+                .coordinator
+                .relay_or_leader(worker.shard_number, now),
             // After a failure the other path is tried, since either controller may reach workers
             // that the other does not. Once both have failed, they alternate.
-            Unanswered { own, relayed } if own || relayed => {
+            UnansweredSenders { own, relayed } if own || relayed => {
                 let use_relay = !relayed || (own && self.next_message_id.is_multiple_of(2));
-                use_relay.then(|| sharding.coordinator.any_relay(worker.number, now))?
+                use_relay.then(|| sharding.coordinator.any_relay(worker.shard_number, now))?
             }
             _ => owner,
         }
@@ -71,20 +71,20 @@
     /// Whether a worker has answered neither this controller nor, if another can relay, that one. A
     /// leader that alone has lost its connections to the workers must not treat them as lost.
     pub(in crate::coordination) fn is_unreachable_by_all(&self, m: u32) -> bool {
-        let Unanswered { own, relayed } = self.workers[m].missed();
+        let UnansweredSenders { own, relayed } = self.workers[m].unanswered_senders();
         own && (relayed || !self.has_relay(m))
     }
 
     fn has_relay(&self, m: u32) -> bool {
         let now = ceil_ms(self.now);
-        let relay = |s: &Sharding| s.coordinator.any_relay(self.workers[m].number, now);
+        let relay = |s: &Sharding| s.coordinator.any_relay(self.workers[m].shard_number, now);
         self.sharding.as_ref().and_then(relay).is_some()
     }
 
     /// When a worker that has not answered is probed next: at once if only one of the two paths, direct
     /// and relayed, has failed and a relay is available.
     pub(in crate::coordination) fn next_probe_at(&self, m: u32) -> Time {
-        let Unanswered { own, relayed } = self.workers[m].missed();
+        let UnansweredSenders { own, relayed } = self.workers[m].unanswered_senders();
         if own != relayed && self.has_relay(m) {
             self.now
         } else {
@@ -103,7 +103,7 @@
     /// Records whether a worker answered a command.
     pub(in crate::coordination) fn record_command_result(&mut self, m: u32, answered: bool) {
         if let Some(sharding) = &mut self.sharding {
-            let (now, number) = (ceil_ms(self.now), self.workers[m].number);
+            let (now, number) = (ceil_ms(self.now), self.workers[m].shard_number);
             sharding
                 .coordinator
                 .record_command_result(now, number, answered);
@@ -146,13 +146,13 @@
             return;
         };
         let worker = &self.workers[m];
-        let (unanswered_at, missed) = (worker.unanswered_at, worker.missed);
+        let (unanswered_at, unanswered_senders) = (worker.unanswered_at, worker.unanswered_senders);
         let commands_unanswered = worker.commands_unanswered;
         self.handle_command_outcome(&name, message_id, outcome);
         let worker = &mut self.workers[m];
         worker.unanswered_at = unanswered_at;
-        worker.missed = missed;
+        worker.unanswered_senders = unanswered_senders;
         worker.commands_unanswered = commands_unanswered;
-        worker.next_probe = self.now;
+        worker.next_message_at = self.now;
     }
 }
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -54,8 +54,8 @@
     pub(super) now: Time,
     /// Zones by index.
     pub(super) zones: Interner,
-    /// Machine types by index.
-    pub(super) types: Types,
+    /// Instance types by index.
+    pub(super) types: InstanceTypes,
     /// Images by index.
     pub(super) images: Images,
     /// Teams by index, with their usage.
