--- a/tests/bare_core/mod.rs
+++ b/tests/bare_core/mod.rs
@@ -1,4 +1,4 @@
-//! A newly elected leader's core whose inputs the test makes itself, message by message.
+//! The core of a newly elected leader, for tests that create its inputs one by one.
 
 use copperfield::coordination::core::{Config, Core};
 use copperfield::protocol::cloud::parse_machine_types;
@@ -11,8 +11,8 @@
 const ADDRESS: &str = "10.1.0.1:9000";
 const INSTANCE_TYPE: &str = "small";
 
-/// A leader elected at 0 that has read these jobs, and these workers as (name, zone) from the
-/// worker registry.
+/// Creates the core of a leader elected at time 0 that has read these jobs, and these workers, given as
+/// (name, zone), from the worker registry.
 pub fn elected_leader(
     zones: &[&str],
     team: Value,
@@ -28,7 +28,7 @@
         registry: vec![StoredRegistryPage {
             page: 0,
             version: 5,
-            workers: Some(workers.into_iter().map(registered).collect()),
+            workers: Some(workers.into_iter().map(registry_entry).collect()),
         }],
         ..Snapshot::default()
     };
@@ -46,7 +46,7 @@
     serde_json::from_value(cluster).expect("valid")
 }
 
-fn registered((name, zone): (String, String)) -> (String, WorkerRecord) {
+fn registry_entry((name, zone): (String, String)) -> (String, WorkerRecord) {
     let record = WorkerRecord {
         address: ADDRESS.into(),
         machine_type: INSTANCE_TYPE.into(),
@@ -57,7 +57,7 @@
     (name, record)
 }
 
-/// The heartbeat of a worker that has learned of the new leader.
+/// A heartbeat of a worker that knows the fencing token of the new leader.
 pub fn heartbeat(worker: &str, zone: &str, counter: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
     Heartbeat {
         worker: worker.into(),
--- a/tests/cancellation.rs
+++ b/tests/cancellation.rs
@@ -1,5 +1,5 @@
-//! A job that a user has cancelled ends, whatever becomes of the transaction that cancels it, of the
-//! leader that sent it, and of the state service: docs/notes/cancellation.md.
+//! Tests that a cancelled job ends, whatever happens to the transaction that cancels it, to the leader
+//! that sent the transaction, and to the state service. See docs/notes/cancellation.md.
 
 mod simulated_cluster;
 
@@ -12,28 +12,29 @@
 
 use simulated_cluster::*;
 
-/// How many jobs are cancelled in one run; each would run for longer than that.
+/// Number of jobs that are cancelled in one run. Each would run for longer than the simulation.
 const JOBS: usize = 6;
-/// When the tasks of all jobs are running.
+/// By this time the tasks of all jobs are running.
 const RUNNING_BY_S: f64 = 12.0;
-/// The leader's TTL in the simulated world, in steps of the sweep.
+/// The leader's TTL in the simulated cluster, in steps of [`STEP_S`].
 const TTL_STEPS: u32 = 30;
 const STEP_S: f64 = 0.05;
 
-/// Whether the leader learns what became of its cancellations.
+/// Whether the leader receives the results of the transactions that cancel jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Acknowledgements {
     Delivered,
-    /// Transactions are carried out and their answers lost, from just before the cancellations.
+    /// From shortly before the cancellations, transactions are carried out but their answers are lost.
     Lost,
 }
 
-/// The state service refuses the leader alone, and all controllers `later_s` later, for longer
+/// The state service refuses only the leader, and `outage_after_s` later all controllers, for longer
 /// than a cancellation may take. Users cancel one job every 0.3 s during the first fault, through
-/// any controller. Returns what broke a guarantee, and how many users were told of a cancellation.
+/// any controller. Returns the violated guarantees and the number of users that were told of a
+/// cancellation.
 fn cancel_between_faults(
     seed: u64,
-    later_s: f64,
+    outage_after_s: f64,
     acknowledgements: Acknowledgements,
 ) -> (Vec<String>, usize) {
     simulate(async move {
@@ -42,8 +43,8 @@
         for i in 1..=JOBS {
             let id = format!("wk-{i:06}");
             let body = job(i, "sweep", 2, json!({"cpus": 1.0}));
-            let cancel = RUNNING_BY_S - 1.2 + 0.3 * i as f64;
-            tokio::spawn(submit_and_cancel_at(world.clone(), id, body, cancel));
+            let cancel_at = RUNNING_BY_S - 1.2 + 0.3 * i as f64;
+            tokio::spawn(submit_and_cancel_at(world.clone(), id, body, cancel_at));
         }
         sleep(Duration::from_secs_f64(RUNNING_BY_S - 0.4)).await;
         if acknowledgements == Acknowledgements::Lost {
@@ -52,8 +53,8 @@
         sleep(Duration::from_secs_f64(0.4)).await;
         tokio::spawn(inflict(world.clone(), 0.0, Fault::RefuseLeader(8.0), seed));
         let outage = Fault::Outage(CANCEL_S + 6.0);
-        tokio::spawn(inflict(world.clone(), later_s, outage, seed));
-        sleep(Duration::from_secs_f64(later_s + 1.0)).await;
+        tokio::spawn(inflict(world.clone(), outage_after_s, outage, seed));
+        sleep(Duration::from_secs_f64(outage_after_s + 1.0)).await;
         world.lock().unwrap().answers_lost = 0.0;
         sleep(Duration::from_secs_f64(CANCEL_S + 40.0)).await;
         let w = world.lock().unwrap();
@@ -65,8 +66,8 @@
     })
 }
 
-/// Submits a job that would run for ever. At the given time it begins to cancel it and, beside
-/// that, to ask for its status, each time through some controller.
+/// Submits a job that would run forever. From the time `at` on, repeatedly cancels the job and, in
+/// parallel, requests its status, each time through some controller.
 async fn submit_and_cancel_at(world: SharedCluster, id: String, body: serde_json::Value, at: f64) {
     sleep(Duration::from_secs_f64(1.0)).await;
     let uploaded = Job::uploaded(&body, 1e6);
@@ -108,38 +109,51 @@
     }
 }
 
-/// The fault: the leader does not stop the tasks before the outcome of its transaction is known. The
-/// transaction is carried out, its answer lost, and another controller tells the user; but, with
-/// the votes of all peers, the leader renews the leases of the job's workers throughout an outage.
+/// Guards against a leader that does not stop the tasks until the outcome of its transaction is known.
+/// The transaction is carried out and its answer lost, and another controller reports the cancellation
+/// to the user. With the votes of all peers, the leader would then renew the leases of the job's
+/// workers throughout an outage.
 #[test]
 fn a_cancellation_of_unknown_outcome_still_ends_the_tasks() {
     let mut told_users = 0;
     for step in 0..TTL_STEPS {
-        let later_s = f64::from(step) * STEP_S;
-        let (broken, cancelled) =
-            cancel_between_faults(300 + u64::from(step), later_s, Acknowledgements::Lost);
-        assert!(broken.is_empty(), "outage after {later_s} s: {broken:#?}");
+        let outage_after_s = f64::from(step) * STEP_S;
+        let (violations, cancelled) = cancel_between_faults(
+            300 + u64::from(step),
+            outage_after_s,
+            Acknowledgements::Lost,
+        );
+        assert!(
+            violations.is_empty(),
+            "outage after {outage_after_s} s: {violations:#?}"
+        );
         told_users += cancelled;
     }
     assert!(
         told_users > 3 * TTL_STEPS as usize,
-        "users were told of {told_users} only"
+        "only {told_users} users were told of a cancellation"
     );
 }
 
-/// The moment of the outage is swept across a leader's TTL.
+/// The beginning of the outage is varied over one TTL of the leader.
 #[test]
-fn cancelled_jobs_end_when_first_the_leader_and_then_all_lose_the_store() {
+fn cancelled_jobs_end_when_first_the_leader_and_then_all_lose_the_state_service() {
     let mut told_users = 0;
     for step in 0..TTL_STEPS {
-        let later_s = f64::from(step) * STEP_S;
-        let (broken, cancelled) =
-            cancel_between_faults(400 + u64::from(step), later_s, Acknowledgements::Delivered);
-        assert!(broken.is_empty(), "outage after {later_s} s: {broken:#?}");
+        let outage_after_s = f64::from(step) * STEP_S;
+        let (violations, cancelled) = cancel_between_faults(
+            400 + u64::from(step),
+            outage_after_s,
+            Acknowledgements::Delivered,
+        );
+        assert!(
+            violations.is_empty(),
+            "outage after {outage_after_s} s: {violations:#?}"
+        );
         told_users += cancelled;
     }
     assert!(
         told_users > 3 * TTL_STEPS as usize,
-        "users were told of {told_users} only"
+        "only {told_users} users were told of a cancellation"
     );
 }
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -1,5 +1,6 @@
-//! Unresponsive workers over failovers, with workers that obey at once: what the fencing record
-//! saves, and what it must never cost.
+//! Tests of the fencing record over failovers, with workers that execute commands at once. The record
+//! must shorten the recovery from the loss of workers, and must never cause a lease that was renewed
+//! to be taken for expired.
 
 use std::collections::BTreeSet;
 
@@ -18,7 +19,7 @@
         "limits": {"max_sockets": 1000}, "clock_error_ms": clock_error_ms})
 }
 
-/// A service on a cluster of two zones.
+/// A running service on a cluster of two zones.
 struct Service {
     harness: CoreHarness,
     job: JobId,
@@ -50,25 +51,25 @@
 }
 
 impl Service {
-    /// How many tasks are on some worker.
+    /// Number of tasks with at least one instance.
     fn placed_tasks(&self) -> usize {
-        let places = self.harness.instances_of(self.job).into_iter();
-        let tasks: BTreeSet<u32> = places.map(|(task, _)| task).collect();
+        let instances = self.harness.instances_of(self.job).into_iter();
+        let tasks: BTreeSet<u32> = instances.map(|(task, _)| task).collect();
         tasks.len()
     }
 
-    /// How many task instances are in zone b.
+    /// Number of task instances in zone b.
     fn instances_in_zone_b(&self) -> usize {
-        let places = self.harness.instances_of(self.job);
-        let in_b = places.iter().filter(|(_, w)| self.zone_b.contains(*w));
-        in_b.count()
+        let instances = self.harness.instances_of(self.job);
+        let in_zone_b = instances.iter().filter(|(_, w)| self.zone_b.contains(*w));
+        in_zone_b.count()
     }
 
     fn instances(&self) -> usize {
         self.harness.instances_of(self.job).len()
     }
 
-    /// How many workers the stored fencing record names.
+    /// Number of workers that the stored fencing record names.
     fn fenced_workers(&self) -> usize {
         self.harness.fencing.values().map(Vec::len).sum()
     }
@@ -82,26 +83,29 @@
     }
 }
 
-/// Seconds from the cut of zone b until all replicas are placed again, with a failover after each
-/// of these delays.
+/// Cuts off zone b and fails over after each of these delays. Returns the seconds from the cut until
+/// all replicas are placed again.
 fn recovery_s(clock_error_ms: f64, failovers_after_s: &[f64]) -> f64 {
     let mut service = start_service(clock_error_ms);
-    let began = service.harness.now;
+    let cut_at = service.harness.now;
     service.cut_zone_b();
     for delay_s in failovers_after_s {
         service.harness.run(*delay_s);
         service.harness.fail_over();
     }
-    while service.placed_tasks() < 8 || service.harness.now - began < LEASE_S {
+    while service.placed_tasks() < 8 || service.harness.now - cut_at < LEASE_S {
         service.harness.run(0.1);
-        assert!(service.harness.now - began < 90.0, "never placed again");
+        assert!(
+            service.harness.now - cut_at < 90.0,
+            "replicas not placed again within 90 s"
+        );
     }
     service.check_history();
-    service.harness.now - began
+    service.harness.now - cut_at
 }
 
-/// A leader that ended late in the loss of a zone once made the next one count all leases of the
-/// zone from its election. Nor do leaders that end after it: the record outlives them all.
+/// Guards against a failover late in the loss of a zone that makes the next leader count all leases of
+/// the zone from its own election. The record must persist over any number of failovers.
 #[test]
 fn a_failover_during_the_loss_of_a_zone_restarts_no_lease() {
     let undisturbed_s = recovery_s(25.0, &[]);
@@ -112,33 +116,41 @@
             "{took_s:.1} s, {undisturbed_s:.1} undisturbed"
         );
     }
-    // Where the platform does not bound clocks the record proves nothing.
+    // Without a bound on the clock error the record proves nothing, and the leases are counted anew.
     assert!(recovery_s(0.0, &[16.0]) > undisturbed_s + 10.0);
 }
 
-/// A worker whose lease was renewed must not be taken for lost by the next leader.
+/// Guards against a next leader that treats a worker as lost although its lease was renewed.
 #[test]
 fn workers_that_come_back_are_answered_once_their_removal_is_stored() {
     let mut service = start_service(25.0);
     service.cut_zone_b();
     service.harness.run(9.0);
-    assert_eq!(service.fenced_workers(), 8, "the whole zone is fenced");
+    assert_eq!(
+        service.fenced_workers(),
+        8,
+        "workers of the zone that are fenced"
+    );
     let instances = service.instances();
     service.harness.unreachable.clear();
     service.harness.run(3.0);
-    assert_eq!(service.fenced_workers(), 0, "off the record again");
+    assert_eq!(
+        service.fenced_workers(),
+        0,
+        "workers that are still on the record"
+    );
     service.harness.fail_over();
     service.harness.run(3.0 * LEASE_S);
     assert_eq!(
         service.instances(),
         instances,
-        "every replica stayed where it was"
+        "instances after the failover"
     );
     service.check_history();
 }
 
-/// While nothing can be stored a fenced worker is answered only under a lease extension that all
-/// controllers voted for; then it keeps its lease, and the next leader reckons with that.
+/// While nothing can be stored, a fenced worker is answered only under a lease extension that all
+/// controllers voted for. It then keeps its lease, and the next leader must allow for that.
 #[test]
 fn in_an_outage_fenced_workers_are_answered_only_under_a_lease_extension() {
     for extended in [true, false] {
@@ -157,9 +169,9 @@
             }
             service.harness.run(0.5);
         }
-        let kept = service.instances_in_zone_b();
-        assert_eq!(kept, if extended { in_zone_b } else { 0 });
-        // Nothing was stored: the record still names them.
+        let remaining = service.instances_in_zone_b();
+        assert_eq!(remaining, if extended { in_zone_b } else { 0 });
+        // Nothing could be stored, so the record still names the workers.
         service.harness.outage = false;
         service.harness.fail_over();
         service.harness.run(2.0 * LEASE_S);
--- a/tests/leadership_transfer.rs
+++ b/tests/leadership_transfer.rs
@@ -1,5 +1,6 @@
-//! A leader that alone cannot reach the state service transfers leadership at once to a controller
-//! that can, and an outage for all that follows costs no work: docs/notes/cancellation.md.
+//! Tests of leadership transfer. A leader that alone cannot reach the state service transfers
+//! leadership at once to a controller that can, so that a subsequent outage for all controllers loses
+//! no tasks. See docs/notes/cancellation.md.
 
 mod simulated_cluster;
 
@@ -11,7 +12,7 @@
 
 use simulated_cluster::*;
 
-/// Seconds from the fault until another controller has the leader key.
+/// Returns the seconds from the fault until another controller holds the leader key.
 fn seconds_until_another_leads(seed: u64, fault: Fault) -> f64 {
     simulate(async move {
         let world = site(seed, 0.0);
@@ -27,28 +28,31 @@
     })
 }
 
-/// Without a transfer its lease would have to expire first: 1.5 s here, 2.5 s by default.
+/// Without a transfer the lease would have to expire first, which takes 1.5 s here and 2.5 s with the
+/// default settings.
 #[test]
-fn a_leader_that_alone_cannot_reach_the_store_transfers_leadership_within_600_ms() {
+fn a_leader_that_alone_cannot_reach_the_state_service_transfers_leadership_within_600_ms() {
     for seed in 0..20 {
         let after_s = seconds_until_another_leads(seed, Fault::RefuseLeader(8.0));
         assert!(after_s < 0.6, "seed {seed}: {after_s} s");
     }
 }
 
-/// Its peers see nothing of the fault but the leader key, whose lease expires.
+/// The peers detect this fault only when the lease of the leader key expires.
 #[test]
-fn a_leader_cut_off_from_store_and_peers_is_replaced_when_its_lease_expires() {
+fn a_leader_cut_off_from_state_service_and_peers_is_replaced_when_its_lease_expires() {
     for seed in 0..6 {
         let after_s = seconds_until_another_leads(seed, Fault::CutLeaderOff(8.0));
         assert!((1.0..2.5).contains(&after_s), "seed {seed}: {after_s} s");
     }
 }
 
-/// Tasks of one long job that ended early, with an outage for all `later_s` after the leader alone
-/// lost the state service. In such an outage nobody would be valid if it began before the next
-/// leader was there, or while the last one was suspended and so granted no vote.
-fn lost_tasks(seed: u64, later_s: f64) -> usize {
+/// Runs a long job while the leader alone loses the state service and, `outage_after_s` later, all
+/// controllers lose it. Returns how often the job's first task was started again.
+///
+/// No leader would be valid during the outage if it began before the next leader was elected, or while
+/// the last one was suspended and therefore granted no vote.
+fn count_task_restarts(seed: u64, outage_after_s: f64) -> usize {
     simulate(async move {
         let world = site(seed, 0.0);
         tokio::spawn(workers(world.clone()));
@@ -58,7 +62,7 @@
         sleep(Duration::from_secs_f64(8.0)).await;
         tokio::spawn(inflict(world.clone(), 0.0, Fault::RefuseLeader(20.0), seed));
         let outage = Fault::Outage(3.0 * LEASE_S);
-        tokio::spawn(inflict(world.clone(), later_s, outage, seed));
+        tokio::spawn(inflict(world.clone(), outage_after_s, outage, seed));
         sleep(Duration::from_secs_f64(60.0)).await;
         let w = world.lock().unwrap();
         assert!(w.site.violations.is_empty(), "{:#?}", w.site.violations);
@@ -66,14 +70,15 @@
     })
 }
 
+/// Guards against a gap between two leaders in which the outage begins and all worker leases expire.
 #[test]
 fn an_outage_after_a_leadership_transfer_loses_no_tasks() {
     for step in 0..12u32 {
-        let later_s = 0.8 + 0.4 * f64::from(step);
+        let outage_after_s = 0.8 + 0.4 * f64::from(step);
         assert_eq!(
-            lost_tasks(step.into(), later_s),
+            count_task_restarts(step.into(), outage_after_s),
             0,
-            "outage after {later_s} s"
+            "outage after {outage_after_s} s"
         );
     }
 }
--- a/tests/one_way_partitions.rs
+++ b/tests/one_way_partitions.rs
@@ -1,6 +1,6 @@
-//! One-way partitions: workers whose heartbeats arrive and that receive neither answers nor commands,
-//! and the reverse. Their leases expire all the same, so they get no tasks, and what they had starts
-//! elsewhere.
+//! Tests of one-way partitions: workers whose heartbeats arrive but that receive neither answers nor
+//! commands, and the reverse. In both cases their leases expire, so they must get no tasks, and the
+//! tasks they had must start elsewhere.
 
 mod simulated_cluster;
 
@@ -14,15 +14,16 @@
 use simulated_cluster::*;
 
 const PARTITION_AT_S: f64 = 8.0;
-/// Small jobs, one a second, from when the partition begins.
+/// Number of small jobs, submitted at one per second from the beginning of the partition.
 const JOBS: usize = 10;
 
-/// Two workers receive nothing for so long; if `leader_crashes`, it does so 2 s after the partition
-/// began. How long each job takes in seconds, the longest first.
+/// Partitions two workers for `partition_s` seconds so that they receive nothing. If `leader_crashes`,
+/// the leader crashes 2 s after the partition began. Returns the duration of each job in seconds, in
+/// descending order.
 fn job_durations(seed: u64, partition_s: f64, leader_crashes: bool) -> Vec<f64> {
     simulate(async move {
         let world = site(seed, 0.0);
-        // Nothing else can be had.
+        // The cloud has no further workers.
         world.lock().unwrap().site.capacity = 6;
         tokio::spawn(workers(world.clone()));
         for worker in [1, 2] {
@@ -58,27 +59,27 @@
     })
 }
 
-/// A start without an answer stayed possible until the worker's lease expired, and then the next was
-/// sent there: the worker had the most room.
+/// Guards against starts on workers that cannot receive them. Such a start stays unresolved until the
+/// worker's lease expires, and the next one would go to the same worker because it has the most room.
 #[test]
 fn workers_that_receive_nothing_get_no_tasks() {
     for seed in 0..4 {
         let times = job_durations(seed, 4.0 * LEASE_S, false);
         let (longest, rest) = (times[0], &times[times.len() / 2..]);
         println!("{times:?}");
-        // The job that was sent there first waits for a lease, but only once.
+        // The first job that is sent to a partitioned worker waits for one lease, but only once.
         assert!(longest < LEASE_S + 8.0, "seed {seed}: {times:?}");
         assert!(rest[0] < 6.0, "seed {seed}: {times:?}");
     }
 }
 
-/// Workers whose heartbeats reach no controller, while direct messages reach them, lose their leases
-/// although they answer every probe. Nothing may start on them from half a lease after the partition
-/// began until it ends.
+/// The heartbeats of two workers reach no controller, but direct messages reach the workers. They lose
+/// their leases although they answer every probe, so nothing may start on them from half a lease after
+/// the partition begins until it ends.
 #[test]
 fn workers_whose_heartbeats_are_lost_get_no_tasks() {
     for seed in 0..4 {
-        let late = simulate(async move {
+        let starts = simulate(async move {
             let world = site(seed, 0.0);
             tokio::spawn(workers(world.clone()));
             let partition_s = 4.0 * LEASE_S;
@@ -104,17 +105,21 @@
             assert!(w.site.violations.is_empty(), "{:#?}", w.site.violations);
             let unusable = PARTITION_AT_S + LEASE_S / 2.0 + 1.0..PARTITION_AT_S + partition_s;
             let events = w.site.history.events().iter();
-            let on_them =
+            let starts =
                 events.filter(|e| unusable.contains(&e.at) && e.kind == EventKind::Started);
-            let on_them =
-                on_them.filter(|e| ["vm-000001", "vm-000002"].contains(&e.worker.as_str()));
-            on_them.map(|e| (e.at, e.task.clone())).collect::<Vec<_>>()
+            let starts = starts.filter(|e| ["vm-000001", "vm-000002"].contains(&e.worker.as_str()));
+            starts.map(|e| (e.at, e.task.clone())).collect::<Vec<_>>()
         });
-        assert!(late.is_empty(), "seed {seed}: {} {late:?}", late.len());
+        assert!(
+            starts.is_empty(),
+            "seed {seed}: {} starts: {starts:?}",
+            starts.len()
+        );
     }
 }
 
-/// What a new leader knows of them is what they report, in incarnations that end again and again.
+/// A new leader knows of the partitioned workers only through their heartbeats, whose incarnations end
+/// repeatedly because the workers receive no answers.
 #[test]
 fn workers_that_never_learn_of_a_new_leader_delay_jobs_by_at_most_one_lease() {
     for seed in 0..4 {
--- a/tests/shard_owners.rs
+++ b/tests/shard_owners.rs
@@ -1,4 +1,5 @@
-//! A leader's core and a shard owner's heartbeat forwarder, message by message, without a network.
+//! Tests of a leader's core together with a shard owner's heartbeat forwarder. Messages are passed
+//! directly, without a network.
 
 use copperfield::coordination::core::{CancelDecision, Config, Core, Effect, Input, Outcome};
 use copperfield::protocol::JobId;
@@ -19,7 +20,8 @@
 const CANCEL_S: f64 = 40.0;
 const STEP_S: f64 = 0.05;
 
-/// Controller 0, which leads, and controller 1, to which one worker with one running task reports.
+/// Controller 0, which leads, controller 1, a shard owner, and one worker that runs one task and sends
+/// its heartbeats to controller 1.
 struct Exchange {
     now: f64,
     core: Core,
@@ -29,17 +31,17 @@
     /// Whether commands reach the worker.
     reachable: bool,
     /// Whether the leader learns that its cancellation is stored.
-    acknowledges: bool,
+    acknowledges_cancellation: bool,
     ticket: u64,
-    /// When each answer of the shard owner left.
+    /// Times of the shard owner's answers to heartbeats.
     answered_at: Vec<f64>,
-    /// When heartbeats were redirected to the leader.
+    /// Times at which heartbeats were redirected to the leader.
     redirected_at: Vec<f64>,
-    /// Outcomes of direct messages, and when they reach the leader.
+    /// Outcomes of direct messages, with the time at which each one reaches the leader.
     outcomes: Vec<(f64, Input)>,
 }
 
-/// A leader elected at time 0, with one job from before.
+/// Creates the core of a leader elected at time 0, with one job stored before its election.
 fn elected_leader(registry: Vec<StoredRegistryPage>) -> Core {
     let cluster = json!({"zones": ["a", "b"], "teams": [{"name": "team"}], "objectives": [],
             "workers": {"report_s": 5.0, "lease_s": LEASE_S, "gang_wait_s": 30.0, "gang_peer_s": 4.0, "cancel_s": CANCEL_S},
@@ -93,7 +95,7 @@
             },
             next_heartbeat_at: 0.0,
             reachable: true,
-            acknowledges: true,
+            acknowledges_cancellation: true,
             ticket: 0,
             answered_at: Vec::new(),
             redirected_at: Vec::new(),
@@ -106,7 +108,7 @@
         self.worker.clone()
     }
 
-    fn record(&mut self, actions: Vec<Action>) {
+    fn record_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Answer { .. } => self.answered_at.push(self.now),
@@ -125,10 +127,10 @@
                 self.ticket += 1;
                 let heartbeat = self.next_heartbeat();
                 let actions = self.forwarder.handle_heartbeat(ms, self.ticket, heartbeat);
-                self.record(actions);
+                self.record_actions(actions);
             }
             let actions = self.forwarder.tick(ms);
-            self.record(actions);
+            self.record_actions(actions);
             if let Some(status) = self.forwarder.next_status(ms) {
                 inputs.push(Input::ShardStatus { ticket: 0, status });
             }
@@ -146,7 +148,7 @@
                         ..
                     } => {
                         let actions = self.forwarder.handle_update(ms, &update);
-                        self.record(actions);
+                        self.record_actions(actions);
                     }
                     Effect::SendCommands {
                         worker, message_id, ..
@@ -167,7 +169,7 @@
                     }
                     Effect::AnswerCancel { begin, .. } => {
                         assert!(matches!(begin, CancelDecision::Go { .. }), "{begin:?}");
-                        if !self.acknowledges {
+                        if !self.acknowledges_cancellation {
                             continue;
                         }
                         let end = Some(JobOutcome {
@@ -184,10 +186,11 @@
     }
 }
 
-/// A shard owner's answer carries no commands. Where none reaches a worker directly, the shard owner
-/// would renew the lease of a task that its user has cancelled for ever.
+/// Guards against a cancelled task that runs forever. A shard owner's answers carry no commands but
+/// renew the worker's lease, so if commands do not reach the worker directly, it never learns of the
+/// cancellation.
 #[test]
-fn a_worker_without_commands_is_answered_by_no_shard_owner_after_a_cancellation() {
+fn a_worker_that_commands_do_not_reach_is_answered_by_no_shard_owner_after_a_cancellation() {
     let mut exchange = Exchange::new();
     exchange.run(12.0, Vec::new());
     assert!(
@@ -201,18 +204,19 @@
         job: JobId(1),
     };
     exchange.run(12.0 + CANCEL_S, vec![cancel]);
-    let last = *exchange.answered_at.last().expect("looked at");
+    let last = *exchange.answered_at.last().expect("there are answers");
     assert!(
         last + LEASE_S < 12.0 + CANCEL_S - 1.0,
         "{:?}",
         exchange.answered_at
     );
-    // The leader's answers carry commands.
+    // The worker is redirected to the leader, whose answers carry commands.
     assert!(!exchange.redirected_at.is_empty());
 }
 
-/// The worker runs a task of a job that had ended before the leader was elected, and commands do not
-/// reach it. How long ago its user was told nobody knows, so no shard owner may renew its lease.
+/// The worker runs a task of a job that ended before the leader was elected, and commands do not reach
+/// it. It is not known how long ago the user was told of the end, so no shard owner may renew the
+/// worker's lease.
 #[test]
 fn a_worker_that_runs_a_task_of_an_unknown_job_is_answered_by_no_shard_owner() {
     let mut exchange = Exchange::new();
@@ -227,13 +231,14 @@
     assert!(!exchange.redirected_at.is_empty());
 }
 
-/// The leader learns of a task only long after the cancellation of its job: the worker could not be
-/// reached meanwhile. What is left of its lease by then may be all that the cancellation allows.
+/// The leader learns of a task only long after the cancellation of its job, because the worker could not
+/// be reached before. The rest of the worker's lease may then use up the time allowed for the
+/// cancellation, so no shard owner may renew it.
 #[test]
 fn a_worker_that_reports_a_task_long_after_its_cancellation_is_answered_by_no_shard_owner() {
-    for acknowledges in [true, false] {
+    for acknowledged in [true, false] {
         let mut exchange = Exchange::new();
-        exchange.acknowledges = acknowledges;
+        exchange.acknowledges_cancellation = acknowledged;
         exchange.reachable = false;
         exchange.next_heartbeat_at = 20.0;
         let cancel = Input::CancelRequested {
@@ -250,27 +255,27 @@
     }
 }
 
-/// Without faults a worker keeps its shard owner, which asks the leader once.
+/// Without faults a worker keeps its shard owner, which waits for the leader only at the first heartbeat.
 #[test]
 fn an_owned_worker_keeps_its_owner_and_is_answered_at_once() {
     let mut exchange = Exchange::new();
     exchange.run(60.0, Vec::new());
     assert_eq!(exchange.answered_at.len(), 12, "{:?}", exchange.answered_at);
     assert!(exchange.redirected_at.is_empty());
-    let wait_s = |(at, n): (&f64, u32)| at - f64::from(n) * 5.0;
-    let longest = exchange
+    let answer_delay_s = |(at, n): (&f64, u32)| at - f64::from(n) * 5.0;
+    let longest_s = exchange
         .answered_at
         .iter()
         .zip(0..)
-        .map(wait_s)
+        .map(answer_delay_s)
         .fold(0.0, f64::max);
-    // The first one waits until the leader has assigned the worker.
-    assert!(longest < 0.7, "{:?}", exchange.answered_at);
+    // The first heartbeat waits until the leader has assigned the worker.
+    assert!(longest_s < 0.7, "{:?}", exchange.answered_at);
 }
 
-/// A leader may be elected before the shard leases of the last one have ended, if that one's key was
-/// removed. A worker that sends nothing may have been answered until then, and the tasks that it may
-/// run start elsewhere only a worker lease later.
+/// A leader may be elected before the shard leases granted by the previous leader have ended, if that
+/// leader's key was removed. An unresponsive worker may have been answered until the end of those shard
+/// leases, so its tasks may start elsewhere only one worker lease after that.
 #[test]
 fn worker_leases_count_from_the_end_of_old_shard_leases() {
     let unresponsive = WorkerRecord {
@@ -288,9 +293,9 @@
     let ttl_s = Tuning::default().leader_ttl_ms as f64 / 1000.0;
     let mut responsive = heartbeat("vm-000002");
     let (mut now, mut inputs) = (0.0, Vec::new());
-    let started = 'days: loop {
+    let started_at = 'steps: loop {
         now += STEP_S;
-        assert!(now < 60.0, "never started");
+        assert!(now < 60.0, "no start within 60 s");
         if responsive.counter < (now / 5.0) as u64 + 1 {
             responsive.counter += 1;
             let heartbeat = responsive.clone();
@@ -308,13 +313,13 @@
                 }
                 Effect::SendCommands {
                     worker, commands, ..
-                } if worker == responsive.worker && !commands.is_empty() => break 'days now,
+                } if worker == responsive.worker && !commands.is_empty() => break 'steps now,
                 _ => {}
             }
         }
     };
     assert!(
-        started > ttl_s + LEASE_S && started < ttl_s + LEASE_S + 2.0,
-        "{started}"
+        started_at > ttl_s + LEASE_S && started_at < ttl_s + LEASE_S + 2.0,
+        "{started_at}"
     );
 }
--- a/tests/sharding.rs
+++ b/tests/sharding.rs
@@ -1,5 +1,5 @@
-//! Simulated days with sharded workers on which several controllers and workers fail together, or
-//! workers change their shard owner under running work.
+//! Simulations with sharded workers, in which several controllers and workers fail together, or workers
+//! change their shard owner while they run tasks.
 
 mod simulated_cluster;
 
@@ -11,24 +11,25 @@
 
 use simulated_cluster::*;
 
-fn expect_clean_days(name: &str, seeds: std::ops::Range<u64>, faults: &[(f64, Fault)], loss: f64) {
+/// Runs one simulation per seed with these faults and checks that no rule is broken.
+fn expect_clean_runs(name: &str, seeds: std::ops::Range<u64>, faults: &[(f64, Fault)], loss: f64) {
     for seed in seeds {
-        let day = simulate(async {
+        let run = simulate(async {
             let world = site(seed, loss);
             play_in(world, seed, faults, 150.0, ROUNDS).await
         });
-        expect_clean_day(name, seed, ROUNDS, day);
+        expect_clean_day(name, seed, ROUNDS, run);
     }
 }
 
-/// Runs a service, a gang and an array through a fault that must not affect them: each task is
-/// started once, so none was lost, duplicated or stopped. Returns how often workers changed the
-/// controller that answers them.
-fn run_work_unaffected_by(seed: u64, fault: Fault) -> usize {
+/// Runs a service, a gang and an array job during a fault that must not affect them. Checks that each
+/// task is started exactly once, so that none was lost, duplicated or stopped. Returns how often a
+/// worker changed to another answering controller.
+fn run_jobs_unaffected_by(seed: u64, fault: Fault) -> usize {
     simulate(async {
         let world = site(seed, 0.0);
         for i in 0..6 {
-            // So many that the leader's own are no more than a network fault explains.
+            // With this many workers, losing the leader's own ones is plausible for a network fault.
             let (site, zone) = (&mut world.lock().unwrap().site, ["a", "b"][i % 2]);
             site.add_worker("small", zone, false, 0.0);
         }
@@ -56,40 +57,49 @@
     })
 }
 
-/// Each worker switches to another controller every second.
+/// Workers change their shard owner without losing tasks when each reports to another controller every
+/// second.
 #[test]
 fn workers_that_change_owner_every_second_keep_their_tasks() {
     for seed in 400..404 {
-        let moves = run_work_unaffected_by(seed, Fault::Scatter(40, 1.0));
-        assert!(moves >= 100, "seed {seed}: {moves} moves");
+        let owner_changes = run_jobs_unaffected_by(seed, Fault::Scatter(40, 1.0));
+        assert!(
+            owner_changes >= 100,
+            "seed {seed}: {owner_changes} owner changes"
+        );
     }
 }
 
-/// A leader that alone had lost its connections to the workers once released hundreds of good ones:
-/// its own probes were not answered, while other controllers received their heartbeats.
+/// Guards against a leader that releases hundreds of healthy workers because it alone has lost its
+/// connections to them: its own probes are not answered, while other controllers receive the workers'
+/// heartbeats.
 #[test]
 fn a_leader_without_worker_connections_leads_through_its_relays() {
     for seed in 404..408 {
-        run_work_unaffected_by(seed, Fault::PartLeader(20.0));
+        run_jobs_unaffected_by(seed, Fault::PartLeader(20.0));
     }
 }
 
-/// Workers stay with the controller that they report to, so that all have some.
+/// Workers stay with the controller they report to, so every controller owns some.
 #[test]
 fn every_controller_owns_workers() {
-    let by = simulate(async {
+    let answered_by = simulate(async {
         let world = site(410, 0.0);
         play_in(world.clone(), 410, &[], 40.0, 2).await;
         let w = world.lock().unwrap();
         w.answered_by.clone()
     });
-    let mut controllers: Vec<usize> = by.values().filter_map(|b| b.last().copied()).collect();
+    let mut controllers: Vec<usize> = answered_by
+        .values()
+        .filter_map(|by| by.last().copied())
+        .collect();
     controllers.sort_unstable();
     controllers.dedup();
-    assert_eq!(controllers.len(), NODES, "{by:?}");
+    assert_eq!(controllers.len(), NODES, "{answered_by:?}");
 }
 
-/// Each message between controllers in turn, or the answer to it, while workers change owner.
+/// Loses each message between controllers in turn, or the answer to it, while workers change their
+/// shard owner.
 #[test]
 fn a_reassignment_survives_the_loss_of_any_one_message() {
     for step in 0..60 {
@@ -98,17 +108,18 @@
                 (8.0, Fault::Scatter(4, 1.5)),
                 (8.01, Fault::Drop(step, answer)),
             ];
-            let name = format!("message {step}, {answer}");
+            let name = format!("message {step}, answer lost: {answer}");
             expect_clean_by(&name, 420..421, &faults, 0.0, 60.0, 2);
         }
     }
 }
 
+/// Combines failures of controllers and workers with reassignments, in several scenarios.
 #[test]
 fn shard_owners_and_workers_that_fail_together_break_no_rule() {
-    let days: [(&str, &[(f64, Fault)]); 8] = [
+    let scenarios: [(&str, &[(f64, Fault)]); 8] = [
         (
-            "two controllers and two workers end at once, during reassignments",
+            "two controllers and two workers fail at once, during reassignments",
             &[
                 (9.5, Fault::Scatter(6, 1.0)),
                 (10.0, Fault::Kill(0)),
@@ -122,7 +133,7 @@
             ],
         ),
         (
-            "a shard owner and its workers, in a state service outage",
+            "a shard owner and its workers fail in a state service outage",
             &[
                 (12.0, Fault::Outage(9.0)),
                 (13.0, Fault::Kill(1)),
@@ -135,7 +146,7 @@
             ],
         ),
         (
-            "controllers do not reach each other",
+            "controllers cannot reach each other",
             &[
                 (8.0, Fault::Cut(0, "host-1", 40.0)),
                 (12.0, Fault::Scatter(10, 2.0)),
@@ -157,7 +168,7 @@
             ],
         ),
         (
-            "a shard owner reaches its workers and nobody else, or everybody but workers",
+            "a shard owner reaches only its workers, or everything but workers",
             &[
                 (9.0, Fault::Cut(0, "state", 20.0)),
                 (9.0, Fault::Cut(0, "host-1", 20.0)),
@@ -169,7 +180,7 @@
             ],
         ),
         (
-            "restarts at once during reassignments and with unresponsive workers",
+            "immediate restarts during reassignments and with unresponsive workers",
             &[
                 (8.0, Fault::Scatter(50, 0.9)),
                 (9.0, Fault::RestartLeaders(6, 0.05)),
@@ -191,7 +202,7 @@
             ],
         ),
         (
-            "a mass loss during reassignments, in which all controllers end",
+            "a mass loss during reassignments, in which all controllers fail",
             &[
                 (9.0, Fault::Scatter(30, 0.8)),
                 (10.0, Fault::Die(1)),
@@ -204,13 +215,13 @@
             ],
         ),
     ];
-    for (name, faults) in days {
-        expect_clean_days(name, 430..434, faults, 0.004);
+    for (name, faults) in scenarios {
+        expect_clean_runs(name, 430..434, faults, 0.004);
     }
 }
 
-/// Sharding is on at some controllers and off at others, as while an operator restarts them one by
-/// one with other settings.
+/// Sharding is on at some controllers and off at others, as happens while an operator restarts them
+/// one by one with changed settings.
 #[test]
 fn mixed_sharding_settings_break_no_rule() {
     for on in 0..8u32 {
@@ -220,7 +231,7 @@
             (30.0, Fault::Kill(0)),
             (36.0, Fault::CutWorker(2, 9.0)),
         ];
-        let day = simulate(async {
+        let run = simulate(async {
             let world = site(440, 0.0);
             for i in 0..NODES {
                 kill(&world, i);
@@ -230,19 +241,19 @@
             }
             play_in(world, 440, &faults, 150.0, ROUNDS).await
         });
-        expect_clean_day(&format!("sharding on at {on:03b}"), 440, ROUNDS, day);
+        expect_clean_day(&format!("sharding on at {on:03b}"), 440, ROUNDS, run);
     }
 }
 
-/// A worker is cut off from all controllers.
+/// A period in which a worker is cut off from all controllers.
 struct Cut {
     at_s: f64,
-    for_s: f64,
+    duration_s: f64,
 }
 
-/// Cuts the workers of shard owners off from everything, at these times and for so long each, while
-/// twenty long tasks keep every worker busy. Returns the rules that were broken.
-fn rules_broken_with_long_tasks(
+/// Cuts the workers of shard owners off from all controllers during the given periods, while twenty
+/// long tasks keep every worker busy. Returns the rules that were broken.
+fn violations_with_long_tasks(
     seed: u64,
     cuts: &'static [Cut],
     faults: &[(f64, Fault)],
@@ -255,10 +266,10 @@
         let cluster = world.clone();
         tokio::spawn(async move {
             sleep(Duration::from_secs_f64(cuts[0].at_s - 0.1)).await;
-            let leads = leader(&cluster).expect("a leader");
+            let leader_index = leader(&cluster).expect("a leader");
             let owned_by_other = |(name, controller): (&String, &usize)| {
-                let number: usize = name[3..].parse().expect("our own names");
-                (*controller != leads && number <= 6).then_some(number)
+                let number: usize = name[3..].parse().expect("worker names end in a number");
+                (*controller != leader_index && number <= 6).then_some(number)
             };
             let owned: Vec<usize> = cluster
                 .lock()
@@ -269,7 +280,7 @@
                 .collect();
             for worker in owned {
                 for cut in cuts {
-                    let fault = Fault::CutWorker(worker, cut.for_s);
+                    let fault = Fault::CutWorker(worker, cut.duration_s);
                     tokio::spawn(inflict(
                         cluster.clone(),
                         cut.at_s - cuts[0].at_s + 0.1,
@@ -279,41 +290,41 @@
                 }
             }
         });
-        let (broken, ..) = play_in(world, seed, faults, 40.0, 1).await;
-        broken
+        let (violations, ..) = play_in(world, seed, faults, 40.0, 1).await;
+        violations
     })
 }
 
-/// The fencing record contains what shard owners answered last: else the next leader takes leases for
-/// expired that a shard owner had renewed. The last leader is away for longer than a TTL, as it would
-/// not know which votes it had given.
+/// The fencing record must contain the last answers of shard owners. Otherwise the next leader treats
+/// leases as expired that a shard owner has renewed. The previous leader stays down for longer than a
+/// TTL, because after a restart it does not know which votes it has granted.
 #[test]
 fn the_fencing_record_contains_the_last_answers_of_shard_owners() {
     const CUTS: &[Cut] = &[Cut {
         at_s: 10.0,
-        for_s: 25.0,
+        duration_s: 25.0,
     }];
     for step in 0..12 {
         let at = 12.4 + 0.1 * f64::from(step);
-        let broken =
-            rules_broken_with_long_tasks(450, CUTS, &[(at, Fault::RestartLeaders(1, 3.0))]);
-        assert!(broken.is_empty(), "step {step}: {broken:#?}");
+        let violations =
+            violations_with_long_tasks(450, CUTS, &[(at, Fault::RestartLeaders(1, 3.0))]);
+        assert!(violations.is_empty(), "step {step}: {violations:#?}");
     }
 }
 
-/// Fenced workers are reachable again for a second while the leader cannot store their release: no
-/// shard owner may answer them. With that mistake planted, the next leader took leases for expired
-/// that were renewed, where the shard owner ended as well and could not forward anything.
+/// Fenced workers are reachable again for one second while the leader cannot store their removal from
+/// the fencing record. No shard owner may answer them in that time. If one did and then failed before it
+/// could forward anything, the next leader would treat renewed leases as expired.
 #[test]
 fn no_shard_owner_answers_a_fenced_worker() {
     const CUTS: &[Cut] = &[
         Cut {
             at_s: 10.0,
-            for_s: 4.0,
+            duration_s: 4.0,
         },
         Cut {
             at_s: 15.1,
-            for_s: 20.0,
+            duration_s: 20.0,
         },
     ];
     for step in 0..16u32 {
@@ -321,7 +332,7 @@
             (13.7 + 0.04 * f64::from(step / 2), Fault::CutLeader(20.0)),
             (15.0, Fault::KillFollower(step as usize % 2)),
         ];
-        let broken = rules_broken_with_long_tasks(460, CUTS, &faults);
-        assert!(broken.is_empty(), "step {step}: {broken:#?}");
+        let violations = violations_with_long_tasks(460, CUTS, &faults);
+        assert!(violations.is_empty(), "step {step}: {violations:#?}");
     }
 }
