--- a/tests/sharding.rs
+++ b/tests/sharding.rs
@@ -29,7 +29,8 @@
     simulate(async {
         let world = site(seed, 0.0);
         for i in 0..6 {
-            // With this many workers, losing the leader's own ones is plausible for a network fault.
+            // With this many workers, losing those that the leader answers does not count as a network
+            // fault, in which no worker would be released.
             let (site, zone) = (&mut world.lock().unwrap().site, ["a", "b"][i % 2]);
             site.add_worker("small", zone, false, 0.0);
         }
