--- a/src/coordination/auction/greedy.rs
+++ b/src/coordination/auction/greedy.rs
@@ -1,8 +1,8 @@
-//! The greedy assignment, for an auction that reaches its cap.
+//! The greedy assignment, used when an auction reaches its cap on bids.
 
 use super::types::{Award, BidderGroup, Lot};
 
-/// Each group in turn takes the lots that it values most.
+/// Assigns each group in turn to the lots that it values most.
 pub fn greedy(lots: &[Lot], groups: &[BidderGroup]) -> Vec<Award> {
     let mut free: Vec<Lot> = lots.to_vec();
     let mut awards = Vec::new();
@@ -17,7 +17,7 @@
     let mut demand = group.demand;
     for (lot_index, _) in group.lots_by_value() {
         let lot = &mut free[lot_index as usize];
-        while demand > 0 && holds_bundle(lot, group) {
+        while demand > 0 && fits_bundle(lot, group) {
             if let Some(zone_room) = &mut zone_room {
                 let room = &mut zone_room[lot.zone as usize];
                 if *room == 0 {
@@ -37,7 +37,7 @@
     }
 }
 
-fn holds_bundle(lot: &Lot, group: &BidderGroup) -> bool {
+fn fits_bundle(lot: &Lot, group: &BidderGroup) -> bool {
     lot.cpu_slots >= group.cpu_slots
         && lot.gpu_slots >= group.gpu_slots
         && lot.memory >= group.memory
--- a/src/coordination/auction/market/bidding.rs
+++ b/src/coordination/auction/market/bidding.rs
@@ -1,4 +1,4 @@
-//! Bids: groups take the bundles of the highest net value, and displace who holds them.
+//! Bidding: groups take the bundles of the highest net value from their current holders.
 
 use std::collections::VecDeque;
 
@@ -6,15 +6,17 @@
 use super::{Bundle, Market};
 
 /// The offers that a group bids for.
-struct Choice {
+struct BidSelection {
     offers: Vec<Offer>,
-    /// The net value of the best offer it leaves, or 0, which is what staying out is worth.
+    /// The net value of the best offer that the group does not take; 0, the net value of holding
+    /// nothing, if there is no further offer.
     next_best: f64,
 }
 
 impl Market<'_> {
-    /// Bids until nobody gains by another. False if the cap came first.
-    pub(in super::super) fn settle(&mut self, epsilon: f64, cap: u32) -> bool {
+    /// Runs bids until every group holds its best bundles, to within ε. Returns false if the cap on
+    /// bids was reached first.
+    pub(in super::super) fn converge(&mut self, epsilon: f64, cap: u32) -> bool {
         let mut queue: VecDeque<u32> = (0..self.groups.len() as u32).collect();
         while let Some(group) = queue.pop_front() {
             if self.unassigned[group as usize] == 0 {
@@ -32,8 +34,8 @@
         true
     }
 
-    /// Slots that nobody holds cost nothing again; holders who would now rather move release
-    /// their bundles. True if there is reason to bid again.
+    /// Resets the prices of slots without a holder to 0, and releases the bundles of groups that
+    /// would now gain more than ε by another one. Returns true if another round of bids is needed.
     pub(in super::super) fn release_stale_prices(&mut self, epsilon: f64) -> bool {
         if !self.reset_free_prices() {
             return false;
@@ -55,7 +57,7 @@
         bid_again
     }
 
-    /// Sets the prices of slots without a holder to 0. True if any was above.
+    /// Sets the prices of slots without a holder to 0. Returns whether any of them was higher.
     fn reset_free_prices(&mut self) -> bool {
         let mut lowered = false;
         for slots in self.cpu_slots.iter_mut().chain(&mut self.gpu_slots) {
@@ -67,7 +69,7 @@
         lowered
     }
 
-    /// What a bundle is worth to its group.
+    /// The value of a bundle to its group.
     fn value_of(&self, bundle: &Bundle) -> f64 {
         self.groups[bundle.group as usize]
             .values
@@ -76,41 +78,43 @@
             .map_or(0.0, |(_, value)| *value)
     }
 
-    /// One group bids for all that it still wants. Returns the groups it displaced, one entry for
-    /// each bundle.
+    /// Bids for all bundles that a group still needs. Returns the groups whose bundles it released,
+    /// one entry per bundle.
     fn bid(&mut self, group_index: u32, epsilon: f64) -> Vec<u32> {
         let group = &self.groups[group_index as usize];
-        let choice = self.choose_offers(group_index);
+        let selection = self.select_offers(group_index);
         let mut displaced = Vec::new();
-        // Looking at the offers costs time even where nothing is won.
+        // Collecting the offers takes time even if the group wins nothing, so it counts as a bid.
         self.bids += 1;
-        for offer in choice.offers {
+        for offer in selection.offers {
             self.bids += 1;
-            let raise = (offer.net_value - choice.next_best + epsilon) / group.slots_per_bundle();
-            self.displace_holders(&offer.bundle, &mut displaced);
-            if self.make_memory_room(&offer.bundle, &mut displaced) {
+            let raise =
+                (offer.net_value - selection.next_best + epsilon) / group.slots_per_bundle();
+            self.release_overlapping_bundles(&offer.bundle, &mut displaced);
+            if self.release_until_memory_fits(&offer.bundle, &mut displaced) {
                 self.assign(offer.bundle, raise);
             }
         }
         displaced
     }
 
-    /// The best offers for all tasks of a group that have no bundle, as far as its zones allow.
-    fn choose_offers(&self, group: u32) -> Choice {
+    /// The best offers for all tasks of a group without a bundle, within the limits of its zones.
+    fn select_offers(&self, group: u32) -> BidSelection {
         let mut zone_room = self.zone_room_left(group);
         let mut wanted = self.unassigned[group as usize];
         let limit = match &zone_room {
-            // Full zones are passed over, so any number may be needed.
+            // Offers in full zones are skipped, so the number of offers needed is not known in
+            // advance.
             Some(_) => usize::MAX / 2,
             None => wanted as usize + 1,
         };
-        let mut choice = Choice {
+        let mut selection = BidSelection {
             offers: Vec::new(),
             next_best: 0.0,
         };
         for offer in self.offers(group, limit) {
             if wanted == 0 {
-                choice.next_best = offer.net_value;
+                selection.next_best = offer.net_value;
                 break;
             }
             if let Some(zone_room) = &mut zone_room {
@@ -121,12 +125,12 @@
                 *room -= 1;
             }
             wanted -= 1;
-            choice.offers.push(offer);
+            selection.offers.push(offer);
         }
-        choice
+        selection
     }
 
-    /// How many more bundles a group may take in each zone, if its zones are limited.
+    /// How many more bundles a group may take in each zone; `None` if its zones are not limited.
     fn zone_room_left(&self, group: u32) -> Option<Vec<u32>> {
         let mut room = self.groups[group as usize].zone_room.clone()?;
         let held = self.bundles.iter().flatten();
@@ -137,8 +141,9 @@
         Some(room)
     }
 
-    /// Releases every bundle that shares a slot with this one.
-    fn displace_holders(&mut self, bundle: &Bundle, displaced: &mut Vec<u32>) {
+    /// Releases every bundle that shares a slot with this one, and adds the groups that held them
+    /// to `displaced`.
+    fn release_overlapping_bundles(&mut self, bundle: &Bundle, displaced: &mut Vec<u32>) {
         let lot = bundle.lot as usize;
         for &slot in &bundle.cpu_slots {
             if let Some(holder) = self.cpu_slots[lot][slot as usize].holder {
@@ -152,12 +157,12 @@
         }
     }
 
-    /// Memory has no price: the cheapest bundles of other groups are released to make room for
-    /// it. False if that is not enough.
-    fn make_memory_room(&mut self, bundle: &Bundle, displaced: &mut Vec<u32>) -> bool {
+    /// Releases bundles of other groups on the lot, the cheapest first, until the memory for this
+    /// bundle is free, as memory has no price. Returns false if that is not enough.
+    fn release_until_memory_fits(&mut self, bundle: &Bundle, displaced: &mut Vec<u32>) -> bool {
         let needed = self.groups[bundle.group as usize].memory;
         while self.free_memory[bundle.lot as usize] < needed {
-            let Some(cheapest) = self.cheapest_of_others(bundle) else {
+            let Some(cheapest) = self.cheapest_bundle_of_others(bundle) else {
                 return false;
             };
             displaced.extend(self.release(cheapest));
@@ -165,8 +170,8 @@
         true
     }
 
-    /// The bundle with the lowest price that another group holds on the same lot.
-    fn cheapest_of_others(&self, bundle: &Bundle) -> Option<u32> {
+    /// The index of the cheapest bundle that another group holds on the same lot.
+    fn cheapest_bundle_of_others(&self, bundle: &Bundle) -> Option<u32> {
         self.bundles
             .iter()
             .enumerate()
--- a/src/coordination/auction/market/mod.rs
+++ b/src/coordination/auction/market/mod.rs
@@ -1,4 +1,4 @@
-//! The market: every slot with its price and its holder.
+//! The state of an auction: every slot with its price and its holder.
 
 mod bidding;
 mod offers;
@@ -9,11 +9,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Slot {
     price: f64,
-    /// Index of the bundle that it belongs to.
+    /// Index of the bundle that the slot belongs to.
     holder: Option<u32>,
 }
 
-/// Slots of one lot, for one task of a group.
+/// The slots of one lot that one task of a group holds or could hold.
 #[derive(Debug, Clone)]
 struct Bundle {
     /// Index of the group.
@@ -26,7 +26,7 @@
     gpu_slots: Vec<u32>,
 }
 
-/// Lots on sale, and the groups that bid for them.
+/// The lots of an auction, the groups that bid for them, and the current prices and holders.
 pub(super) struct Market<'a> {
     lots: &'a [Lot],
     groups: &'a [BidderGroup],
@@ -34,22 +34,23 @@
     cpu_slots: Vec<Vec<Slot>>,
     /// The GPU slots of each lot.
     gpu_slots: Vec<Vec<Slot>>,
-    /// Bundles that are held; a displaced one leaves a gap.
+    /// Bundles that are held, by index; a released bundle leaves `None`.
     bundles: Vec<Option<Bundle>>,
-    /// How many bundles each group holds on each lot.
+    /// Number of bundles that each group holds on each lot.
     bundles_held: Vec<Vec<u16>>,
-    /// Each group's lots, the most valuable first.
+    /// The lots that each group may take and their values, the most valuable first.
     lots_by_value: Vec<Vec<(u32, f64)>>,
     /// Free memory of each lot.
     free_memory: Vec<i64>,
-    /// How many bundles each group still wants.
+    /// Number of bundles that each group still needs.
     unassigned: Vec<u32>,
-    /// Bids made so far.
+    /// Number of bids made so far.
     bids: u32,
 }
 
 impl<'a> Market<'a> {
-    /// A market without holders. `opening_price` is the price of a CPU slot before any bid.
+    /// Creates a market in which no slot has a holder. `opening_price` is the initial price of a
+    /// CPU slot; GPU slots start at 0.
     pub(super) fn new(lots: &'a [Lot], groups: &'a [BidderGroup], opening_price: f64) -> Self {
         let slots = |count: u32, price: f64| {
             let slot = Slot {
@@ -75,13 +76,13 @@
         }
     }
 
-    /// Bids made so far.
+    /// Number of bids made so far.
     pub(super) fn bids(&self) -> u32 {
         self.bids
     }
 
     /// Whether every slot with a price has a holder.
-    pub(super) fn is_sold_out(&self) -> bool {
+    pub(super) fn all_priced_slots_held(&self) -> bool {
         self.cpu_slots
             .iter()
             .chain(&self.gpu_slots)
@@ -89,7 +90,7 @@
             .all(|slot| slot.holder.is_some() || slot.price == 0.0)
     }
 
-    /// What each group holds.
+    /// The bundles that are held, as awards.
     pub(super) fn awards(&self) -> Vec<Award> {
         self.bundles
             .iter()
@@ -101,7 +102,7 @@
             .collect()
     }
 
-    /// Takes every bundle from its holder. Prices stay.
+    /// Releases every bundle. Prices stay.
     pub(super) fn release_all(&mut self) {
         for index in 0..self.bundles.len() as u32 {
             self.release(index);
@@ -109,14 +110,14 @@
         self.bundles.clear();
     }
 
-    /// Back to prices of 0 without holders. The bids made so far still count.
+    /// Resets all prices to 0 and releases all bundles. The count of bids continues.
     pub(super) fn restart(&mut self) {
         let bids = self.bids;
         *self = Self::new(self.lots, self.groups, 0.0);
         self.bids = bids;
     }
 
-    /// Takes a bundle from its holder. Returns which group that was, if there was one.
+    /// Releases a bundle. Returns the group that held it, if it was held.
     fn release(&mut self, index: u32) -> Option<u32> {
         let bundle = self.bundles[index as usize].take()?;
         let lot = bundle.lot as usize;
@@ -133,7 +134,8 @@
         Some(bundle.group)
     }
 
-    /// Gives a bundle, whose slots are free, to its group, at prices raised by `raise` a slot.
+    /// Assigns a bundle, whose slots must be free, to its group, and raises the price of each slot
+    /// by `raise`.
     fn assign(&mut self, bundle: Bundle, raise: f64) {
         let lot = bundle.lot as usize;
         let group = bundle.group as usize;
@@ -154,7 +156,7 @@
         self.bundles.push(Some(bundle));
     }
 
-    /// What a bundle costs at today's prices.
+    /// The price of a bundle at current prices.
     fn price_of(&self, bundle: &Bundle) -> f64 {
         let lot = bundle.lot as usize;
         let cpu_price = bundle
--- a/src/coordination/auction/market/offers.rs
+++ b/src/coordination/auction/market/offers.rs
@@ -1,20 +1,21 @@
-//! What a group can take, and at which net value.
+//! The bundles that a group can take, with their net values.
 
 use super::{Bundle, Market, Slot};
 
 /// A bundle that a group could take.
 pub(super) struct Offer {
-    /// What it is worth to the group, less its price.
+    /// Value to the group, less the price.
     pub(super) net_value: f64,
     pub(super) bundle: Bundle,
 }
 
 impl Market<'_> {
-    /// The `limit` best bundles that a group could take, by net value. Lots are looked at by
-    /// falling value, which bounds the net value, so that most are never looked at.
+    /// The `limit` best bundles that a group could take, by net value. Lots are visited in
+    /// descending order of value, which is an upper bound of the net value, so that most lots are
+    /// never visited.
     pub(super) fn offers(&self, group: u32, limit: usize) -> Vec<Offer> {
         let mut offers: Vec<Offer> = Vec::new();
-        // Offers of no more than this net value cannot be among the best.
+        // Offers whose net value is not above this cannot be among the best.
         let mut threshold = 0.0;
         for &(lot, value) in &self.lots_by_value[group as usize] {
             if value <= threshold {
@@ -32,8 +33,8 @@
         offers
     }
 
-    /// Adds the offers of one lot. Its slots are sold from the cheapest; a bundle takes the next
-    /// cheapest that the group does not hold.
+    /// Adds the offers of one lot. Each bundle consists of the next cheapest slots that the group
+    /// does not hold.
     fn collect_offers(
         &self,
         group_index: u32,
@@ -52,14 +53,15 @@
         };
         let count = self.bundles_that_fit(group_index, lot, cpu_slots.len(), gpu_slots.len());
         for nth in 0..count {
-            let cpu_part = &cpu_slots[nth_part(nth, group.cpu_slots)];
-            let gpu_part = &gpu_slots[nth_part(nth, group.gpu_slots)];
-            // One sum over all slots: the order of additions decides ties.
-            let price: f64 = cpu_part
+            let bundle_cpu_slots = &cpu_slots[nth_bundle_range(nth, group.cpu_slots)];
+            let bundle_gpu_slots = &gpu_slots[nth_bundle_range(nth, group.gpu_slots)];
+            // A single sum over all slots: the order of the additions affects rounding, and thereby
+            // ties.
+            let price: f64 = bundle_cpu_slots
                 .iter()
                 .map(|&slot| self.cpu_slots[lot][slot as usize].price)
                 .chain(
-                    gpu_part
+                    bundle_gpu_slots
                         .iter()
                         .map(|&slot| self.gpu_slots[lot][slot as usize].price),
                 )
@@ -71,14 +73,15 @@
             let bundle = Bundle {
                 group: group_index,
                 lot: lot_index,
-                cpu_slots: cpu_part.to_vec(),
-                gpu_slots: gpu_part.to_vec(),
+                cpu_slots: bundle_cpu_slots.to_vec(),
+                gpu_slots: bundle_gpu_slots.to_vec(),
             };
             offers.push(Offer { net_value, bundle });
         }
     }
 
-    /// How many more bundles a group could hold on a lot with so many slots for it.
+    /// How many more bundles a group could hold on a lot, given the numbers of slots that are
+    /// available to it.
     fn bundles_that_fit(
         &self,
         group_index: u32,
@@ -101,7 +104,7 @@
 
     /// The slots of a lot that the group does not hold, the cheapest first.
     fn cheapest_first(&self, slots: &[Slot], group: u32) -> Vec<u32> {
-        // Most lots have never been bid for.
+        // Shortcut for lots without any bids, which are most lots.
         let untouched = |slot: &Slot| slot.holder.is_none() && slot.price == slots[0].price;
         if slots.iter().all(untouched) {
             return (0..slots.len() as u32).collect();
@@ -125,8 +128,8 @@
     }
 }
 
-/// Where the slots of a lot's nth bundle are, with so many slots in each.
-fn nth_part(nth: usize, slots: u32) -> std::ops::Range<usize> {
+/// The range of the slots of a lot's nth bundle, with `slots` slots in each bundle.
+fn nth_bundle_range(nth: usize, slots: u32) -> std::ops::Range<usize> {
     nth * slots as usize..(nth + 1) * slots as usize
 }
 
--- a/src/coordination/auction/mod.rs
+++ b/src/coordination/auction/mod.rs
@@ -1,15 +1,16 @@
 //! The ε-auction that assigns waiting tasks to workers.
 //!
-//! Each worker's free room is a lot of priced slots. Similar tasks bid as one
-//! [`BidderGroup`]: it bids for as many bundles of slots as it has unassigned tasks, and raises
-//! each to the net value of the best bundle it does not take. Identical tasks thus never bid
-//! against each other, which would raise prices by ε at a time until the cap.
+//! The free room of each worker is a lot of priced slots. Similar tasks bid as one [`BidderGroup`].
+//! It bids for as many bundles of slots as it has unassigned tasks, and raises the price of each
+//! until its net value equals that of the best bundle that the group leaves, less ε. Identical
+//! tasks therefore never bid against each other, which would raise prices by only ε at a time until
+//! the cap on bids is reached.
 //!
-//! - `types`: what comes in and what goes out;
+//! - `types`: the inputs and results of an auction;
 //! - `market`: slots, their prices and holders, and the bids;
-//! - `opening_price`: where prices start if more is wanted than there is;
-//! - `epsilon_scaling`: the rounds of one auction, from coarse bids to fine ones;
-//! - `greedy`: the assignment for an auction that makes too many bids.
+//! - `opening_price`: the initial price if demand exceeds supply;
+//! - `epsilon_scaling`: the rounds of one auction, with decreasing ε;
+//! - `greedy`: the assignment that is used if an auction makes too many bids.
 
 mod epsilon_scaling;
 mod greedy;
--- a/src/coordination/auction/opening_price.rs
+++ b/src/coordination/auction/opening_price.rs
@@ -1,27 +1,28 @@
-//! The price at which an auction opens if more is wanted than there is.
+//! The opening price of an auction in which demand exceeds supply.
 
 use super::types::{BidderGroup, Lot};
 
-/// Prices open at this share of the marginal bid, so that they are surely below it.
+/// The opening price as a share of the marginal bid, so that it is certainly below that bid.
 const SHARE_OF_MARGINAL_BID: f64 = 0.95;
 
-/// Roughly, and from below, the price of a CPU slot at which demand meets supply; 0 if there is
-/// room for all. Bids that start there need not climb by ε at a time, which would reach the cap.
+/// An estimate from below of the price of a CPU slot at which demand meets supply; 0 if supply
+/// covers all demand. Bids that start at this price do not have to rise from 0 by ε at a time,
+/// which would reach the cap on bids.
 pub(super) fn opening_price(lots: &[Lot], groups: &[BidderGroup]) -> f64 {
     let supply: u64 = lots.iter().map(|lot| u64::from(lot.cpu_slots)).sum();
-    let mut wanted: Vec<(f64, u64)> = groups
+    let mut demand_by_value: Vec<(f64, u64)> = groups
         .iter()
         .map(|group| {
-            let best = group.values.iter().map(|(_, v)| *v).fold(0.0, f64::max);
+            let highest_value = group.values.iter().map(|(_, v)| *v).fold(0.0, f64::max);
             let slots = u64::from(group.cpu_slots) * u64::from(group.demand);
-            (best / group.slots_per_bundle(), slots)
+            (highest_value / group.slots_per_bundle(), slots)
         })
         .collect();
-    wanted.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let mut sold = 0;
-    for (value_per_slot, slots) in wanted {
-        sold += slots;
-        if sold > supply {
+    demand_by_value.sort_by(|a, b| b.0.total_cmp(&a.0));
+    let mut cumulative_demand = 0;
+    for (value_per_slot, slots) in demand_by_value {
+        cumulative_demand += slots;
+        if cumulative_demand > supply {
             return value_per_slot * SHARE_OF_MARGINAL_BID;
         }
     }
--- a/src/coordination/placement/market.rs
+++ b/src/coordination/placement/auction_round.rs
@@ -1,5 +1,5 @@
-//! The market of a batch: free room of workers as the auction's lots, waiting tasks as its groups,
-//! and the starts that its awards stand for.
+//! The auction of one batch: offers the free room of workers as lots to groups of waiting tasks,
+//! and starts the tasks that are awarded room.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,17 +8,17 @@
 
 use super::MAX_TASKS_PER_JOB;
 
-/// No job: room for it is what is reserved for nobody.
+/// Stands for no job: room after reservations for it is room that is reserved for no job.
 const NO_JOB: u32 = u32::MAX;
 
-/// The lots of an auction, and which worker each belongs to.
+/// The lots of an auction, and the index of the worker that each belongs to.
 #[derive(Default)]
 struct Supply {
     lots: Vec<Lot>,
     worker_of: Vec<u32>,
 }
 
-/// The groups of an auction, and the jobs of each in their order.
+/// The bidder groups of an auction, and the jobs of each group in batch order.
 #[derive(Default)]
 struct Demand {
     groups: Vec<BidderGroup>,
@@ -27,9 +27,9 @@
 }
 
 impl Core {
-    /// Sells the free room of all workers to the jobs of a batch, and starts what they bought.
-    pub(super) fn run_market(&mut self, batch: &[u32]) {
-        let supply = self.market_supply();
+    /// Auctions the free room of all workers to the jobs of a batch, and starts the awarded tasks.
+    pub(super) fn run_auction(&mut self, batch: &[u32]) {
+        let supply = self.auction_supply();
         if supply.lots.is_empty() {
             return;
         }
@@ -37,7 +37,7 @@
             groups,
             mut jobs_of,
             ..
-        } = self.market_demand(batch, &supply);
+        } = self.auction_demand(batch, &supply);
         let cap = self.config.tuning.auction_cap;
         let (awards, outcome) = auction::clear(&supply.lots, &groups, cap);
         if outcome.capped {
@@ -48,12 +48,13 @@
             while jobs.len() > 1 && self.jobs[jobs[0]].waiting() == 0 {
                 jobs.pop_front();
             }
-            self.start_one(jobs[0], supply.worker_of[award.lot as usize]);
+            self.start_next_task(jobs[0], supply.worker_of[award.lot as usize]);
         }
     }
 
-    /// The free room of every usable worker.
-    fn market_supply(&self) -> Supply {
+    /// The free room of every usable worker as lots; workers with less than one free CPU slot are
+    /// left out.
+    fn auction_supply(&self) -> Supply {
         let slot_cpus = self.config.tuning.slot_cpus;
         let mut supply = Supply::default();
         for m in self.workers.indices() {
@@ -75,8 +76,9 @@
         supply
     }
 
-    /// The waiting tasks of a batch; jobs of one scheduling class bid as one group.
-    fn market_demand(&self, batch: &[u32], supply: &Supply) -> Demand {
+    /// The waiting tasks of a batch as bidder groups; jobs of one scheduling class bid as one
+    /// group.
+    fn auction_demand(&self, batch: &[u32], supply: &Supply) -> Demand {
         let mut demand = Demand::default();
         for &ix in batch {
             let class = self.bidding_class(ix);
@@ -98,7 +100,8 @@
         demand
     }
 
-    /// What a job bids for; nothing if no lot suits it, or if it is placed as a whole.
+    /// The bidder group of a job; none if no lot suits it, or if it is a gang that is placed as a
+    /// whole.
     fn bidding_group(&self, ix: u32, supply: &Supply) -> Option<BidderGroup> {
         let job = &self.jobs[ix];
         let demand = job
@@ -129,7 +132,7 @@
         Some(group)
     }
 
-    /// What one task of a job is worth on each lot that suits it, by the lot's index.
+    /// The value of each suitable lot for one task of a job, with the index of the lot.
     fn lot_values(&self, ix: u32, group: &BidderGroup, supply: &Supply) -> Vec<(u32, f64)> {
         let zone = self.bound_zone(ix);
         let tier = self.best_tier(ix);
@@ -150,7 +153,7 @@
         values
     }
 
-    /// How many more tasks of a job each zone may get.
+    /// How many more instances of a job each zone may get.
     fn zone_room(&self, ix: u32) -> Vec<u32> {
         let job = &self.jobs[ix];
         (0..self.zones.len())
@@ -161,7 +164,7 @@
             .collect()
     }
 
-    /// The zone that a `one_zone` job is bound to by its task instances.
+    /// The zone in which a `one_zone` job has instances already, and must therefore run.
     fn bound_zone(&self, ix: u32) -> Option<u32> {
         let job = &self.jobs[ix];
         if !job.spec.one_zone {
@@ -171,15 +174,15 @@
         zone.map(|zone| zone as u32)
     }
 
-    /// Drops all lots but those of the zone whose free room is worth most.
+    /// Keeps only the lots of the zone with the highest total value of free CPU slots.
     fn keep_best_zone(&self, lots: &[Lot], values: &mut Vec<(u32, f64)>) {
-        let mut worth = vec![0.0; self.zones.len()];
+        let mut zone_values = vec![0.0; self.zones.len()];
         for &(at, value) in values.iter() {
             let lot = &lots[at as usize];
-            worth[lot.zone as usize] += value * f64::from(lot.cpu_slots);
+            zone_values[lot.zone as usize] += value * f64::from(lot.cpu_slots);
         }
-        let best = (0..worth.len())
-            .max_by(|&a, &b| worth[a].total_cmp(&worth[b]))
+        let best = (0..zone_values.len())
+            .max_by(|&a, &b| zone_values[a].total_cmp(&zone_values[b]))
             .unwrap_or(0) as u32;
         values.retain(|(at, _)| lots[*at as usize].zone == best);
     }
--- a/src/coordination/placement/order.rs
+++ b/src/coordination/placement/batch_selection.rs
@@ -1,4 +1,5 @@
-//! The jobs of a batch: their weights, their order, and how many a batch has time for.
+//! Selects and orders the jobs of a batch by weight, and limits their number to what a batch has
+//! time for.
 
 use std::collections::BTreeMap;
 
@@ -8,44 +9,50 @@
 
 use super::MAX_TASKS_PER_JOB;
 
-/// How long before its next objective a late job gets the deadline boost: about what it takes to
-/// gather workers for it.
+/// How long before its next objective a late job gets the deadline boost: about the time that it
+/// takes to reserve workers for a gang.
 const DEADLINE_BOOST_BEFORE_S: f64 = 45.0;
-/// The urgency of a job with the deadline boost; no other job's is as high.
+/// The urgency of a job with the deadline boost. It exceeds every other result of `start_urgency`.
 const BOOSTED_URGENCY: f64 = 2.3;
-/// A job past its last objective gets the deadline boost after this many times its patience.
+/// A job past its last objective gets the deadline boost after this multiple of its start delay
+/// tolerance.
 const BOOST_AFTER_TOLERANCES: f64 = 6.0;
-/// The urgency of a job that can still meet its first objective. Smaller jobs come a little before
-/// larger ones, so that as many as possible start in time.
+/// The urgency of a job that can still meet its first objective, and what is added to it for a job
+/// of one task. Smaller jobs go slightly before larger ones, so that as many jobs as possible start
+/// in time.
 const IN_TIME_URGENCY: f64 = 2.0;
 const SMALL_JOB_URGENCY: f64 = 0.2;
-/// The urgency of a job past its first objective, while finishing it is still worth most.
+/// The urgency of a job that has missed its first objective but can still complete within its
+/// completion target.
 const ON_TARGET_URGENCY: f64 = 1.6;
-/// The urgency of any other job that has an objective for its start.
+/// The urgency of any other job with an objective for its start.
 const LATE_URGENCY: f64 = 1.3;
-/// The urgency of an array that is late already: it can wait a little more for what is not.
+/// The urgency of an array past its completion target: it gives way to jobs that can still meet
+/// theirs.
 const LATE_ARRAY_URGENCY: f64 = 0.7;
-/// How much more urgent an array is when little of its work is left, and the work that halves this.
+/// What is added to the urgency of an array with little work left, and the amount of remaining work
+/// at which half of it is added.
 const SHORT_ARRAY_URGENCY: f64 = 3.0;
 const SHORT_ARRAY_WORK_S: f64 = 600.0;
-/// Work within its team's quota comes before all other work.
+/// Weight factor of jobs within their team's quota, which go before all other jobs.
 const WITHIN_QUOTA_FACTOR: f64 = 10_000.0;
-/// Jobs in one batch; those of one scheduling class count as one.
+/// Maximum number of jobs in one batch, after [`Core::limit_classes`].
 const MAX_JOBS: usize = 512;
-/// Each job looks at every worker, so on a large cluster a batch takes fewer: a batch of 380 jobs
-/// on 3,000 workers once delayed the renewal of the leader's lease by a second.
+/// Maximum of the jobs in one batch times the workers. Each job is evaluated on every worker, so a
+/// batch of a large cluster takes fewer jobs: a batch of 380 jobs on 3,000 workers delayed the
+/// renewal of the leader's lease by a second.
 const MAX_JOBS_TIMES_WORKERS: usize = 192 * 1024;
-/// However large the cluster, a batch takes so many jobs.
+/// The limit on the jobs in one batch is never below this, however large the cluster.
 const MIN_JOBS: usize = 32;
 
 impl Core {
-    /// The jobs of this batch, the most important first.
+    /// The jobs of this batch, in descending order of weight.
     pub(super) fn select_batch(&mut self) -> Vec<u32> {
         let order = self.batch_order();
         self.limit_batch(order)
     }
 
-    /// Jobs with waiting tasks, the most important first.
+    /// All jobs with waiting tasks that may start, in descending order of weight.
     fn batch_order(&self) -> Vec<u32> {
         let mut order: Vec<(f64, u64, u32)> = self
             .jobs
@@ -62,9 +69,11 @@
         order.into_iter().map(|(_, _, ix)| ix).collect()
     }
 
-    /// As many jobs as a batch has time for: with thousands of jobs of one task each, a batch took
-    /// longer than its window. Jobs of one scheduling class count as one. Of the rest the most
-    /// important are in every batch, and the others by turns, so that none starves.
+    /// Limits a batch to as many jobs as it has time for. With thousands of jobs of one task each,
+    /// a batch took longer than the batch interval.
+    ///
+    /// The jobs of highest weight are in every batch. The rest of the batch rotates over the other
+    /// jobs, so that none starves.
     fn limit_batch(&mut self, mut jobs: Vec<u32>) -> Vec<u32> {
         self.limit_classes(&mut jobs);
         let workers = self.workers.iter().count().max(1);
@@ -75,16 +84,17 @@
         let tail = jobs.split_off(limit / 2);
         let first = self.next_tail_job % tail.len();
         self.next_tail_job = first + limit / 2;
-        // The tail is longer than a turn, so none is in one twice.
-        let mut turn: Vec<usize> = (first..first + limit / 2)
+        // The tail is longer than the part taken from it, so no job is taken twice.
+        let mut selected: Vec<usize> = (first..first + limit / 2)
             .map(|at| at % tail.len())
             .collect();
-        turn.sort_unstable();
-        jobs.extend(turn.into_iter().map(|at| tail[at]));
+        selected.sort_unstable();
+        jobs.extend(selected.into_iter().map(|at| tail[at]));
         jobs
     }
 
-    /// Keeps of each scheduling class only as many jobs as one job may have tasks in a batch.
+    /// Keeps only the first jobs of each scheduling class, with at most [`MAX_TASKS_PER_JOB`]
+    /// waiting tasks together.
     fn limit_classes(&self, jobs: &mut Vec<u32>) {
         let mut tasks_by_class: BTreeMap<u32, u32> = BTreeMap::new();
         jobs.retain(|&ix| {
@@ -97,17 +107,17 @@
         });
     }
 
-    /// The scheduling class that a job bids with: none once it has failed somewhere, as it keeps
-    /// away from workers of its own, and none within its team's quota.
+    /// The scheduling class that a job bids with. None for a job that has failed on some worker, as
+    /// it avoids that worker, and none for a job within its team's quota.
     pub(in crate::coordination) fn bidding_class(&self, ix: u32) -> Option<u32> {
         let job = &self.jobs[ix];
         job.scheduling_class
             .filter(|_| job.failed_on.is_empty() && !job.within_quota)
     }
 
-    /// The paper's π: the job's priority, and within a priority how much is gained by finishing
-    /// it. Short remaining work goes first; what has waited long is boosted, so that long work
-    /// does not starve.
+    /// The weight of a job, π in the design paper: its priority, its quota and its urgency. Within
+    /// one priority, jobs with little remaining work go first, and jobs that have waited long are
+    /// boosted, so that long jobs do not starve.
     pub(in crate::coordination) fn weight(&self, ix: u32) -> f64 {
         let job = &self.jobs[ix];
         let quota_factor = if job.within_quota {
@@ -118,6 +128,7 @@
         priority_factor(job.spec.priority) * quota_factor * self.urgency(ix)
     }
 
+    /// How much is gained by placing a job of its priority now.
     fn urgency(&self, ix: u32) -> f64 {
         let job = &self.jobs[ix];
         let waited_s = (self.now - job.seen_at).max(0.0);
@@ -131,9 +142,10 @@
         }
     }
 
-    /// A job that can still meet its first objective goes first, small before large, so that as
-    /// many as possible do. One that cannot waits until its next objective is near, and then gets
-    /// the deadline boost. Nothing starves.
+    /// The urgency of a gang or a service. A job that can still meet its first objective goes
+    /// first, small jobs before large ones, so that as many as possible meet it. A job that cannot
+    /// waits until its next objective is near, and then gets the deadline boost. A job past its
+    /// last objective gets it after a multiple of its start delay tolerance, so that none starves.
     fn start_urgency(&self, ix: u32, waited_s: f64) -> f64 {
         let job = &self.jobs[ix];
         if job.is_service() {
@@ -156,13 +168,13 @@
         }
     }
 
-    /// Whether a late job goes before all others of its priority now.
+    /// Whether a late job has the deadline boost now.
     pub(in crate::coordination) fn has_deadline_boost(&self, ix: u32) -> bool {
         let waited_s = self.now - self.jobs[ix].seen_at;
         self.start_urgency(ix, waited_s) >= BOOSTED_URGENCY
     }
 
-    /// Marks the jobs that fit in their teams' quotas, in the order of their acceptance.
+    /// Marks the jobs that fit in their teams' quotas, in the order in which they were accepted.
     pub(super) fn mark_within_quota(&mut self) {
         let any_quota = self
             .teams
--- a/src/coordination/placement/leftovers.rs
+++ b/src/coordination/placement/exact_fit.rs
@@ -1,34 +1,36 @@
-//! Exact fit: tasks take the room that the auction's slots are too coarse to sell.
+//! Exact fit: places the tasks for which the auction's slots are too coarse, by their exact
+//! resources.
 
 use crate::coordination::state::Core;
 
 use super::MAX_TASKS_PER_JOB;
 
 impl Core {
-    /// Starts tasks of a job wherever they fit, on the workers it values most first.
-    pub(super) fn place_leftovers(&mut self, ix: u32) {
+    /// Starts tasks of a job wherever they fit, on the workers of the highest value first.
+    pub(super) fn place_by_exact_fit(&mut self, ix: u32) {
         if self.is_multi_task_gang(ix) {
             return;
         }
-        let mut left = self.jobs[ix]
+        let mut remaining = self.jobs[ix]
             .waiting()
             .min(MAX_TASKS_PER_JOB)
             .min(self.trial_start_limit(ix));
-        if left == 0 {
+        if remaining == 0 {
             return;
         }
         let needs = self.jobs[ix].spec.needs;
         for m in self.workers_with_room(ix) {
-            while left > 0
+            while remaining > 0
                 && needs.fits_in(&self.room_after_reservations(m, ix))
-                && self.start_one(ix, m)
+                && self.start_next_task(ix, m)
             {
-                left -= 1;
+                remaining -= 1;
             }
         }
     }
 
-    /// The workers that have room for a task of a job and suit it, the most valued first.
+    /// The allowed workers of the job's best tier that have room for one of its tasks, the most
+    /// valuable first.
     fn workers_with_room(&self, ix: u32) -> Vec<u32> {
         let needs = self.jobs[ix].spec.needs;
         let tier = self.best_tier(ix);
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -1,12 +1,12 @@
-//! Placement: one batch assigns the tasks that wait at the end of a window to workers.
+//! Placement: once per batch interval, assigns waiting tasks to workers.
 //!
-//! `order` chooses the jobs of a batch and their weights, `value` says what a task is worth on a
-//! worker, `market` sells the workers' free room by auction, `leftovers` fills by exact fit what
-//! the auction's slots are too coarse for, and `start` starts single tasks.
+//! `batch_selection` chooses the jobs of a batch and computes their weights, `value` computes the
+//! value of a worker for a task, `auction_round` auctions the free room of workers, `exact_fit`
+//! places tasks for which the slots of the auction are too coarse, and `start` starts single tasks.
 
-mod leftovers;
-mod market;
-mod order;
+mod auction_round;
+mod batch_selection;
+mod exact_fit;
 mod start;
 mod value;
 
@@ -14,12 +14,12 @@
 
 use crate::coordination::state::Core;
 
-/// Tasks of one job in one batch; the rest wait for the next window.
+/// At most this many tasks of one job are placed in one batch; the rest wait for the next batch.
 const MAX_TASKS_PER_JOB: u32 = 256;
 
 impl Core {
-    /// Places what waits: gangs first, then all other tasks by auction and by exact fit. What finds
-    /// no room may have room made for it.
+    /// Places waiting tasks: gangs first, then all others by auction and by exact fit. For tasks
+    /// that find no room, lower-priority work may be preempted.
     pub(super) fn run_batch(&mut self) {
         self.expire_reservations();
         self.mark_within_quota();
@@ -28,17 +28,17 @@
         if batch.is_empty() {
             return;
         }
-        self.gather_for_gangs(&batch);
+        self.reserve_for_late_gangs(&batch);
         self.serve_reservations(&batch);
         self.place_gangs(&batch);
-        self.run_market(&batch);
-        self.place_all_leftovers(&batch);
+        self.run_auction(&batch);
+        self.place_all_by_exact_fit(&batch);
         self.record_unplaced(&batch);
         self.make_room(&batch);
     }
 
-    /// Whether a job is a gang of several tasks, which is placed as a whole; a gang of one is like
-    /// any task.
+    /// Whether a job is a gang of several tasks, which is placed as a whole; a gang of one task is
+    /// placed like any other task.
     pub(super) fn is_multi_task_gang(&self, ix: u32) -> bool {
         let job = &self.jobs[ix];
         job.is_gang() && job.spec.tasks > 1
@@ -48,29 +48,30 @@
         for &ix in batch {
             if self.is_multi_task_gang(ix)
                 && self.jobs[ix].waiting() > 0
-                && let Some(places) = self.plan_gang(ix)
+                && let Some(placements) = self.plan_gang(ix)
             {
-                self.start_gang(ix, &places);
+                self.start_gang(ix, &placements);
             }
         }
     }
 
-    fn place_all_leftovers(&mut self, batch: &[u32]) {
-        // Where one job had no room left, the others of its scheduling class have none.
-        let mut without_room = BTreeSet::new();
+    fn place_all_by_exact_fit(&mut self, batch: &[u32]) {
+        // If one job finds no room, the others of its scheduling class find none either.
+        let mut classes_without_room = BTreeSet::new();
         for &ix in batch {
             let class = self.bidding_class(ix);
-            if class.is_some_and(|class| without_room.contains(&class)) {
+            if class.is_some_and(|class| classes_without_room.contains(&class)) {
                 continue;
             }
-            self.place_leftovers(ix);
+            self.place_by_exact_fit(ix);
             if self.jobs[ix].waiting() > 0 {
-                without_room.extend(class);
+                classes_without_room.extend(class);
             }
         }
     }
 
-    /// Records since when each job of the batch has not got all the room it wants.
+    /// Records since when each job of the batch has had tasks without room, or that it has none
+    /// now.
     fn record_unplaced(&mut self, batch: &[u32]) {
         let now = self.now;
         for &ix in batch {
--- a/src/coordination/placement/start.rs
+++ b/src/coordination/placement/start.rs
@@ -1,10 +1,11 @@
-//! Starting a job's next task on a worker.
+//! Starts the next task of a job on a worker.
 
 use crate::coordination::state::Core;
 
 impl Core {
-    /// Starts one more task of a job on a worker, if every condition holds.
-    pub(in crate::coordination) fn start_one(&mut self, ix: u32, m: u32) -> bool {
+    /// Starts the next task of a job on a worker if [`Core::may_start`] allows it. Returns whether
+    /// it was started.
+    pub(in crate::coordination) fn start_next_task(&mut self, ix: u32, m: u32) -> bool {
         let Some(task) = self.take_next_task(ix) else {
             return false;
         };
@@ -20,7 +21,8 @@
         true
     }
 
-    /// Takes the next task of a job that may be tried: one to retry, else one never started.
+    /// Takes the next task of a job that may be started now: a task to retry, or else one that has
+    /// never been started.
     fn take_next_task(&mut self, ix: u32) -> Option<u32> {
         let now = self.now;
         let job = &mut self.jobs[ix];
--- a/src/coordination/placement/value.rs
+++ b/src/coordination/placement/value.rs
@@ -1,4 +1,4 @@
-//! What a task is worth on a worker, and which workers suit a job best.
+//! Computes the value of a worker for a task, and which workers suit a job best.
 
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
@@ -6,25 +6,27 @@
 use crate::protocol::job::Resources;
 use crate::protocol::worker::TaskPhase;
 
-/// Steepness of the headroom gate (the paper's k).
+/// Steepness of the headroom gate (k in the design paper).
 const GATE_STEEPNESS: f64 = 25.0;
-/// The GPU part of a worker's headroom counts as at least this much.
+/// Lower bound of the GPU part of a worker's headroom.
 const MIN_GPU_HEADROOM: f64 = 0.2;
-/// However long the fetch, a task keeps this part of its value.
+/// Lower bound of the factor by which the time to fetch an image reduces the value.
 const MIN_DELAY_FACTOR: f64 = 1e-3;
-/// Costs below this count as this much.
+/// Lower bound of the cost that a value is divided by.
 const MIN_COST: f64 = 1e-12;
-/// The share of a job's patience that a fetch may take: rates are known to a third.
+/// The share of a job's start delay tolerance that a fetch may take. Fetch rates are known only to
+/// within a third.
 const FETCH_SHARE_OF_TOLERANCE: f64 = 0.8;
-/// The fetch rate that is assumed of an instance type that is not described.
+/// The fetch rate that is assumed for an instance type without a description.
 const DEFAULT_FETCH_GB_PER_S: f64 = 0.25;
-/// What is left on average of a fetch that has begun.
-const FETCH_LEFT: f64 = 0.5;
+/// The share of an image that is still to be fetched, on average, when its fetch has begun.
+const REMAINING_FETCH_SHARE: f64 = 0.5;
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
 impl Core {
-    /// What a task is worth on a worker: π·w/ΔE, gated by headroom, with the image fetch and the
-    /// risk of a spot worker priced in.
+    /// The value of a worker for a task of a job, π·w/ΔE in the design paper: weight times work
+    /// over cost, multiplied by the headroom gate and by a factor that decreases with the time to
+    /// fetch the image.
     pub(in crate::coordination) fn value(&self, ix: u32, m: u32) -> f64 {
         let Some(instance_type) = self.types.get(self.workers[m].kind) else {
             return 0.0;
@@ -39,8 +41,8 @@
         self.weight(ix) * job.work_s() / cost.max(MIN_COST) * gate * delay_factor
     }
 
-    /// The paper's ΔE: the price of the part of a worker that a task occupies, and of the whole
-    /// worker if nothing is on it yet.
+    /// The cost of running a task on a worker, ΔE in the design paper: the price of the share of
+    /// the worker that the task occupies, plus the price of the whole worker if it is empty.
     fn cost(&self, ix: u32, m: u32, instance_type: &MachineType, fetch_s: f64) -> f64 {
         let worker = &self.workers[m];
         let tuning = &self.config.tuning;
@@ -53,11 +55,11 @@
         let price_per_s = price_per_hour / SECONDS_PER_HOUR;
         let mut occupied_s = work_s + fetch_s;
         if worker.spot {
-            // A worker that is reclaimed takes the work so far with it.
+            // When a spot worker is reclaimed, the work done so far is lost.
             occupied_s *= 1.0 + work_s / tuning.spot_mean_life_s;
         }
         let share = if self.fragments_worker(ix, m) {
-            // It keeps a task away that would take the whole worker.
+            // The task keeps a whole-worker task off this worker, so it is charged for all of it.
             1.0
         } else {
             self.jobs[ix].spec.needs.share_of(&instance_type.whole)
@@ -70,58 +72,61 @@
         price_per_s * occupied_s * (share + empty)
     }
 
-    /// Between 0 and 1: low for a worker that is nearly full or has sent no heartbeat for long.
+    /// A factor between 0 and 1: low for a worker that is nearly full or whose last heartbeat is
+    /// old.
     fn headroom_gate(&self, m: u32, instance_type: &MachineType) -> f64 {
         let tuning = &self.config.tuning;
         let room = self.free_room(m);
         let whole = &instance_type.whole;
-        let headroom = free_part(room.cpus, whole.cpus)
-            .min(free_part(room.memory, whole.memory))
-            .min(free_part(room.gpus, whole.gpus).max(MIN_GPU_HEADROOM));
+        let headroom = free_share(room.cpus, whole.cpus)
+            .min(free_share(room.memory, whole.memory))
+            .min(free_share(room.gpus, whole.gpus).max(MIN_GPU_HEADROOM));
         let last_heartbeat_at = self.workers[m].last_heartbeat_at;
         let age_s = last_heartbeat_at.map_or(0.0, |at| self.now - at);
         let excess = headroom - tuning.headroom_kappa * age_s - tuning.headroom_h0;
         1.0 / (1.0 + (-GATE_STEEPNESS * excess).exp())
     }
 
-    /// Whether a fetch can take a job longer than its objective allows, on the workers that fetch
-    /// slowest.
+    /// Whether fetching the image can take longer than the objective of the job allows, on the
+    /// workers that fetch slowest.
     fn needs_cached_image(&self, ix: u32) -> bool {
         let job = &self.jobs[ix];
         job.spec.image_gb / self.types.slowest_fetch()
             > job.start_delay_tolerance_s * FETCH_SHARE_OF_TOLERANCE
     }
 
-    /// How well a worker suits a job for longer than a moment; 0 is best. A replica stays, so it
-    /// must not settle where it keeps whole-worker tasks away, and one that is wanted at once
-    /// should find its image.
+    /// How well a worker suits a job in the long term; 0 is best. A replica runs for long, so it
+    /// must not be placed where it keeps whole-worker tasks away. A replica that is needed at once
+    /// should find its image in the cache.
     fn tier(&self, ix: u32, m: u32) -> u8 {
         let job = &self.jobs[ix];
-        // A replica that is restored is missing all the while it fetches.
-        let restored = job.is_service() && self.now - job.seen_at >= job.start_delay_tolerance_s;
-        let may_fetch_s = if restored {
+        // A replica that replaces a lost one is unavailable for the whole fetch, so no fetch time
+        // is acceptable.
+        let is_replacement =
+            job.is_service() && self.now - job.seen_at >= job.start_delay_tolerance_s;
+        let max_fetch_s = if is_replacement {
             0.0
         } else {
             job.start_delay_tolerance_s * FETCH_SHARE_OF_TOLERANCE
         };
-        let fetches_too_long = self.needs_cached_image(ix) && self.fetch_s(ix, m) > may_fetch_s;
+        let fetches_too_long = self.needs_cached_image(ix) && self.fetch_s(ix, m) > max_fetch_s;
         let fragments_worker = job.is_service() && self.fragments_worker(ix, m);
         u8::from(fetches_too_long) + 2 * u8::from(fragments_worker)
     }
 
-    /// The best tier in which the job finds or may make room. It goes to no worse one, though lower
-    /// work may have to be preempted in the better.
+    /// The best tier in which a job finds room or can make room by preemption. The job uses no
+    /// worse tier, even if lower-priority work has to be preempted in this one.
     pub(in crate::coordination) fn best_tier(&self, ix: u32) -> u8 {
         if !self.jobs[ix].is_service() && !self.needs_cached_image(ix) {
             return 0;
         }
-        // Whether there is room is the expensive question, so it is asked only where the answer
-        // can matter. Asked of every worker for every replica of a lost zone, it once took a batch
-        // on 3,000 workers most of a second.
+        // Finding out whether there is room is expensive, so that is done only for a worker that
+        // can improve the result. When it was done for every worker and every replica of a lost
+        // zone, a batch on 3,000 workers took most of a second.
         let mut best = u8::MAX;
         for (m, _) in self.workers.iter() {
             let tier = self.tier(ix, m);
-            if tier < best && self.reservable(ix, m) && self.room_can_be_made(ix, m) {
+            if tier < best && self.reservable(ix, m) && self.can_make_room(ix, m) {
                 best = tier;
                 if best == 0 {
                     break;
@@ -131,12 +136,13 @@
         best
     }
 
-    /// Whether a worker is of this tier for a job, or of a better one.
+    /// Whether the tier of a worker for a job is `worst` or better.
     pub(in crate::coordination) fn in_tier(&self, ix: u32, m: u32, worst: u8) -> bool {
         self.tier(ix, m) <= worst
     }
 
-    /// Expected time until the worker has the job's image.
+    /// Expected seconds until the worker has the job's image, behind the other fetches on the
+    /// worker.
     pub(in crate::coordination) fn fetch_s(&self, ix: u32, m: u32) -> f64 {
         let job = &self.jobs[ix];
         let worker = &self.workers[m];
@@ -146,19 +152,22 @@
         let gb_per_s = self
             .types
             .get(worker.kind)
-            .map_or(DEFAULT_FETCH_GB_PER_S, |described| described.fetch_gb_per_s);
+            .map_or(DEFAULT_FETCH_GB_PER_S, |instance_type| {
+                instance_type.fetch_gb_per_s
+            });
         let mut left_gb = job.spec.image_gb;
         for image in self.images_being_fetched(worker) {
             if image == job.image {
-                left_gb *= FETCH_LEFT;
+                left_gb *= REMAINING_FETCH_SHARE;
             } else {
-                left_gb += self.images.size_gb(image) * FETCH_LEFT;
+                left_gb += self.images.size_gb(image) * REMAINING_FETCH_SHARE;
             }
         }
         left_gb / gb_per_s
     }
 
-    /// The images that a worker fetches or is about to fetch, ascending by index.
+    /// The images that a worker is fetching or will fetch for its task instances, in ascending
+    /// order of index.
     fn images_being_fetched(&self, worker: &Worker) -> Vec<u32> {
         let mut images: Vec<u32> = worker
             .instances
@@ -173,8 +182,8 @@
     }
 }
 
-/// The free part of a resource, 1 where a worker has none of it.
-fn free_part(free: i64, whole: i64) -> f64 {
+/// The free share of a resource; 1 if the worker has none of that resource at all.
+fn free_share(free: i64, whole: i64) -> f64 {
     if whole > 0 {
         free as f64 / whole as f64
     } else {
--- a/src/coordination/preemption/gangs.rs
+++ b/src/coordination/preemption/gangs.rs
@@ -1,26 +1,27 @@
-//! Room for a gang: all its tasks need it at once.
+//! Preemption for gangs, which need room for all their tasks at once.
 
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 
 use super::PREEMPTION_RESERVATION_S;
 
-/// What is stopped on one worker for a task of the gang.
-struct Place {
+/// A worker for one task of the gang, and the task instances to stop there.
+struct GangPlacement {
     cost: f64,
     worker: u32,
     victims: Vec<InstanceId>,
 }
 
-/// Where all tasks of a gang find room.
+/// A worker for each task of a gang, and the total cost of the stops.
 struct GangPlan {
     cost: f64,
-    places: Vec<Place>,
+    placements: Vec<GangPlacement>,
 }
 
 impl Core {
-    /// For a gang of several tasks: in the zone where least is lost, all lower tasks in the way are
-    /// stopped, worker by worker, until all tasks fit. Returns whether there is such a zone.
+    /// Makes room for all tasks of a gang by stopping lower-priority tasks, on the workers (of one
+    /// zone, if the gang needs that) where the least work is lost. Returns false if the gang still
+    /// has running tasks or there is no such set of workers.
     pub(super) fn make_room_for_gang(&mut self, ix: u32) -> bool {
         if self.jobs[ix].active > 0 {
             return false;
@@ -29,13 +30,13 @@
             return false;
         };
         let graces = plan
-            .places
+            .placements
             .iter()
             .map(|p| self.longest_stop_grace_s(&p.victims));
         let reservation_s = PREEMPTION_RESERVATION_S + graces.fold(0.0, f64::max);
-        for Place {
+        for GangPlacement {
             worker: m, victims, ..
-        } in plan.places
+        } in plan.placements
         {
             for key in victims {
                 self.stop_instance(m, key, self.stop_grace_s(key.job));
@@ -49,6 +50,7 @@
         true
     }
 
+    /// The cheapest plan over all zones that the gang may use.
     fn cheapest_gang_plan(&self, ix: u32) -> Option<GangPlan> {
         if !self.jobs[ix].spec.one_zone {
             return self.gang_plan(ix, None);
@@ -64,38 +66,38 @@
         best
     }
 
-    /// The cheapest workers for all tasks of a gang, of one zone if one is given.
+    /// The cheapest workers for all tasks of a gang, in the given zone if there is one.
     fn gang_plan(&self, ix: u32, zone: Option<u32>) -> Option<GangPlan> {
         let tasks = self.jobs[ix].spec.tasks as usize;
-        let mut places: Vec<Place> = self
+        let mut placements: Vec<GangPlacement> = self
             .workers
             .indices()
             .into_iter()
             .filter(|&m| zone.is_none_or(|zone| self.workers[m].zone == zone))
             .filter(|&m| self.reservable(ix, m))
-            .filter_map(|m| self.gang_place(ix, m))
+            .filter_map(|m| self.gang_placement(ix, m))
             .collect();
-        places.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.worker.cmp(&b.worker)));
-        if places.len() < tasks {
+        placements.sort_by(|a, b| a.cost.total_cmp(&b.cost).then(a.worker.cmp(&b.worker)));
+        if placements.len() < tasks {
             return None;
         }
-        places.truncate(tasks);
+        placements.truncate(tasks);
         Some(GangPlan {
-            cost: places.iter().map(|place| place.cost).sum(),
-            places,
+            cost: placements.iter().map(|placement| placement.cost).sum(),
+            placements,
         })
     }
 
-    /// Room for one task of a gang on a worker that is reserved for no other job.
-    fn gang_place(&self, ix: u32, m: u32) -> Option<Place> {
+    /// Room for one task of a gang on a worker without reservations for other jobs.
+    fn gang_placement(&self, ix: u32, m: u32) -> Option<GangPlacement> {
         match self.workers[m].reservations.as_slice() {
-            [] => self.victims(ix, m).map(|preemption| Place {
+            [] => self.victims(ix, m).map(|preemption| GangPlacement {
                 cost: preemption.cost,
                 worker: m,
                 victims: preemption.victims,
             }),
-            // Gathered already.
-            [own] if own.job == ix => Some(Place {
+            // Already reserved for this gang, so nothing is stopped.
+            [own] if own.job == ix => Some(GangPlacement {
                 cost: 0.0,
                 worker: m,
                 victims: Vec::new(),
--- a/src/coordination/preemption/mod.rs
+++ b/src/coordination/preemption/mod.rs
@@ -1,9 +1,11 @@
-//! Preemption: room for tasks that have none, by stopping lower work and reserving what it frees.
+//! Preemption: makes room for tasks that fit nowhere, by stopping lower-priority tasks and
+//! reserving the resources that they free.
 //!
-//! `victims` chooses what is stopped on one worker and what that costs, `single_tasks` makes room
-//! for tasks one by one, `gangs` for all tasks of a gang at once, and `reservations` keeps room on
-//! workers for a job. A reservation either follows stops that were ordered, or waits for work of
-//! equal priority to end by itself: work never preempts work of equal or higher priority.
+//! `victims` selects the task instances to stop on one worker and computes the cost, `single_tasks`
+//! makes room for tasks one by one, `gangs` for all tasks of a gang at once, and `reservations`
+//! keeps room on workers for a job. A reservation either follows stops that were commanded, or
+//! waits for work of equal priority to end by itself: work never preempts work of equal or higher
+//! priority.
 
 mod gangs;
 mod reservations;
@@ -14,28 +16,31 @@
 
 use crate::coordination::state::Core;
 
-/// Tasks for which one batch may make room: on a small cluster, and for each worker of a large one.
-/// A zone that is lost leaves a third of all replicas without a place at once.
+/// How many tasks one batch may make room for: at least `MIN_TASKS_PER_BATCH`, and
+/// `TASKS_PER_WORKER` for each worker of a large cluster. The loss of a zone leaves a third of all
+/// replicas without a worker at once.
 const MIN_TASKS_PER_BATCH: u32 = 12;
 const TASKS_PER_WORKER: f64 = 0.1;
-/// How long room that was freed by stops is reserved, beyond the grace of what is stopped.
+/// How long room freed by stops stays reserved after the grace period of the stopped tasks.
 const PREEMPTION_RESERVATION_S: f64 = 8.0;
 
 impl Core {
-    /// Makes room for the jobs of a batch that found none, the most important first.
+    /// Makes room for the jobs of a batch that found none, in descending order of weight.
     pub(super) fn make_room(&mut self, batch: &[u32]) {
         let workers = self.workers.iter().count() as f64;
         let mut budget = MIN_TASKS_PER_BATCH.max((workers * TASKS_PER_WORKER) as u32);
-        // Where no room can be made for one job, none can be for the others of its class.
-        let mut tried = BTreeSet::new();
+        // If no room can be made for one job, none can be made for the others of its scheduling
+        // class.
+        let mut classes_without_room = BTreeSet::new();
         for &ix in batch {
             if budget == 0 {
                 break;
             }
             let class = self.bidding_class(ix);
-            let in_vain = class.is_some_and(|class| tried.contains(&class));
-            // Good work is not stopped for a job that fails everywhere.
-            if in_vain || self.is_faulty_job(ix) {
+            let class_has_no_room =
+                class.is_some_and(|class| classes_without_room.contains(&class));
+            // Running tasks are not preempted for a job that fails on every worker.
+            if class_has_no_room || self.is_faulty_job(ix) {
                 continue;
             }
             if self.is_multi_task_gang(ix) {
@@ -45,12 +50,12 @@
                 continue;
             }
             if !self.make_room_for_tasks(ix, &mut budget) {
-                tried.extend(class);
+                classes_without_room.extend(class);
             }
         }
     }
 
-    /// Makes room for a job's tasks one by one, by stops as far as the budget goes, and otherwise
+    /// Makes room for a job's tasks one by one: by preemption as far as the budget allows, and then
     /// by draining workers. Returns whether all its tasks have room now.
     fn make_room_for_tasks(&mut self, ix: u32, budget: &mut u32) -> bool {
         let mut missing = self.tasks_without_room(ix);
@@ -67,7 +72,7 @@
         missing == 0
     }
 
-    /// How many tasks of a job wait and have no room reserved.
+    /// The number of waiting tasks of a job that have no room reserved.
     fn tasks_without_room(&self, ix: u32) -> u32 {
         self.jobs[ix]
             .waiting()
--- a/src/coordination/preemption/reservations.rs
+++ b/src/coordination/preemption/reservations.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Keeps what is reserved for a job on a worker for at least this long.
+    /// Extends the reservations of a job on a worker to at least this long from now.
     pub(in crate::coordination) fn renew_reservation(&mut self, m: u32, ix: u32, for_s: f64) {
         let until = self.now + for_s;
         let reservations = self.workers[m].reservations.iter_mut();
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Drops reservations that have lapsed, and those that are of no use any more.
+    /// Drops reservations that have expired or are no longer needed.
     pub(in crate::coordination) fn expire_reservations(&mut self) {
         let now = self.now;
         for m in self.workers.indices() {
@@ -54,12 +54,12 @@
         }
     }
 
-    /// For how many tasks of a job room is reserved.
+    /// The number of tasks of a job that have room reserved.
     pub(super) fn reserved_tasks(&self, ix: u32) -> u32 {
         self.reserved_by_zone(ix).iter().sum()
     }
 
-    /// The same by zone.
+    /// The number of tasks of a job that have room reserved, by zone.
     pub(in crate::coordination) fn reserved_by_zone(&self, ix: u32) -> Vec<u32> {
         let mut by_zone = vec![0; self.zones.len()];
         for (_, worker) in self.workers.iter() {
@@ -84,8 +84,9 @@
         room
     }
 
-    /// Room for one more task of a job, beside what is reserved for it and for others.
-    pub(super) fn room_for_one_more(&self, ix: u32, m: u32) -> Resources {
+    /// Free room of a worker less everything that is reserved on it, including reservations for
+    /// this job.
+    pub(super) fn unreserved_room(&self, ix: u32, m: u32) -> Resources {
         let mut room = self.room_after_reservations(m, ix);
         for reservation in &self.workers[m].reservations {
             if reservation.job == ix {
@@ -102,14 +103,16 @@
         }
     }
 
-    /// Whether room for a task of a job may be reserved on a worker at all.
+    /// Whether a worker and its zone are allowed for a task of a job, so that room may be reserved
+    /// there.
     pub(in crate::coordination) fn reservable(&self, ix: u32, m: u32) -> bool {
         self.worker_usable(m)
             && self.worker_allowed(ix, m)
             && self.zone_allows(ix, self.workers[m].zone)
     }
 
-    /// Starts the tasks that room was reserved for, as soon as the room is there.
+    /// Starts the tasks of a batch that have room reserved, where that room is free by now. Gangs
+    /// are placed separately.
     pub(in crate::coordination) fn serve_reservations(&mut self, batch: &[u32]) {
         self.reassign_reservations(batch);
         let workers = self.workers.indices();
@@ -125,7 +128,7 @@
                         .spec
                         .needs
                         .fits_in(&self.room_after_reservations(m, ix))
-                    && self.start_one(ix, m)
+                    && self.start_next_task(ix, m)
                 {}
             }
         }
@@ -135,13 +138,13 @@
         self.workers[m].reservations.iter().any(|r| r.job == ix)
     }
 
-    /// Room that is reserved for a whole-worker task goes to the most urgent single task of its
-    /// large-task profile, whoever asked for it first.
+    /// Transfers each reservation for a large task to the most urgent single task of the same
+    /// large-task profile, regardless of which job reserved it.
     fn reassign_reservations(&mut self, batch: &[u32]) {
         for m in self.workers.indices() {
             for at in 0..self.workers[m].reservations.len() {
                 let holder = self.workers[m].reservations[at].job;
-                if let Some(best) = self.most_urgent_like(holder, m, batch)
+                if let Some(best) = self.most_urgent_of_same_profile(holder, m, batch)
                     && best != holder
                     && self.free_room(m).cpus >= self.jobs[best].spec.needs.cpus
                     && !self.has_reservation(m, best)
@@ -152,9 +155,9 @@
         }
     }
 
-    /// The first job of the batch with single tasks of the holder's large-task profile. A gang that
-    /// gathers workers gives way only to what comes before it.
-    fn most_urgent_like(&self, holder: u32, m: u32, batch: &[u32]) -> Option<u32> {
+    /// The first job of the batch with single tasks of the holder's large-task profile. A gang's
+    /// reservation is transferred only to jobs that come before the gang in the batch.
+    fn most_urgent_of_same_profile(&self, holder: u32, m: u32, batch: &[u32]) -> Option<u32> {
         let profile = self.jobs[holder].large_task_profile?;
         let holder_is_gang = self.is_multi_task_gang(holder);
         batch
--- a/src/coordination/preemption/single_tasks.rs
+++ b/src/coordination/preemption/single_tasks.rs
@@ -1,4 +1,4 @@
-//! Room for tasks one by one: by preemption where it costs least, else by draining a worker.
+//! Preemption for single tasks: stops tasks where that costs least, or else drains a worker.
 
 use std::cmp::Ordering;
 
@@ -8,27 +8,29 @@
 
 use super::PREEMPTION_RESERVATION_S;
 
-/// How long a worker is kept free of new small tasks for a task that needs most of it.
+/// How long a worker is reserved, and so drained of small tasks, for a task that needs most of it.
 const DRAIN_RESERVATION_S: f64 = 90.0;
-/// A worker is drained only for a task that takes more than this share of it.
+/// A worker is drained only for a task that needs more than this share of it.
 const DRAIN_MIN_SHARE: f64 = 0.5;
-/// Added to every cost, so that the value counts where little is lost.
+/// Added to every preemption cost, so that the value of the worker still matters where little work
+/// is lost.
 const BASE_COST: f64 = 1.0;
-/// Values below this count as this much.
+/// Lower bound of the value that a cost is divided by.
 const MIN_VALUE: f64 = 1e-12;
-/// A task that has run past its estimate is taken to run on for this share of it.
+/// The remaining run time of a task is assumed to be at least this share of its estimate, also when
+/// it has run longer than estimated.
 const OVERRUN_SHARE: f64 = 0.2;
 
-/// A worker on which room can be made for a task by stops.
-struct Choice {
-    /// What is lost for each unit of value gained.
+/// A worker on which stops make room for a task.
+struct PreemptionOption {
+    /// Work lost per unit of value gained.
     cost: f64,
     worker: u32,
     victims: Vec<InstanceId>,
 }
 
-impl Choice {
-    /// The best last.
+impl PreemptionOption {
+    /// Orders options from the most to the least costly, so that the best is last.
     fn compare(&self, other: &Self) -> Ordering {
         other
             .cost
@@ -38,17 +40,18 @@
 }
 
 impl Core {
-    /// Preempts lower work for up to `limit` tasks of a job, where that costs least. Returns for
-    /// how many. Each worker is looked at once, and again only after something was stopped there.
+    /// Preempts lower-priority work for up to `limit` tasks of a job, where that costs least, and
+    /// returns the number of tasks that have room now. Each worker is evaluated once, and again
+    /// only after something was stopped there.
     pub(super) fn reserve_by_preempting(&mut self, ix: u32, limit: u32) -> u32 {
         if limit == 0 || !self.outranks_any(ix) {
             return 0;
         }
-        let mut choices = self.preemption_choices(ix);
+        let mut options = self.preemption_options(ix);
         let mut by_zone = self.reserved_by_zone(ix);
         let mut reserved = 0;
         while reserved < limit
-            && let Some(best) = choices.pop()
+            && let Some(best) = options.pop()
         {
             let m = best.worker;
             let zone = self.workers[m].zone;
@@ -60,45 +63,47 @@
             self.preempt_and_reserve(ix, m, &best.victims);
             by_zone[zone as usize] += 1;
             reserved += 1;
-            if let Some(again) = self.preemption_choice(ix, m) {
-                let at = choices.partition_point(|choice| choice.compare(&again).is_lt());
-                choices.insert(at, again);
+            if let Some(next_option) = self.preemption_option(ix, m) {
+                let at = options.partition_point(|option| option.compare(&next_option).is_lt());
+                options.insert(at, next_option);
             }
         }
         reserved
     }
 
-    /// The workers of the job's best tier on which something has to be stopped for a task, the best
-    /// last.
-    fn preemption_choices(&self, ix: u32) -> Vec<Choice> {
+    /// The workers of the job's best tier on which tasks must be stopped to make room for one of
+    /// its tasks, the best last.
+    fn preemption_options(&self, ix: u32) -> Vec<PreemptionOption> {
         let tier = self.best_tier(ix);
-        let mut choices: Vec<Choice> = self
+        let mut options: Vec<PreemptionOption> = self
             .workers
             .indices()
             .into_iter()
             .filter(|&m| self.reservable(ix, m) && self.in_tier(ix, m, tier))
-            .filter_map(|m| self.preemption_choice(ix, m))
+            .filter_map(|m| self.preemption_option(ix, m))
             .collect();
-        choices.sort_by(Choice::compare);
-        choices
+        options.sort_by(PreemptionOption::compare);
+        options
     }
 
-    /// What would have to be stopped on a worker for one task, if anything.
-    fn preemption_choice(&self, ix: u32, m: u32) -> Option<Choice> {
-        if !self.room_can_be_made(ix, m) {
+    /// The stops that make room for one task on a worker; none if there is room without them, or no
+    /// set of stops is enough.
+    fn preemption_option(&self, ix: u32, m: u32) -> Option<PreemptionOption> {
+        if !self.can_make_room(ix, m) {
             return None;
         }
         let preemption = self.victims(ix, m)?;
-        // A costlier stop is worth it where the image is at hand.
+        // Dividing by the value makes a costlier stop acceptable on a worker that has the image
+        // cached.
         let value = self.value(ix, m).max(MIN_VALUE);
-        (!preemption.victims.is_empty()).then_some(Choice {
+        (!preemption.victims.is_empty()).then_some(PreemptionOption {
             cost: (preemption.cost + BASE_COST) / value,
             worker: m,
             victims: preemption.victims,
         })
     }
 
-    /// Stops victims on a worker, and reserves room for one task of a job there.
+    /// Stops the victims on a worker, and reserves room for one task of a job there.
     pub(in crate::coordination) fn preempt_and_reserve(
         &mut self,
         ix: u32,
@@ -121,8 +126,8 @@
         );
     }
 
-    /// Keeps a worker free of new work until a task fits that needs much of it. Returns whether
-    /// there is such a worker.
+    /// Reserves the worker that will be the first to have room for a task that needs much of it.
+    /// Returns whether there is such a worker.
     pub(super) fn reserve_by_draining(&mut self, ix: u32) -> bool {
         let needs = self.jobs[ix].spec.needs;
         let soonest = self
@@ -144,7 +149,8 @@
         true
     }
 
-    /// Seconds until enough has ended by itself on a worker, as far as estimates tell.
+    /// Seconds until enough tasks on a worker have ended by themselves for `needs` to fit, by their
+    /// estimated run times. Services never end by themselves.
     pub(in crate::coordination) fn seconds_until_room(
         &self,
         needs: &Resources,
@@ -158,19 +164,19 @@
             .map(|(key, instance)| {
                 let job = &self.jobs[key.job];
                 let ran_s = instance.running_since.map_or(0.0, |at| self.now - at);
-                let left_s = (job.work_s() - ran_s).max(job.work_s() * OVERRUN_SHARE);
-                (left_s, job.spec.needs)
+                let remaining_s = (job.work_s() - ran_s).max(job.work_s() * OVERRUN_SHARE);
+                (remaining_s, job.spec.needs)
             })
             .collect();
         ends.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut drained_in_s = 0.0;
+        let mut room_in_s = 0.0;
         for (end_s, frees) in ends {
             if needs.fits_in(&room) {
                 break;
             }
             room.add(&frees);
-            drained_in_s = end_s;
+            room_in_s = end_s;
         }
-        needs.fits_in(&room).then_some(drained_in_s)
+        needs.fits_in(&room).then_some(room_in_s)
     }
 }
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -1,28 +1,32 @@
-//! Victims: the task instances on one worker that are stopped to make room for a task.
+//! Victim selection: which task instances on one worker are stopped to make room for a task.
 
 use crate::coordination::gangs::checkpoint_grace_s;
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 
-/// A victim's time to save counts as at most so many times the patience of whom it is stopped for.
+/// The grace period of a victim, in multiples of the preempting job's start delay tolerance, is
+/// capped at this.
 const MAX_GRACE_IN_TOLERANCES: f64 = 7.0;
-/// Every stop counts as at least so much lost work.
+/// Seconds added to the lost work of every stop.
 const STOP_OVERHEAD_S: f64 = 2.0;
-/// How many CPUs a GPU counts as.
+/// The number of CPUs that one GPU counts as in a task's size.
 const CPUS_PER_GPU: f64 = 8.0;
+/// CPUs and GPUs are counted in thousandths.
 const MILLI: f64 = 1000.0;
 
-/// What is stopped on one worker.
+/// The task instances to stop on one worker, and the cost of that.
 #[derive(Debug)]
 pub(in crate::coordination) struct Preemption {
-    /// What is lost: work in seconds, weighted by size and importance.
+    /// Lost work in seconds, weighted by size and importance.
     pub(in crate::coordination) cost: f64,
-    /// The task instances that are stopped; none if there is room already or it is on its way.
+    /// The task instances to stop; none if there is room already, or stops that were commanded
+    /// before free enough.
     pub(in crate::coordination) victims: Vec<InstanceId>,
 }
 
 impl Core {
-    /// Whether tasks of `other` may be stopped for `ix`.
+    /// Whether tasks of job `other` may be stopped for job `ix`. Between teams, jobs within their
+    /// quota outrank jobs beyond it; otherwise the priority decides.
     pub(super) fn outranks(&self, ix: u32, other: u32) -> bool {
         let (job, other) = (&self.jobs[ix], &self.jobs[other]);
         if job.team != other.team && job.within_quota != other.within_quota {
@@ -31,24 +35,25 @@
         job.spec.priority > other.spec.priority
     }
 
-    /// Whether any work at all may be stopped for a job.
+    /// Whether any task instance at all may be stopped for a job.
     pub(super) fn outranks_any(&self, ix: u32) -> bool {
         self.jobs
             .iter()
             .any(|(other, job)| job.active > 0 && self.outranks(ix, other))
     }
 
-    /// Whether a task instance of `other` may be stopped by itself or with its gang for `ix`. A
-    /// gang stops as a whole, which is much to lose: only for replicas, which are missed from the
-    /// first second on.
+    /// Whether a task instance of job `other` may be stopped, alone or with its gang, for job `ix`.
+    /// A gang stops as a whole, which loses much work, so that is done only for replicas of a
+    /// service, which have to be available at all times.
     fn may_stop(&self, ix: u32, other: u32) -> bool {
         self.outranks(ix, other) && (self.jobs[ix].is_service() || !self.is_multi_task_gang(other))
     }
 
-    /// Whether [`Self::victims`] finds a set, without looking for the cheapest.
-    pub(in crate::coordination) fn room_can_be_made(&self, ix: u32, m: u32) -> bool {
+    /// Whether [`Self::victims`] finds a set of stops. Cheaper, as it does not look for the best
+    /// one.
+    pub(in crate::coordination) fn can_make_room(&self, ix: u32, m: u32) -> bool {
         let needs = &self.jobs[ix].spec.needs;
-        let mut room = self.room_for_one_more(ix, m);
+        let mut room = self.unreserved_room(ix, m);
         let mut instances = self.workers[m].instances.iter();
         while !needs.fits_in(&room) {
             let Some((key, instance)) = instances.next() else {
@@ -62,13 +67,15 @@
         true
     }
 
-    /// The cheapest set of stops on one worker that makes room for one task.
+    /// A set of stops on one worker that makes room for one task, chosen in ascending order of
+    /// cost.
     pub(in crate::coordination) fn victims(&self, ix: u32, m: u32) -> Option<Preemption> {
         let needs = self.jobs[ix].spec.needs;
-        let mut room = self.room_for_one_more(ix, m);
+        let mut room = self.unreserved_room(ix, m);
         for (key, instance) in &self.workers[m].instances {
             if instance.possible() && instance.stop.is_some() {
-                // Its room is on the way, and reserved for whoever ordered the stop.
+                // This instance is being stopped already. Its room is reserved for the job that it
+                // is stopped for.
                 room.add(&self.jobs[key.job].spec.needs);
             }
         }
@@ -76,7 +83,7 @@
             cost: 0.0,
             victims: Vec::new(),
         };
-        for (cost, key) in self.candidates(ix, m) {
+        for (cost, key) in self.victim_candidates(ix, m) {
             if needs.fits_in(&room) {
                 break;
             }
@@ -91,12 +98,12 @@
             }
         }
         let fits = needs.fits_in(&room);
-        debug_assert_eq!(fits, self.room_can_be_made(ix, m));
+        debug_assert_eq!(fits, self.can_make_room(ix, m));
         fits.then_some(preemption)
     }
 
-    /// What may be stopped on a worker for a job, the cheapest first.
-    fn candidates(&self, ix: u32, m: u32) -> Vec<(f64, InstanceId)> {
+    /// The task instances on a worker that may be stopped for a job, the cheapest first.
+    fn victim_candidates(&self, ix: u32, m: u32) -> Vec<(f64, InstanceId)> {
         let mut candidates: Vec<(f64, InstanceId)> = self.workers[m]
             .instances
             .iter()
@@ -108,21 +115,23 @@
         candidates
     }
 
-    /// What stopping a task instance costs the job that it is stopped for.
+    /// The cost of stopping a task instance: the lost work of it and its gang, increased by the
+    /// delay that its grace period causes for the preempting job.
     fn stop_cost(&self, ix: u32, key: &InstanceId, instance: &TaskInstance) -> f64 {
-        let mut loss = self.loss(key, instance);
+        let mut lost_work = self.lost_work(key, instance);
         if self.is_multi_task_gang(key.job) {
-            loss *= f64::from(self.jobs[key.job].spec.tasks);
+            lost_work *= f64::from(self.jobs[key.job].spec.tasks);
         }
-        // What saves a checkpoint leaves its room later: replicas that were to start within a
-        // second waited for lower work that saved.
+        // A task that saves a checkpoint frees its room later. Without this factor, replicas that
+        // had to start within a second waited for lower-priority tasks to save theirs.
         let grace_in_tolerances =
             self.stop_grace_s(key.job) / self.jobs[ix].start_delay_tolerance_s;
-        loss * grace_in_tolerances.min(MAX_GRACE_IN_TOLERANCES).exp()
+        lost_work * grace_in_tolerances.min(MAX_GRACE_IN_TOLERANCES).exp()
     }
 
-    /// What stopping a task instance loses: its work so far, weighted by size and importance.
-    fn loss(&self, key: &InstanceId, instance: &TaskInstance) -> f64 {
+    /// The work lost by stopping a task instance, weighted by size and importance: the time to save
+    /// for tasks with checkpoints, or else all its work so far.
+    fn lost_work(&self, key: &InstanceId, instance: &TaskInstance) -> f64 {
         let job = &self.jobs[key.job];
         let ran_s = instance.running_since.map_or(0.0, |at| self.now - at);
         let lost_s = if job.spec.checkpoint_s > 0.0 {
@@ -135,7 +144,8 @@
         (lost_s + STOP_OVERHEAD_S) * size * self.weight(key.job)
     }
 
-    /// The time to save that a task of a job gets when it is stopped, in seconds.
+    /// The grace period, in seconds, in which a stopped task of a job can save a checkpoint; 0 if
+    /// the job takes none.
     pub(in crate::coordination) fn stop_grace_s(&self, ix: u32) -> f64 {
         let spec = &self.jobs[ix].spec;
         if spec.checkpoint_s > 0.0 {
@@ -145,7 +155,7 @@
         }
     }
 
-    /// The longest time to save that any of these gets, in seconds.
+    /// The longest grace period of these task instances, in seconds.
     pub(in crate::coordination) fn longest_stop_grace_s(&self, victims: &[InstanceId]) -> f64 {
         victims
             .iter()
