--- a/benches/batch.rs
+++ b/benches/batch.rs
@@ -1,4 +1,4 @@
-//! Time of one auction: 500 tasks on 1,000 workers (the target is 30 ms).
+//! Measures the time of one auction: 500 tasks on 1,000 workers. The target is 30 ms.
 
 use std::time::Instant;
 
@@ -31,16 +31,16 @@
                 zone_room: None,
             })
             .collect();
-        let began = Instant::now();
+        let started = Instant::now();
         let (awards, outcome) = clear(&lots, &groups, 4000);
         times
-            .record(began.elapsed().as_micros() as u64)
+            .record(started.elapsed().as_micros() as u64)
             .expect("within bounds");
         assert!(!awards.is_empty());
         capped += u32::from(outcome.capped);
     }
     println!(
-        "500 tasks on 1,000 machines: p50 {} us, p99 {} us, max {} us; {capped} of 50 capped",
+        "500 tasks on 1,000 workers: p50 {} us, p99 {} us, max {} us; {capped} of 50 capped",
         times.value_at_quantile(0.5),
         times.value_at_quantile(0.99),
         times.max()
--- a/benches/core.rs
+++ b/benches/core.rs
@@ -1,7 +1,7 @@
-//! Processor time of the leader's core where more is wanted than there is: reports,
-//! batches and writes together, at 1,000, 3,000 and 10,000 workers, and what the next
-//! leader takes when a third of them is silent. The workers obey at once; what is
-//! measured is the core alone, without HTTP.
+//! Measures the processor time of the leader's core while demand exceeds supply: heartbeats,
+//! batches and writes together, at 1,000, 3,000 and 10,000 workers, and what the next leader needs
+//! when a third of the workers is unresponsive. Simulated workers execute commands at once, so only
+//! the core is measured, without HTTP.
 
 use copperfield_simulation::core_harness::CoreHarness;
 use rand::rngs::StdRng;
@@ -12,9 +12,10 @@
  {"name":"small","cpus":8,"memory_gb":64,"local_gb":50,"pull_gb_per_s":0.3,"price":0.4,"ready_s":15,"regions":["a","b","c"]},
  {"name":"mid","cpus":16,"gpus":2,"memory_gb":64,"local_gb":100,"pull_gb_per_s":0.3,"price":4.0,"ready_s":30,"regions":["a","b","c"]},
  {"name":"big","cpus":48,"gpus":8,"memory_gb":256,"local_gb":100,"pull_gb_per_s":0.4,"price":28.0,"ready_s":30,"regions":["a","b","c"]}]}"#;
-/// Ordinary work comes in proportion to the fleet.
-const PROPORTION: usize = 1000;
-const SECONDS: u32 = 60;
+/// Number of workers for which the rates of regular jobs hold; larger clusters get proportionally
+/// more.
+const WORKERS_PER_LOAD_UNIT: usize = 1000;
+const DURATION_S: u32 = 60;
 
 fn job(shape: &str, id: u32, rng: &mut StdRng) -> Value {
     let mut body = match shape {
@@ -32,48 +33,48 @@
     body
 }
 
-/// What comes beside the ordinary work.
+/// Load in addition to the regular jobs.
 #[derive(Clone, Copy)]
-enum Visitor {
-    Nobody,
+enum ExtraLoad {
+    None,
     /// One array of 100,000 tasks that run for seconds.
     HugeArray,
     /// 5,000 jobs of a single short task.
-    Swarm,
+    ManySmallJobs,
 }
 
 fn main() {
-    // `cargo bench --bench core -- 3000` plays that size alone.
+    // `cargo bench --bench core -- 3000` runs only the regular load, with that many workers.
     if let Some(workers) = std::env::args().find_map(|a| a.parse().ok()) {
-        return play("ordinary work", Visitor::Nobody, workers);
+        return run_scenario("regular load", ExtraLoad::None, workers);
     }
     for workers in [1000, 3000, 10_000] {
-        play("ordinary work", Visitor::Nobody, workers);
+        run_scenario("regular load", ExtraLoad::None, workers);
     }
-    play("a huge array", Visitor::HugeArray, 1000);
-    play("a swarm", Visitor::Swarm, 1000);
+    run_scenario("a huge array", ExtraLoad::HugeArray, 1000);
+    run_scenario("many small jobs", ExtraLoad::ManySmallJobs, 1000);
 }
 
-fn visitors(crew: &mut CoreHarness, visitor: Visitor) {
-    let low = |id: u32, shards: u32| {
+fn submit_extra_load(harness: &mut CoreHarness, extra_load: ExtraLoad) {
+    let small = |id: u32, shards: u32| {
         json!({"uid": format!("wk-{id:06}"), "rank": "best_effort", "shards": shards, "cpus": 0.25,
             "memory_gb": 1.0, "runtime_s": 4.0, "jobclass": "guest", "bundle": "guest"})
     };
-    match visitor {
-        Visitor::Nobody => {}
-        Visitor::HugeArray => {
-            crew.submit(&low(900_000, 100_000));
+    match extra_load {
+        ExtraLoad::None => {}
+        ExtraLoad::HugeArray => {
+            harness.submit(&small(900_000, 100_000));
         }
-        Visitor::Swarm => {
+        ExtraLoad::ManySmallJobs => {
             for i in 0..5000 {
-                crew.submit(&low(900_000 + i, 1));
+                harness.submit(&small(900_000 + i, 1));
             }
         }
     }
 }
 
-fn play(name: &str, visitor: Visitor, workers: usize) {
-    let times = workers / PROPORTION;
+fn run_scenario(name: &str, extra_load: ExtraLoad, workers: usize) {
+    let load_units = workers / WORKERS_PER_LOAD_UNIT;
     let cluster = json!({"zones": ["a", "b", "c"], "teams": [{"name": "team"}],
         "objectives": [{"kind": "wait", "class": "service", "within_s": 1.0},
             {"kind": "wait", "class": "group", "within_s": 35.0}],
@@ -81,7 +82,7 @@
         "state": {"rps": 200, "write_rps": 50, "value_kb": 16, "txn_ops": 16}, "cloud": {"rps": 5},
         "limits": {"max_sockets": 2000}});
     let mut rng = StdRng::seed_from_u64(1);
-    let mut crew = CoreHarness::new(TYPES, cluster, 99);
+    let mut harness = CoreHarness::new(TYPES, cluster, 99);
     for i in 0..workers {
         let flavor = match i % 10 {
             0 => "big",
@@ -89,7 +90,7 @@
             _ => "small",
         };
         let zone = ["a", "b", "c"][i % 3];
-        crew.add_worker(
+        harness.add_worker(
             &format!("vm-{i:06}"),
             flavor,
             zone,
@@ -97,63 +98,63 @@
         );
     }
     let mut id = 0;
-    let mut submit = |crew: &mut CoreHarness, shape: &str, rng: &mut StdRng| {
+    let mut submit = |harness: &mut CoreHarness, shape: &str, rng: &mut StdRng| {
         id += 1;
-        crew.submit(&job(shape, id, rng));
+        harness.submit(&job(shape, id, rng));
     };
-    for _ in 0..100 * times {
-        submit(&mut crew, "service", &mut rng);
+    for _ in 0..100 * load_units {
+        submit(&mut harness, "service", &mut rng);
     }
-    let mut worst_second = 0.0f64;
-    for second in 0..SECONDS {
+    let mut slowest_second_s = 0.0f64;
+    for second in 0..DURATION_S {
         if second == 20 {
-            visitors(&mut crew, visitor);
+            submit_extra_load(&mut harness, extra_load);
         }
         for (shape, per_s) in [("service", 0.1), ("group", 0.4), ("sweep", 0.8)] {
-            for _ in 0..times {
+            for _ in 0..load_units {
                 if rng.random_bool(per_s) {
-                    submit(&mut crew, shape, &mut rng);
+                    submit(&mut harness, shape, &mut rng);
                 }
             }
         }
-        let before = crew.steps.len();
-        crew.run(1.0);
-        worst_second = worst_second.max(crew.steps[before..].iter().sum());
+        let before = harness.steps.len();
+        harness.run(1.0);
+        slowest_second_s = slowest_second_s.max(harness.steps[before..].iter().sum());
     }
-    let total: f64 = crew.steps.iter().sum();
+    let total: f64 = harness.steps.iter().sum();
     println!(
-        "{name}: {workers} machines, {SECONDS} s: {} starts, {} changes, {} steps",
-        crew.start_count,
-        crew.written_changes,
-        crew.steps.len()
+        "{name}: {workers} workers, {DURATION_S} s: {} starts, {} changes, {} steps",
+        harness.start_count,
+        harness.written_changes,
+        harness.steps.len()
     );
     println!(
-        "core: {:.1} ms of processor time a second, worst second {:.0} ms; {}",
-        total / f64::from(SECONDS) * 1e3,
-        worst_second * 1e3,
-        quantiles(&crew.steps),
+        "core: {:.1} ms of processor time a second, slowest second {:.0} ms; {}",
+        total / f64::from(DURATION_S) * 1e3,
+        slowest_second_s * 1e3,
+        quantiles(&harness.steps),
     );
     for i in (0..workers).filter(|i| i % 3 == 0) {
-        crew.unreachable.insert(format!("vm-{i:06}"));
+        harness.unreachable.insert(format!("vm-{i:06}"));
     }
-    crew.run(10.0);
-    let before = crew.steps.len();
-    let began = std::time::Instant::now();
-    crew.fail_over();
-    let restored = began.elapsed();
-    crew.run(2.0);
+    harness.run(10.0);
+    let before = harness.steps.len();
+    let restore_started = std::time::Instant::now();
+    harness.fail_over();
+    let restore_time = restore_started.elapsed();
+    harness.run(2.0);
     println!(
-        "next leader: restored in {:.1} ms, {}",
-        restored.as_secs_f64() * 1e3,
-        quantiles(&crew.steps[before..]),
+        "next leader: state restored in {:.1} ms, {}",
+        restore_time.as_secs_f64() * 1e3,
+        quantiles(&harness.steps[before..]),
     );
-    let (before, starts) = (crew.steps.len(), crew.start_count);
-    crew.run(20.0);
+    let (before, starts) = (harness.steps.len(), harness.start_count);
+    harness.run(20.0);
     println!(
-        "leases run out: {:.1} ms of processor time a second, {} starts; {}",
-        crew.steps[before..].iter().sum::<f64>() * 1e3 / 20.0,
-        crew.start_count - starts,
-        quantiles(&crew.steps[before..]),
+        "after lease expiry: {:.1} ms of processor time a second, {} starts; {}",
+        harness.steps[before..].iter().sum::<f64>() * 1e3 / 20.0,
+        harness.start_count - starts,
+        quantiles(&harness.steps[before..]),
     );
 }
 
--- a/src/coordination/placement/auction_round.rs
+++ b/src/coordination/placement/auction_round.rs
@@ -145,7 +145,7 @@
                 && self.worker_allowed(ix, m)
                 && self.zone_allows(ix, lot.zone)
                 && zone.is_none_or(|zone| zone == lot.zone)
-                && self.in_tier(ix, m, tier)
+                && self.in_tier_or_better(ix, m, tier)
             {
                 values.push((at, self.value(ix, m)));
             }
--- a/src/coordination/placement/exact_fit.rs
+++ b/src/coordination/placement/exact_fit.rs
@@ -42,7 +42,7 @@
                 self.worker_usable(m)
                     && needs.fits_in(&self.room_after_reservations(m, ix))
                     && self.worker_allowed(ix, m)
-                    && self.in_tier(ix, m, tier)
+                    && self.in_tier_or_better(ix, m, tier)
             })
             .map(|m| (m, self.value(ix, m)))
             .collect();
--- a/src/coordination/placement/value.rs
+++ b/src/coordination/placement/value.rs
@@ -137,7 +137,7 @@
     }
 
     /// Whether the tier of a worker for a job is `worst` or better.
-    pub(in crate::coordination) fn in_tier(&self, ix: u32, m: u32, worst: u8) -> bool {
+    pub(in crate::coordination) fn in_tier_or_better(&self, ix: u32, m: u32, worst: u8) -> bool {
         self.tier(ix, m) <= worst
     }
 
--- a/src/coordination/preemption/single_tasks.rs
+++ b/src/coordination/preemption/single_tasks.rs
@@ -44,7 +44,7 @@
     /// returns the number of tasks that have room now. Each worker is evaluated once, and again
     /// only after something was stopped there.
     pub(super) fn reserve_by_preempting(&mut self, ix: u32, limit: u32) -> u32 {
-        if limit == 0 || !self.outranks_any(ix) {
+        if limit == 0 || !self.outranks_any_active_job(ix) {
             return 0;
         }
         let mut options = self.preemption_options(ix);
@@ -79,7 +79,7 @@
             .workers
             .indices()
             .into_iter()
-            .filter(|&m| self.reservable(ix, m) && self.in_tier(ix, m, tier))
+            .filter(|&m| self.reservable(ix, m) && self.in_tier_or_better(ix, m, tier))
             .filter_map(|m| self.preemption_option(ix, m))
             .collect();
         options.sort_by(PreemptionOption::compare);
@@ -115,7 +115,7 @@
                 job = %self.jobs[ix].spec.id,
                 victim = %self.jobs[key.job].spec.id,
                 worker = self.workers[m].name,
-                "preempting"
+                "preempting task instance"
             );
             self.stop_gracefully(m, *key);
         }
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether any task instance at all may be stopped for a job.
-    pub(super) fn outranks_any(&self, ix: u32) -> bool {
+    pub(super) fn outranks_any_active_job(&self, ix: u32) -> bool {
         self.jobs
             .iter()
             .any(|(other, job)| job.active > 0 && self.outranks(ix, other))
@@ -45,7 +45,7 @@
     /// Whether a task instance of job `other` may be stopped, alone or with its gang, for job `ix`.
     /// A gang stops as a whole, which loses much work, so that is done only for replicas of a
     /// service, which have to be available at all times.
-    fn may_stop(&self, ix: u32, other: u32) -> bool {
+    fn may_preempt(&self, ix: u32, other: u32) -> bool {
         self.outranks(ix, other) && (self.jobs[ix].is_service() || !self.is_multi_task_gang(other))
     }
 
@@ -59,7 +59,7 @@
             let Some((key, instance)) = instances.next() else {
                 return false;
             };
-            let stops = instance.stop.is_some() || self.may_stop(ix, key.job);
+            let stops = instance.stop.is_some() || self.may_preempt(ix, key.job);
             if instance.possible() && stops {
                 room.add(&self.jobs[key.job].spec.needs);
             }
@@ -108,7 +108,7 @@
             .instances
             .iter()
             .filter(|(_, instance)| instance.possible() && instance.stop.is_none())
-            .filter(|(key, _)| self.may_stop(ix, key.job))
+            .filter(|(key, _)| self.may_preempt(ix, key.job))
             .map(|(key, instance)| (self.stop_cost(ix, key, instance), *key))
             .collect();
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
--- a/tests/auction.rs
+++ b/tests/auction.rs
@@ -1,9 +1,9 @@
-//! Properties of the auction, against exhaustive search on small instances.
+//! Properties of the auction, checked against exhaustive search on small instances.
 
 use copperfield::coordination::auction::{Award, BidderGroup, Lot, clear, greedy};
 use proptest::prelude::*;
 
-fn lot_of(slots: u32) -> Lot {
+fn cpu_lot(slots: u32) -> Lot {
     Lot {
         cpu_slots: slots,
         gpu_slots: 0,
@@ -12,13 +12,14 @@
     }
 }
 
-/// One-slot tasks: `values[g][l]`, with `demand[g]` tasks in each group.
+/// An auction of one-slot tasks: group `g` has `demand[g]` tasks, and values lot `l` at
+/// `values[g][l]`.
 fn one_slot_auction(
     slots: &[u32],
     demand: &[u32],
     values: &[Vec<f64>],
 ) -> (Vec<Lot>, Vec<BidderGroup>) {
-    let lots = slots.iter().map(|&s| lot_of(s)).collect();
+    let lots = slots.iter().map(|&s| cpu_lot(s)).collect();
     let groups = demand
         .iter()
         .zip(values)
@@ -41,7 +42,7 @@
         .sum()
 }
 
-/// The best total value, by trying every assignment.
+/// The best total value, found by trying every assignment.
 fn best_total_value(tasks: &[usize], groups: &[BidderGroup], left: &mut Vec<u32>) -> f64 {
     let Some((&g, rest)) = tasks.split_first() else {
         return 0.0;
@@ -60,10 +61,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// With every assignment in ε-complementary slackness the total value is within ε times the
-    /// number of tasks of the best; ε is 1% of the median value.
+    /// When the auction ends, ε-complementary slackness holds, so the total value is within ε times
+    /// the number of tasks of the optimum. ε is 1% of the median value.
     #[test]
-    fn total_value_is_within_tasks_times_epsilon_of_the_best(
+    fn total_value_is_within_tasks_times_epsilon_of_the_optimum(
         slots in prop::collection::vec(0u32..3, 1..4),
         demand in prop::collection::vec(1u32..3, 1..4),
         values in prop::collection::vec(prop::collection::vec(1.0f64..100.0, 3), 3),
@@ -80,17 +81,17 @@
         let mut all: Vec<f64> = groups.iter().flat_map(|g| g.values.iter().map(|v| v.1)).collect();
         all.sort_by(f64::total_cmp);
         let epsilon = all[all.len() / 2] * 0.01;
-        let bound = best_total_value(&tasks, &groups, &mut slots.clone());
+        let optimum = best_total_value(&tasks, &groups, &mut slots.clone());
         prop_assert!(
-            total_value(&awards, &groups) >= bound - epsilon * tasks.len() as f64 - 1e-6,
-            "{} of {bound}", total_value(&awards, &groups)
+            total_value(&awards, &groups) >= optimum - epsilon * tasks.len() as f64 - 1e-6,
+            "{} of {optimum}", total_value(&awards, &groups)
         );
     }
 
-    /// Whatever the sizes: no lot is oversold, no lot goes to a group that may not take it, and no
-    /// group gets more than it asked for or than its zones may take.
+    /// For random sizes: no lot is oversold, no lot goes to a group that may not take it, and no
+    /// group gets more than its demand or more than its zones allow.
     #[test]
-    fn awards_keep_to_lots_filters_demand_and_zones(
+    fn awards_respect_lots_filters_demand_and_zones(
         lots in prop::collection::vec((0u32..6, 0u32..3, 0i64..12, 0u32..2), 1..6),
         groups in prop::collection::vec((1u32..6, 1u32..4, 0u32..2, 0i64..5, any::<u8>(), any::<bool>()), 1..6),
         cap in prop::sample::select(vec![1u32, 20, 5000]),
@@ -111,22 +112,22 @@
             })
             .collect();
         for awards in [clear(&lots, &groups, cap).0, greedy(&lots, &groups)] {
-            let mut left = lots.clone();
-            let mut given = vec![0u32; groups.len()];
+            let mut free = lots.clone();
+            let mut awarded = vec![0u32; groups.len()];
             let mut zones = vec![[0u32; 2]; groups.len()];
             for a in &awards {
                 let g = &groups[a.group as usize];
-                let l = &mut left[a.lot as usize];
+                let l = &mut free[a.lot as usize];
                 prop_assert!(g.values.iter().any(|(lot, _)| *lot == a.lot));
                 prop_assert!(l.cpu_slots >= g.cpu_slots && l.gpu_slots >= g.gpu_slots && l.memory >= g.memory);
                 l.cpu_slots -= g.cpu_slots;
                 l.gpu_slots -= g.gpu_slots;
                 l.memory -= g.memory;
-                given[a.group as usize] += 1;
+                awarded[a.group as usize] += 1;
                 zones[a.group as usize][l.zone as usize] += 1;
             }
             for (g, group) in groups.iter().enumerate() {
-                prop_assert!(given[g] <= group.demand);
+                prop_assert!(awarded[g] <= group.demand);
                 if let Some(room) = &group.zone_room {
                     prop_assert!(zones[g][0] <= room[0] && zones[g][1] <= room[1]);
                 }
@@ -135,9 +136,10 @@
     }
 }
 
-/// Groups that value all lots alike outbid each other by ε at a time, which must not reach the cap.
+/// Guards against reaching the cap on bids when groups that value all lots alike outbid each other
+/// by ε at a time.
 #[test]
-fn identical_tasks_settle_below_the_cap() {
+fn identical_tasks_converge_below_the_cap() {
     let slots = vec![8u32; 20];
     let demand = vec![100, 100, 40];
     let values = vec![vec![10.0; 20], vec![10.0; 20], vec![10.0; 20]];
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -1,4 +1,4 @@
-//! A controller on a site of 6,000 workers, which is more than any that is operated.
+//! A controller on a site of 6,000 workers, more than any site in operation has.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,28 +29,28 @@
 const WORKERS: usize = 6000;
 const STATE: &str = "10.2.0.1:2379";
 const CLOUD: &str = "10.2.0.2:8443";
-/// Of the cloud's list.
-const PAGE: usize = 500;
+/// Number of workers on one page of the list that the fake cloud serves.
+const CLOUD_PAGE_WORKERS: usize = 500;
 
-/// The state service, which answers no list until it is told to, and a cloud with a worker for
-/// each worker.
-struct Outside {
+/// A fake state service, which answers no list request until `answers_lists` is set, and a fake
+/// cloud whose list contains every worker.
+struct FakeServices {
     state: Mutex<StateService>,
     start: Instant,
-    lists: AtomicBool,
-    /// Lists of workers that were begun, and those of which the last page was read.
-    begun: AtomicUsize,
-    ended: AtomicUsize,
+    answers_lists: AtomicBool,
+    /// Cloud lists whose first page was requested, and those whose last page was.
+    lists_started: AtomicUsize,
+    lists_completed: AtomicUsize,
 }
 
-impl Outside {
-    fn new(lists: bool) -> Arc<Self> {
+impl FakeServices {
+    fn new(answers_lists: bool) -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::default(),
             start: Instant::now(),
-            lists: AtomicBool::new(lists),
-            begun: AtomicUsize::new(0),
-            ended: AtomicUsize::new(0),
+            answers_lists: AtomicBool::new(answers_lists),
+            lists_started: AtomicUsize::new(0),
+            lists_completed: AtomicUsize::new(0),
         })
     }
 
@@ -59,11 +59,13 @@
             return json!({"flavors": []});
         }
         let since = path.split_once("since=vm-");
-        let next = since.map_or(0, |(_, s)| 1 + s[..6].parse::<usize>().expect("our own"));
-        let end = WORKERS.min(next + PAGE);
-        self.begun
+        let next = since.map_or(0, |(_, s)| {
+            1 + s[..6].parse::<usize>().expect("a worker name of this test")
+        });
+        let end = WORKERS.min(next + CLOUD_PAGE_WORKERS);
+        self.lists_started
             .fetch_add(usize::from(next == 0), Ordering::Relaxed);
-        self.ended
+        self.lists_completed
             .fetch_add(usize::from(end == WORKERS), Ordering::Relaxed);
         let host = |i| json!({"uid": format!("vm-{i:06}"), "flavor": "small", "region": "a", "phase": "running"});
         let hosts: Vec<Value> = (next..end).map(host).collect();
@@ -71,7 +73,7 @@
     }
 }
 
-impl Network for Outside {
+impl Network for FakeServices {
     fn call(
         &self,
         method: Method,
@@ -89,7 +91,7 @@
             if to != STATE.parse().expect("an address") || path.starts_with("/watch") {
                 std::future::pending::<()>().await;
             }
-            while path.starts_with("/kv?") && !self.lists.load(Ordering::Relaxed) {
+            while path.starts_with("/kv?") && !self.answers_lists.load(Ordering::Relaxed) {
                 sleep(Duration::from_millis(10)).await;
             }
             let now = self.start.elapsed().as_secs_f64();
@@ -124,21 +126,22 @@
     }
 }
 
-fn simulate(day: impl Future<Output = ()>) {
+/// Runs a scenario in simulated time.
+fn run_in_simulated_time(scenario: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build();
-    runtime.expect("a runtime").block_on(day);
+    runtime.expect("a runtime").block_on(scenario);
 }
 
-/// One heartbeat of each worker of a site larger than any that is operated: none is sent away, and
-/// all are answered once the leader has read. There was room for 2,048, which 4,000 workers
-/// send in 1.3 s.
+/// Guards against refusing heartbeats after a failover. One heartbeat of each worker waits until
+/// the new leader has read the stored state, and is then answered. When only 2,048 could wait, the
+/// limit was too low: 4,000 workers send that many in 1.3 s.
 #[test]
-fn a_heartbeat_of_every_worker_waits_while_a_new_leader_reads() {
-    simulate(async {
-        let network = Outside::new(false);
+fn heartbeats_of_all_workers_wait_until_a_new_leader_has_read_the_state() {
+    run_in_simulated_time(async {
+        let network = FakeServices::new(false);
         let tuning = Tuning::default();
         let (service, _owner) = Api::start(settings(), tuning, network.clone(), 1);
         sleep(Duration::from_secs(1)).await;
@@ -151,33 +154,42 @@
         while let Some(answer) = answers.try_join_next() {
             early.push(json!(answer.expect("no panic").status));
         }
-        assert_eq!(early.len(), 0, "answered before the leader has read");
-        network.lists.store(true, Ordering::Relaxed);
+        assert_eq!(
+            early.len(),
+            0,
+            "answered before the leader has read the stored state"
+        );
+        network.answers_lists.store(true, Ordering::Relaxed);
         let answers = answers.join_all().await;
-        let taken = answers.iter().filter(|a| a.status == 200).count();
-        assert_eq!(taken, WORKERS);
+        let accepted = answers.iter().filter(|a| a.status == 200).count();
+        assert_eq!(accepted, WORKERS);
     });
 }
 
-/// A list is wanted every 3 s, and its 12 pages take longer where the cloud's rate is small. Lists
-/// come later then, one after another: none is starved by those that were begun after it.
+/// Guards against starvation of worker lists by newer ones. A list is due every 3 s, and its 12
+/// pages take longer than that if the rate limit of the cloud is low. Lists then run late, one
+/// after another.
 #[test]
-fn lists_of_workers_end_where_the_rate_is_short_of_them() {
-    simulate(async {
-        let network = Outside::new(true);
+fn worker_lists_complete_if_the_cloud_rate_limit_delays_them() {
+    run_in_simulated_time(async {
+        let network = FakeServices::new(true);
         let tuning = Tuning::default();
         let (_service, _owner) = Api::start(settings(), tuning, network.clone(), 1);
         sleep(Duration::from_secs(120)).await;
-        let ended = network.ended.load(Ordering::Relaxed);
-        let under_way = network.begun.load(Ordering::Relaxed) - ended;
-        println!("{ended} lists ended in 120 s, {under_way} under way");
-        assert!(under_way <= 1, "{under_way} under way, {ended} ended");
-        assert!(ended >= 10, "only {ended} ended");
+        let completed = network.lists_completed.load(Ordering::Relaxed);
+        let in_progress = network.lists_started.load(Ordering::Relaxed) - completed;
+        println!("{completed} lists completed in 120 s, {in_progress} in progress");
+        assert!(
+            in_progress <= 1,
+            "{in_progress} in progress, {completed} completed"
+        );
+        assert!(completed >= 10, "only {completed} completed");
     });
 }
 
-/// The statuses of a shard owner of all workers fit the body that its leader accepts: heartbeats are
-/// split among several, and all workers released together fit one.
+/// The statuses of a shard owner that owns all workers fit the body size that the leader accepts:
+/// forwarded heartbeats are split among several statuses, and the release of all workers together
+/// fits one.
 #[test]
 fn statuses_of_a_shard_owner_of_all_workers_fit_the_body_limit() {
     let mut forwarder = HeartbeatForwarder::new(1, 7, 2.5);
@@ -218,7 +230,7 @@
         names,
         redirects: Vec::new(),
     };
-    let fits = |status: &ShardStatus| {
+    let check_body_size = |status: &ShardStatus| {
         let body = borsh::to_vec(&PeerRequest::Share(status.clone())).expect("plain data");
         assert!(body.len() as u64 <= MAX_PEER_BODY, "{} bytes", body.len());
         body.len()
@@ -227,14 +239,17 @@
     while forwarded < WORKERS {
         now += 30;
         let status = forwarder.next_status(now).expect("more to forward");
-        fits(&status);
-        // All wait: each status forwards those that come first, until they are answered.
-        let waiting: Vec<&String> = status
+        check_body_size(&status);
+        // All heartbeats wait: each status forwards the first of them that fit, until they are
+        // answered.
+        let forwarded_names: Vec<&String> = status
             .forwarded
             .iter()
             .map(|t| &t.heartbeat.worker)
             .collect();
-        let numbers = waiting.iter().map(|n| n[3..].parse::<u32>().expect("ours"));
+        let numbers = forwarded_names
+            .iter()
+            .map(|n| n[3..].parse::<u32>().expect("a name of this test"));
         let assign = |m| (u64::from(m) + 1, Change::Assign(m));
         let changes: Vec<_> = numbers.clone().map(assign).collect();
         forwarded += changes.len();
@@ -261,21 +276,21 @@
     assert_eq!(status.owner_status.left.len(), WORKERS);
     println!(
         "{statuses} statuses, {} bytes with all released",
-        fits(&status)
+        check_body_size(&status)
     );
 }
 
-/// The stand-ins on loopback keep as many connections as there are workers, and allow their
-/// controllers as many.
+/// The fake services on loopback keep a connection open for each worker, and the settings that they
+/// write allow controllers as many sockets.
 #[tokio::test]
-async fn a_stand_in_takes_a_connection_for_each_worker() {
+async fn fake_services_keep_a_connection_for_each_worker() {
     let site = Loopback::new(Site::default(), |_, _| free_address());
-    let served = site.clone();
-    tokio::spawn(async move { served.run().await.expect("free addresses") });
+    let server = site.clone();
+    tokio::spawn(async move { server.run().await.expect("free addresses") });
     sleep(Duration::from_millis(100)).await;
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for i in 0..4000 {
-        let asked = async {
+        let request_once = async {
             let mut stream = TcpStream::connect(site.state).await.expect("accepted");
             let request = b"GET /kv/none HTTP/1.1\r\nhost: a\r\n\r\n";
             stream.write_all(request).await.expect("sent");
@@ -286,9 +301,9 @@
             assert!(kept, "connection {i}: {answer}");
             stream
         };
-        let stream = timeout(Duration::from_secs(2), asked).await;
-        held.push(stream.unwrap_or_else(|_| panic!("connection {i} is not served")));
+        let stream = timeout(Duration::from_secs(2), request_once).await;
+        connections.push(stream.unwrap_or_else(|_| panic!("connection {i} is not served")));
     }
-    let public = site.settings(0)["cluster"]["limits"]["max_sockets"].as_u64();
-    assert!(public.expect("a number") * 6 / 10 >= 4000);
+    let max_sockets = site.settings(0)["cluster"]["limits"]["max_sockets"].as_u64();
+    assert!(max_sockets.expect("a number") * 6 / 10 >= 4000);
 }
