--- a/src/coordination/placement/batch_selection.rs
+++ b/src/coordination/placement/batch_selection.rs
@@ -131,7 +131,7 @@
     /// How much is gained by placing a job of its priority now.
     fn urgency(&self, ix: u32) -> f64 {
         let job = &self.jobs[ix];
-        let waited_s = (self.now - job.seen_at).max(0.0);
+        let waited_s = (self.now - job.accepted_at).max(0.0);
         match job.spec.kind {
             Kind::Array if waited_s > job.completion_target_s => LATE_ARRAY_URGENCY,
             Kind::Array => {
@@ -170,7 +170,7 @@
 
     /// Whether a late job has the deadline boost now.
     pub(in crate::coordination) fn has_deadline_boost(&self, ix: u32) -> bool {
-        let waited_s = self.now - self.jobs[ix].seen_at;
+        let waited_s = self.now - self.jobs[ix].accepted_at;
         self.start_urgency(ix, waited_s) >= BOOSTED_URGENCY
     }
 
--- a/src/coordination/placement/value.rs
+++ b/src/coordination/placement/value.rs
@@ -76,7 +76,7 @@
     /// old.
     fn headroom_gate(&self, m: u32, instance_type: &MachineType) -> f64 {
         let tuning = &self.config.tuning;
-        let room = self.free_room(m);
+        let room = self.free_resources(m);
         let whole = &instance_type.whole;
         let headroom = free_share(room.cpus, whole.cpus)
             .min(free_share(room.memory, whole.memory))
@@ -91,7 +91,7 @@
     /// workers that fetch slowest.
     fn needs_cached_image(&self, ix: u32) -> bool {
         let job = &self.jobs[ix];
-        job.spec.image_gb / self.types.slowest_fetch()
+        job.spec.image_gb / self.types.min_fetch_gb_per_s()
             > job.start_delay_tolerance_s * FETCH_SHARE_OF_TOLERANCE
     }
 
@@ -103,7 +103,7 @@
         // A replica that replaces a lost one is unavailable for the whole fetch, so no fetch time
         // is acceptable.
         let is_replacement =
-            job.is_service() && self.now - job.seen_at >= job.start_delay_tolerance_s;
+            job.is_service() && self.now - job.accepted_at >= job.start_delay_tolerance_s;
         let max_fetch_s = if is_replacement {
             0.0
         } else {
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -60,7 +60,7 @@
                 return false;
             };
             let stops = instance.stop.is_some() || self.may_preempt(ix, key.job);
-            if instance.possible() && stops {
+            if instance.may_exist() && stops {
                 room.add(&self.jobs[key.job].spec.needs);
             }
         }
@@ -73,7 +73,7 @@
         let needs = self.jobs[ix].spec.needs;
         let mut room = self.unreserved_room(ix, m);
         for (key, instance) in &self.workers[m].instances {
-            if instance.possible() && instance.stop.is_some() {
+            if instance.may_exist() && instance.stop.is_some() {
                 // This instance is being stopped already. Its room is reserved for the job that it
                 // is stopped for.
                 room.add(&self.jobs[key.job].spec.needs);
@@ -107,7 +107,7 @@
         let mut candidates: Vec<(f64, InstanceId)> = self.workers[m]
             .instances
             .iter()
-            .filter(|(_, instance)| instance.possible() && instance.stop.is_none())
+            .filter(|(_, instance)| instance.may_exist() && instance.stop.is_none())
             .filter(|(key, _)| self.may_preempt(ix, key.job))
             .map(|(key, instance)| (self.stop_cost(ix, key, instance), *key))
             .collect();
