--- a/src/coordination/model/command_list.rs
+++ b/src/coordination/model/command_list.rs
@@ -1,11 +1,12 @@
-//! Lists of commands to one worker, which executes them in their order.
+//! Lists of commands for one worker. The worker executes them in list order.
 
 use crate::protocol::worker::{Command, Verb};
 
-/// Adds the commands that are not in the list yet.
+/// Appends the commands that the list does not contain yet.
 ///
-/// Where a list holds start and stop of one attempt, the stop follows the start at once: a start
-/// that is executed after its stop undoes it on a worker that did not hold the attempt before.
+/// If a list contains both the start and the stop of an attempt, the stop comes directly after the
+/// start. In the opposite order, a worker that does not hold the attempt would start the task in
+/// spite of the stop.
 pub fn append_missing(list: &mut Vec<Command>, commands: Vec<Command>) {
     for command in commands {
         if !list.contains(&command) {
@@ -32,7 +33,7 @@
     list.push(command);
 }
 
-/// Whether a command stops an attempt.
+/// Whether the command is a stop.
 pub fn is_stop(command: &Command) -> bool {
     matches!(command.verb, Verb::Stop { .. })
 }
--- a/src/coordination/model/images.rs
+++ b/src/coordination/model/images.rs
@@ -1,8 +1,8 @@
-//! Container images by index, and how large they are.
+//! Container images by index, with their sizes.
 
 use super::interner::Interner;
 
-/// Names of images and their sizes. A size is unknown, and counts as 0, until a job states it.
+/// Names and sizes of images. The size of an image counts as 0 until a job states it.
 #[derive(Debug, Default)]
 pub struct Images {
     names: Interner,
@@ -10,7 +10,8 @@
 }
 
 impl Images {
-    /// The index of an image, which is added if it is new; its size is updated if it is stated.
+    /// Returns the index of an image, adding the image if it is new. A positive `stated_gb` replaces
+    /// the known size.
     pub fn intern(&mut self, name: &str, stated_gb: f64) -> u32 {
         let index = self.names.intern(name);
         if self.size_gb.len() <= index as usize {
@@ -27,7 +28,7 @@
         self.names.name(index)
     }
 
-    /// The size of an image, 0 if nobody has stated it.
+    /// The size of an image; 0 if no job has stated it.
     pub fn size_gb(&self, index: u32) -> f64 {
         self.size_gb[index as usize]
     }
--- a/src/coordination/model/instance.rs
+++ b/src/coordination/model/instance.rs
@@ -1,59 +1,59 @@
-//! Task instances: one attempt of a task that may be on one worker.
+//! Task instances: attempts of tasks, each on one worker.
 
 use crate::protocol::worker::{Exit, TaskPhase};
 
 use super::Time;
 
-/// Names one attempt of a task within this leader.
+/// Identifies one attempt of a task within this leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceId {
     /// Index of the job.
     pub job: u32,
     /// Number of the task within its job.
     pub task: u32,
-    /// Unique across leaders; the tasks of a gang's attempt share one.
+    /// Unique across leaders. All tasks of one gang attempt share it.
     pub attempt: u64,
 }
 
-/// How the start of an instance left for its worker.
+/// How far the start command of an instance has got on its way to the worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum StartDelivery {
-    /// Decided, but no message has left yet.
+    /// In the worker's outbox: no message has carried it yet.
     Queued,
-    /// In the response to the heartbeat with this counter: it never arrives late.
+    /// Sent in the response to the heartbeat with this counter. Such a start never arrives late.
     Response { counter: u64 },
-    /// In a direct message that has no answer yet.
+    /// Sent in a direct message that has no answer yet.
     Direct { message_id: u64 },
-    /// A heartbeat has listed the instance.
+    /// The worker has listed the instance in a heartbeat.
     Reported,
 }
 
-/// One task that may be on one worker.
+/// An attempt of a task that a worker may hold.
 #[derive(Debug, Clone)]
 pub struct TaskInstance {
-    /// How its start was sent.
+    /// How far its start command has got.
     pub start_delivery: StartDelivery,
-    /// What its worker last reported of it.
+    /// The phase that its worker last reported.
     pub phase: Option<TaskPhase>,
-    /// A direct start without an answer may still arrive.
+    /// A direct message with its start had no answer and may still arrive.
     pub unacknowledged: bool,
-    /// The command to stop, if there is one.
+    /// The stop that was ordered, if any.
     pub stop: Option<Stop>,
-    /// Since when it has been reported as running.
+    /// When it was first reported as running.
     pub running_since: Option<Time>,
 }
 
 /// A command to stop a task instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Stop {
-    /// How long the task may take to save its work.
+    /// How long the task may take to save a checkpoint.
     pub grace_s: f64,
-    /// When it last left for the worker.
+    /// When the stop was last sent to the worker.
     pub sent_at: Option<Time>,
 }
 
 impl TaskInstance {
-    /// An instance whose start is decided and not sent yet.
+    /// An instance whose start is queued and not sent yet.
     pub fn queued() -> Self {
         Self {
             start_delivery: StartDelivery::Queued,
@@ -64,8 +64,8 @@
         }
     }
 
-    /// An instance that a worker lists and this leader did not know. Unless it has exited, its
-    /// phase is taken in as that of any other.
+    /// An instance that a worker has listed and that this leader did not know. `exited` is its phase
+    /// if it has exited; the phase of a live instance is applied afterwards like that of any other.
     pub fn adopted(exited: Option<TaskPhase>) -> Self {
         Self {
             start_delivery: StartDelivery::Reported,
@@ -74,13 +74,14 @@
         }
     }
 
-    /// Whether its start may still arrive, perhaps minutes late. Together with its stop it is sent
-    /// again then: held as an exited attempt that is never forgotten, the late start does nothing.
+    /// Whether its start may still arrive, perhaps minutes late. In that case the stop is sent
+    /// together with a repeated start: the worker then holds an exited attempt, which is never
+    /// forgotten, and ignores the late start.
     pub fn may_arrive_late(&self) -> bool {
         self.unacknowledged && self.phase.is_none()
     }
 
-    /// How it ended, if it has.
+    /// How it exited, if it has.
     pub fn exit(&self) -> Option<Exit> {
         match self.phase {
             Some(TaskPhase::Exited(exit)) => Some(exit),
@@ -88,9 +89,9 @@
         }
     }
 
-    /// Whether the task may be on the worker, now or later. One that has exited may not, even with
-    /// a start in flight: a worker ignores the start of an attempt that it holds, and an
-    /// unacknowledged attempt is never forgotten.
+    /// Whether the task may run on the worker, now or later. An exited instance may not, even with
+    /// a start in flight: a worker ignores the start of an attempt that it holds, and it is never
+    /// told to forget an unacknowledged attempt.
     pub fn may_exist(&self) -> bool {
         self.exit().is_none()
     }
@@ -100,7 +101,8 @@
         matches!(self.phase, Some(TaskPhase::Running))
     }
 
-    /// Whether its start left in the direct message with this id and no heartbeat has shown it.
+    /// Whether its start was sent in the direct message with this id and no heartbeat has listed the
+    /// instance since.
     pub fn sent_directly_in(&self, message_id: u64) -> bool {
         self.start_delivery == (StartDelivery::Direct { message_id })
     }
--- a/src/coordination/model/interner.rs
+++ b/src/coordination/model/interner.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-/// Maps names of zones, teams, images and instance types to dense indices, in the order in which
-/// they are first seen.
+/// Maps names of zones, teams, images and instance types to dense indices, in the order of their
+/// first use.
 ///
-/// Written here rather than taken from a crate: the indices are used directly as positions in
-/// vectors beside it, entries are never removed, and the crates for this bring a symbol type and
-/// a global or arena store that nothing here needs.
+/// This is not taken from a crate because the indices are also positions in other vectors, and
+/// entries are never removed. Interner crates add a symbol type and a global or arena store, which
+/// are not needed here.
 #[derive(Debug, Default, Clone)]
 pub struct Interner {
     by_name: BTreeMap<String, u32>,
@@ -15,7 +15,7 @@
 }
 
 impl Interner {
-    /// The index of a name, which is added if it is new.
+    /// Returns the index of a name, adding the name if it is new.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(&index) = self.by_name.get(name) {
             return index;
@@ -31,17 +31,17 @@
         self.by_name.get(name).copied()
     }
 
-    /// The name with this index. Panics if this interner did not give out the index.
+    /// The name with this index. Panics if this interner did not assign the index.
     pub fn name(&self, index: u32) -> &str {
         &self.names[index as usize]
     }
 
-    /// How many names are known.
+    /// The number of interned names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether no name is known.
+    /// Whether no name has been interned.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -1,4 +1,4 @@
-//! Jobs and their tasks, and what groups of jobs have in common.
+//! Jobs, their tasks, scheduling classes and large-task profiles.
 
 use std::collections::VecDeque;
 
@@ -9,117 +9,118 @@
 /// One task of a job.
 #[derive(Debug, Clone, Default)]
 pub struct Task {
-    /// On how many workers an instance of it may be.
+    /// The number of instances that may exist, each on a different worker.
     pub instances: u8,
-    /// It has ended well.
+    /// It has completed successfully.
     pub done: bool,
-    /// Its done bit is in the state service, so workers may forget it.
+    /// Its done bit is in the state service, so a worker may forget the exited task.
     pub stored: bool,
-    /// It is not started before this time.
+    /// It is not started again before this time.
     pub not_before: f32,
 }
 
-/// How far a job has come.
+/// The state of a job in its lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
-    /// It is to be run.
+    /// The job is waiting or running.
     Live,
-    /// Every task is done; the end is being stored.
+    /// Every task is done and the job's end is being stored.
     Finishing,
-    /// Its user has asked to cancel it; nothing new is started and all of it is stopped, though
-    /// it is not known yet whether that is stored.
+    /// A user has asked to cancel the job. Nothing of it is started and all of its tasks are
+    /// stopped, although it is not known yet whether the cancellation is stored.
     Cancelling,
-    /// Ended, and stored so. Kept while a worker may still hold an instance of it.
+    /// The end is stored. The job is kept while a worker may still hold an instance of it.
     Terminal(JobOutcome),
 }
 
-/// A job that has not ended, or of which a worker may still hold something.
+/// A job that has not ended, or of which a worker may still hold an instance.
 #[derive(Debug)]
 pub struct Job {
-    /// What its user has asked for.
+    /// The user's specification.
     pub spec: JobSpec,
-    /// Of the stored record.
+    /// The version of the stored record.
     pub version: u64,
-    /// How far it has come.
+    /// The state in its lifecycle.
     pub state: JobState,
-    /// Since when this leader knows that it is to end.
+    /// When this leader learned that the job was cancelled or has ended.
     pub ending_since: Option<Time>,
-    /// Index of its team.
+    /// The index of its team.
     pub team: u32,
-    /// Index of its image.
+    /// The index of its image.
     pub image: u32,
     /// The zone it must run in, if it names one.
     pub zone: Option<u32>,
     /// The instance types it allows, if it names any.
     pub types: Option<Vec<u32>>,
-    /// Its tasks by number.
+    /// The tasks, by task number.
     pub tasks: Vec<Task>,
-    /// How many tasks are done.
+    /// The number of tasks that are done.
     pub done: u32,
-    /// Tasks that are not done and may be on some worker.
+    /// The number of tasks that are not done and may be on some worker.
     pub active: u32,
-    /// Instances that were last reported as running, for display.
+    /// The number of instances that were last reported as running, for display.
     pub running: u32,
-    /// Instances that may exist, by zone.
+    /// The number of instances that may exist, by zone.
     pub instances_by_zone: Vec<u32>,
-    /// Tasks from this number on have never been started.
+    /// Tasks with this number or a higher one have never been started.
     pub first_unstarted: u32,
-    /// Tasks below `first_unstarted` that are to be started again.
+    /// Tasks below `first_unstarted` that must be started again.
     pub retry_queue: VecDeque<u32>,
-    /// Stored before this leader was elected: an earlier one may have started it.
+    /// The job was stored before this leader was elected, so an earlier leader may have started it.
     pub predates_election: bool,
-    /// A worker that has not reported to this leader yet may hold an instance of it.
+    /// A worker that has not reported to this leader yet may hold an instance of it. Nothing of the
+    /// job is started until then.
     pub blocked: bool,
-    /// When it was accepted, on this controller's clock.
+    /// When the job was accepted, on this controller's steady clock.
     pub accepted_at: Time,
-    /// When it was accepted, in ms of the time of day.
+    /// When the job was accepted, in ms of wall-clock time.
     pub accepted_ms: u64,
-    /// Since when it has not got all the room it wants.
+    /// Since when some of its tasks have not been placed.
     pub unplaced_since: Option<Time>,
-    /// How long after its submission finishing it is still worth most, by its class's objectives.
+    /// The time from submission within which its class's objectives want it finished.
     pub completion_target_s: f64,
-    /// The delay at the start that costs it most of its value, by its class's objectives.
+    /// The start delay that costs the job most of its value, by its class's objectives.
     pub start_delay_tolerance_s: f64,
-    /// How long after its submission it must be placed to meet each objective, ascending.
+    /// The time from submission within which it must be placed to meet each objective, ascending.
     pub placement_deadlines_s: Vec<f64>,
-    /// Small arrays of one scheduling class bid as one.
+    /// Its scheduling class, if it is a small array. All jobs of a class bid together.
     pub scheduling_class: Option<u32>,
-    /// Its large-task profile, if one task takes most of a worker.
+    /// Its large-task profile, if one of its tasks takes most of a worker.
     pub large_task_profile: Option<u32>,
-    /// Of a gang: the current attempt, if an instance of it may exist.
+    /// The current attempt of a gang, if an instance of it may exist.
     pub attempt: Option<u64>,
-    /// A task has run well, so failures are not the job's own fault.
+    /// A task has run well, so failures are attributed to workers and not to the job.
     pub known_good: bool,
-    /// Workers it has failed on since it last ran well.
+    /// Workers on which it has failed since it last ran well.
     pub failed_on: Vec<u32>,
-    /// Failures since it last ran well.
+    /// The number of failures since it last ran well.
     pub failures: u32,
-    /// Nothing of it is started before this time.
+    /// None of its tasks is started before this time.
     pub retry_at: Time,
-    /// Versions of the stored bitmap chunks, 0 where none is stored.
+    /// Versions of the stored chunks of its done bitmap; 0 where no chunk is stored.
     pub chunk_versions: Vec<u64>,
-    /// When each chunk is to be stored, if it has changed.
+    /// When each changed chunk is due to be stored; `None` for unchanged chunks.
     pub chunk_due: Vec<Option<Time>>,
-    /// Instances of any kind that workers still have, exited ones included.
+    /// The number of instances in all workers' lists, exited ones included.
     pub listed_instances: u32,
-    /// Its team's usage is within its quota.
+    /// Its team is within its quota.
     pub within_quota: bool,
-    /// When the log last warned of it.
+    /// When the last warning about the job was logged.
     pub warned_at: Time,
-    /// Its tasks may be moved while they run: its own setting and its class's both allow it.
+    /// Its tasks may be migrated while they run: both its own setting and its class's allow it.
     pub movable: bool,
-    /// Its user or the settings keep it where it is, whoever plans a migration.
+    /// Its user or the settings forbid every migration of its tasks, whatever the migration is for.
     pub pinned: bool,
-    /// An operator is asked before a drain disturbs it.
+    /// A drain needs an operator's confirmation before it disturbs the job.
     pub protected: bool,
 }
 
-/// The work that a replica of a service counts as in bids.
+/// The expected work of a service replica in bids. A replica has no end of its own.
 const SERVICE_WORK_S: f64 = 600.0;
 
 impl Job {
-    /// A job that nobody has started. What depends on the cluster, its settings and the stored
-    /// record is left for the caller to set.
+    /// A job of which nothing has been started. The caller sets the fields that depend on the
+    /// cluster, its settings and the stored record.
     pub fn new(spec: JobSpec, team: u32, image: u32) -> Self {
         Self {
             version: 0,
@@ -163,35 +164,35 @@
         }
     }
 
-    /// Tasks that are neither done nor possibly on a worker.
+    /// The number of tasks that are not done and surely not on any worker.
     pub fn waiting(&self) -> u32 {
         self.spec.tasks - self.done - self.active
     }
 
-    /// Its user has asked to cancel it, or it has ended: whatever is left of it is stopped.
+    /// Whether the job is being cancelled or has ended, so that its remaining instances are stopped.
     pub fn is_ending(&self) -> bool {
         matches!(self.state, JobState::Cancelling | JobState::Terminal(_))
     }
 
-    /// Its user has asked to cancel it.
+    /// Records a user's request to cancel the job.
     pub fn begin_cancelling(&mut self, now: Time) {
         self.state = JobState::Cancelling;
         self.ending_since.get_or_insert(now);
     }
 
-    /// It was to be cancelled, and is not.
+    /// Takes back a cancellation that was not stored.
     pub fn resume(&mut self) {
         self.state = JobState::Live;
         self.ending_since = None;
     }
 
-    /// Its end is stored.
+    /// Records that the job's end is stored.
     pub fn end(&mut self, outcome: JobOutcome, now: Time) {
         self.state = JobState::Terminal(outcome);
         self.ending_since.get_or_insert(now);
     }
 
-    /// Whether its tasks run together or not at all.
+    /// Whether all of its tasks must run at the same time.
     pub fn is_gang(&self) -> bool {
         self.spec.kind == Kind::Gang
     }
@@ -210,7 +211,7 @@
         }
     }
 
-    /// How many of its instances may be in one zone.
+    /// The maximum number of its instances in one zone.
     pub fn zone_cap(&self) -> u32 {
         if self.spec.spread {
             self.spec.tasks.div_ceil(2)
@@ -220,17 +221,18 @@
     }
 }
 
-/// Scheduling (equivalence) class: tasks of small arrays that agree in all of this bid as one.
-/// Resources are in slots and steps, since such tasks may each want a little less or more.
+/// Scheduling (equivalence) class: small arrays that agree in all of these fields bid together.
+/// Resources are rounded to slots and steps, so that jobs with slightly different needs share a
+/// class.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SchedulingClass {
-    /// Index of the team.
+    /// The index of the team.
     pub team: u32,
-    /// Priority of the jobs.
+    /// The priority of the jobs.
     pub priority: Priority,
-    /// The objectives' class of the jobs.
+    /// The jobs' class in the settings' objectives.
     pub class: String,
-    /// Index of the image.
+    /// The index of the image.
     pub image: u32,
     /// The zone the jobs must run in, if they name one.
     pub zone: Option<u32>,
@@ -238,29 +240,29 @@
     pub types: Option<Vec<u32>>,
     /// Whether spot workers are allowed.
     pub spot: bool,
-    /// CPUs of a task in slots.
+    /// The CPUs of a task, in slots.
     pub cpu_slots: u32,
-    /// GPUs of a task in slots.
+    /// The GPUs of a task, in slots.
     pub gpu_slots: u32,
-    /// Memory of a task, in half powers of two.
+    /// The memory of a task as a base-2 logarithm, in steps of one half.
     pub memory_step: u32,
 }
 
-/// A kind of task that takes most of a worker. Such jobs come again and again; small tasks must
-/// not have taken room on the last empty worker by then.
+/// A kind of task that takes most of a worker. Such jobs arrive repeatedly, and small tasks must not
+/// fill the last empty worker before the next one arrives.
 #[derive(Debug, Clone)]
 pub struct LargeTaskProfile {
-    /// Resources of one task.
+    /// The resources of one task.
     pub needs: Resources,
-    /// The instance types allowed, if any are named.
+    /// The allowed instance types, if any are named.
     pub types: Option<Vec<u32>>,
-    /// The zone required, if one is named.
+    /// The required zone, if one is named.
     pub zone: Option<u32>,
     /// Whether spot workers are allowed.
     pub spot: bool,
     /// Priority of the jobs.
     pub priority: Priority,
-    /// Arrivals per second, smoothed.
+    /// The smoothed arrival rate, in arrivals per second.
     pub rate: f64,
     /// When the rate was last updated.
     pub rate_updated_at: Time,
--- a/src/coordination/model/mod.rs
+++ b/src/coordination/model/mod.rs
@@ -1,4 +1,4 @@
-//! What the core keeps: jobs, workers, and every place where a task may be.
+//! Data model of the leader's core: jobs, workers and task instances.
 
 mod command_list;
 mod images;
--- a/src/coordination/model/slab.rs
+++ b/src/coordination/model/slab.rs
@@ -1,14 +1,14 @@
-//! A vector whose free places are used again.
+//! A vector that reuses the indices of removed entries.
 
-/// Values under small indices that are handed out again once free.
+/// Stores values under small indices. The index of a removed value is reused.
 ///
-/// Written here rather than taken from a crate: which index a new entry gets decides the order in
-/// which workers and jobs are visited, and with it placements and messages. It must not change
-/// with the version of a dependency.
+/// This is not taken from a crate because the index of a new entry determines the order in which
+/// workers and jobs are visited, and so placements and messages. That order must not change with
+/// the version of a dependency.
 #[derive(Debug)]
 pub struct Slab<T> {
     entries: Vec<Option<T>>,
-    /// Free indices; the one freed last is used first.
+    /// Free indices. The one that was freed last is reused first.
     free: Vec<u32>,
 }
 
@@ -32,7 +32,7 @@
         (self.entries.len() - 1) as u32
     }
 
-    /// Takes a value out, after which its index may be handed out again.
+    /// Removes and returns the value at this index, which may then be reused.
     pub fn remove(&mut self, index: u32) -> Option<T> {
         let value = self.entries.get_mut(index as usize)?.take();
         if value.is_some() {
@@ -46,12 +46,12 @@
         self.entries.get(index as usize)?.as_ref()
     }
 
-    /// The value at this index, to be changed.
+    /// A mutable reference to the value at this index, if there is one.
     pub fn get_mut(&mut self, index: u32) -> Option<&mut T> {
         self.entries.get_mut(index as usize)?.as_mut()
     }
 
-    /// All values with their indices, ascending.
+    /// All values with their indices, in ascending order of index.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &T)> {
         self.entries
             .iter()
@@ -59,7 +59,7 @@
             .filter_map(|(index, entry)| entry.as_ref().map(|value| (index as u32, value)))
     }
 
-    /// All values with their indices, ascending, to be changed.
+    /// All values, mutable, with their indices, in ascending order of index.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (u32, &mut T)> {
         self.entries
             .iter_mut()
@@ -67,7 +67,7 @@
             .filter_map(|(index, entry)| entry.as_mut().map(|value| (index as u32, value)))
     }
 
-    /// The indices in use, ascending; for loops that change the slab.
+    /// The indices in use, in ascending order. For loops that modify the slab.
     pub fn indices(&self) -> Vec<u32> {
         self.iter().map(|(index, _)| index).collect()
     }
--- a/src/coordination/model/worker.rs
+++ b/src/coordination/model/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: what this leader knows of each, and what is on its way to it.
+//! Workers: what this leader knows of each worker, and the messages in flight to it.
 
 use std::collections::BTreeMap;
 
@@ -18,37 +18,37 @@
     pub since: Time,
     /// The starts in it.
     pub starts: Vec<InstanceId>,
-    /// It carries commands; otherwise it only asks for a heartbeat.
+    /// Whether it carries commands. A message without commands is a probe for a heartbeat.
     pub has_commands: bool,
-    /// Another controller delivers it.
+    /// Whether another controller delivers it.
     pub relayed: bool,
 }
 
-/// Room reserved on a worker for tasks of a job.
+/// Resources reserved on a worker for tasks of a job.
 #[derive(Debug, Clone)]
 pub struct Reservation {
-    /// Index of the job.
+    /// The index of the job.
     pub job: u32,
-    /// For how many tasks.
+    /// The number of tasks that resources are reserved for.
     pub count: u32,
-    /// It lapses then.
+    /// When the reservation expires.
     pub until: Time,
-    /// Of a migration: kept although no task of the job waits yet.
+    /// Whether it belongs to a migration, and is kept although no task of the job waits yet.
     pub for_migration: bool,
 }
 
-/// The order of a worker's own heartbeats: a later process of the worker has a higher incarnation,
-/// and each counts its heartbeats.
+/// Orders the heartbeats of a worker: each process of the worker has a higher incarnation than the
+/// one before and counts its heartbeats.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatSequence {
-    /// Of the worker's process; a new one holds none of the tasks of those before.
+    /// The incarnation of the worker. A new incarnation holds none of the tasks of earlier ones.
     pub incarnation: u64,
-    /// Of the heartbeat within its incarnation.
+    /// The heartbeat counter within the incarnation.
     pub counter: u64,
 }
 
 impl HeartbeatSequence {
-    /// Where a heartbeat stands among those of its worker.
+    /// The sequence of a heartbeat.
     pub fn of(heartbeat: &Heartbeat) -> Self {
         Self {
             incarnation: heartbeat.incarnation,
@@ -57,107 +57,109 @@
     }
 }
 
-/// Which heartbeat came to which controller.
+/// Records which controller received a heartbeat.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct HeartbeatReceipt {
-    /// Which heartbeat it was.
+    /// The sequence of the heartbeat.
     pub sequence: HeartbeatSequence,
-    /// Index of the controller that received it.
+    /// The index of the controller that received it.
     pub controller: u32,
 }
 
 /// A worker, as this leader knows it.
 #[derive(Debug)]
 pub struct Worker {
-    /// Unique in the cluster, and never used again for another.
+    /// Unique in the cluster. The name is never reused for another worker.
     pub name: String,
-    /// Where its direct messages are sent.
+    /// The address for direct messages.
     pub address: String,
-    /// Index of its instance type.
+    /// The index of its instance type.
     pub kind: u32,
-    /// Index of its zone.
+    /// The index of its zone.
     pub zone: u32,
-    /// The cloud may reclaim it.
+    /// It is a spot worker, which the cloud may reclaim.
     pub spot: bool,
-    /// The newest incarnation it has reported, 0 before its first heartbeat.
+    /// The newest incarnation it has reported; 0 before its first heartbeat.
     pub incarnation: u64,
-    /// Of the newest heartbeat that was applied.
+    /// The counter of the newest heartbeat that was applied.
     pub counter: u64,
-    /// The newest heartbeat that it sent by itself, and where it came in.
+    /// The newest heartbeat that it sent on its own, and the controller that received it.
     pub newest_receipt: HeartbeatReceipt,
-    /// When a heartbeat that this leader answered was last received.
+    /// When this leader last received a heartbeat that it answered.
     pub answered_at: Option<Time>,
-    /// When anything was last received from it, direct answers included.
+    /// When this leader last received a heartbeat of any kind, direct answers included.
     pub last_heartbeat_at: Option<Time>,
-    /// When its last heartbeat came to any controller: its direct answers renew no lease.
+    /// When any controller last received a heartbeat that it sent on its own. Direct answers do not
+    /// count, as they renew no lease.
     pub reported_at: Option<Time>,
-    /// No incarnation up to this one can be alive any more.
+    /// No incarnation up to this one can still be alive.
     pub expired_incarnation: u64,
-    /// It has reported our fencing token: no command of an earlier leader can reach it.
+    /// It has reported this leader's fencing token, so it rejects commands of earlier leaders.
     pub reconciled: bool,
-    /// When the cloud reclaims it, if it has given notice.
+    /// When the cloud will reclaim it, if the cloud has given notice.
     pub reclaim_at: Option<Time>,
-    /// Every task instance that may be on it, and exited ones it still lists.
+    /// Every task instance that it may hold, and the exited ones that it still lists.
     pub instances: BTreeMap<InstanceId, TaskInstance>,
-    /// Resources of the instances that may be on it.
+    /// The total resources of the instances that it may hold.
     pub used: Resources,
-    /// The tasks in its newest message of jobs that this leader does not know: most of these have
-    /// ended. Those that run take room of the worker, and of some team; how much is unknown too.
+    /// The tasks in its newest heartbeat whose jobs this leader does not know. Most of these jobs
+    /// have ended. Running orphaned tasks use an unknown amount of the worker's resources and of
+    /// some team's limit.
     pub orphaned_tasks: Vec<TaskStatus>,
-    /// Commands that have not left yet.
+    /// Commands that have not been sent yet.
     pub outbox: Vec<Command>,
-    /// The direct message that is out to it; there is one at a time.
+    /// The direct message in flight to it. There is at most one at a time.
     pub in_flight: Option<InFlightMessage>,
-    /// Its page of the worker registry.
+    /// Its page in the worker registry.
     pub page: Option<u32>,
-    /// It surely stands on a stored page, however old.
+    /// Some stored version of a registry page surely lists it.
     pub registered: bool,
-    /// An earlier leader registered it: tasks started by that one may be on it.
+    /// An earlier leader registered it, so it may hold tasks that an earlier leader started.
     pub known_to_predecessor: bool,
-    /// The fencing record may name it: it gets no answer and no start.
+    /// The fencing record may list it. It gets neither answers to heartbeats nor starts.
     pub fenced: bool,
-    /// Its number among the controllers that share the workers.
+    /// Its number in the worker shards.
     pub shard_number: u32,
-    /// Indices of the images in its cache, the least recently used first.
+    /// Indices of the images in its cache, least recently used first.
     pub images: Vec<u32>,
-    /// Room reserved on it.
+    /// Resources reserved on it.
     pub reservations: Vec<Reservation>,
-    /// Kept empty for the next job of this large-task profile.
+    /// The large-task profile for whose next job it is kept empty.
     pub reserved_for: Option<u32>,
-    /// Jobs that failed here since the last success, and until when they stay away.
+    /// Jobs that have failed here since the last success, and until when each avoids this worker.
     pub failed_jobs: BTreeMap<u32, Time>,
-    /// Nothing is started on it before this time.
+    /// The end of its quarantine. Nothing is started on it before this time.
     pub quarantined_until: Time,
-    /// How often it has been quarantined since a task last ran well on it.
+    /// The number of quarantines since a task last ran well on it.
     pub quarantine_count: u32,
     /// It is being scaled in.
     pub scaling_in: bool,
-    /// An operator drains it: nothing new is started on it.
+    /// An operator is draining it, so nothing new is started on it.
     pub draining: bool,
-    /// Since when nothing has been on it.
+    /// Since when it has held no task instance.
     pub idle_since: Option<Time>,
     /// No direct message is sent to it before this time.
     pub next_message_at: Time,
-    /// Commands to it had no answer or no effect, and it has answered nothing since. It may send
-    /// heartbeats all the same: then it is one-way partitioned.
+    /// Commands to it had no answer or no effect, and it has answered nothing since. If it still
+    /// sends heartbeats, it is one-way partitioned.
     pub commands_unanswered: bool,
-    /// When it first failed to answer since its last heartbeat.
+    /// When it first failed to answer a direct message since its last heartbeat.
     pub unanswered_at: Option<Time>,
-    /// Whose messages it has not answered since then.
+    /// The senders whose messages it has not answered since then.
     pub unanswered_senders: UnansweredSenders,
 }
 
-/// Who has had no answer from a worker.
+/// Senders of direct messages that a worker has not answered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UnansweredSenders {
-    /// This controller.
+    /// This controller has sent one itself.
     pub own: bool,
-    /// Another controller, which relayed a message for this one.
+    /// Another controller has relayed one for this controller.
     pub relayed: bool,
 }
 
 impl Worker {
-    /// A worker of which nothing but its identity is known.
+    /// A worker that has not reported anything yet.
     pub fn new(name: &str, address: &str, kind: u32, zone: u32, spot: bool) -> Self {
         Self {
             name: name.to_string(),
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Where the newest heartbeat that was applied stands in their order.
+    /// The sequence of the newest heartbeat that was applied.
     pub fn sequence(&self) -> HeartbeatSequence {
         HeartbeatSequence {
             incarnation: self.incarnation,
@@ -213,18 +215,18 @@
         self.incarnation > self.expired_incarnation
     }
 
-    /// Its tasks that run and belong to no job that this leader knows.
+    /// Its orphaned tasks that have not exited.
     pub fn running_orphans(&self) -> impl Iterator<Item = &TaskStatus> {
         let runs = |status: &&TaskStatus| !matches!(status.phase, TaskPhase::Exited(_));
         self.orphaned_tasks.iter().filter(runs)
     }
 
-    /// Adds commands to what is to be sent, less those that already are.
+    /// Adds the commands to the outbox that it does not contain yet.
     pub fn queue_missing(&mut self, commands: Vec<Command>) {
         append_missing(&mut self.outbox, commands);
     }
 
-    /// A direct message had no answer.
+    /// Records that a direct message had no answer.
     pub fn record_unanswered(&mut self, now: Time, relayed: bool) {
         if self.unanswered_at <= self.last_heartbeat_at {
             self.unanswered_at = Some(now);
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Who has had no answer since its last heartbeat.
+    /// The senders whose messages it has not answered since its last heartbeat.
     pub fn unanswered_senders(&self) -> UnansweredSenders {
         if self.unanswered_at > self.last_heartbeat_at {
             self.unanswered_senders
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -1,4 +1,4 @@
-//! What became of direct messages, and of the commands in them.
+//! Handles the outcomes of direct messages and of the commands in them.
 
 use crate::protocol::worker::Heartbeat;
 
@@ -6,11 +6,11 @@
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 
-/// A worker that did not execute a message and answered nothing is asked again after this time.
+/// The delay before a worker that rejected a message without a heartbeat is sent another one.
 const REJECTED_RETRY_S: Time = 1.0;
 
 impl Core {
-    /// A direct message to a worker has ended.
+    /// Handles the outcome of a direct message to a worker.
     pub(crate) fn handle_command_outcome(&mut self, name: &str, message_id: u64, outcome: Outcome) {
         let Some(m) = self.workers.index_of(name) else {
             return;
@@ -26,8 +26,8 @@
             !answered && (message.has_commands || worker.commands_unanswered);
         match outcome {
             Outcome::Unsent => {
-                self.record_missed_answer(m, &message);
-                self.remove_unsent_starts(m, &message);
+                self.record_unanswered_message(m, &message);
+                self.remove_unexecuted_starts(m, &message);
             }
             Outcome::Executed(heartbeat) => {
                 self.workers[m].next_message_at = self.now;
@@ -38,33 +38,34 @@
         }
     }
 
-    fn record_missed_answer(&mut self, m: u32, message: &InFlightMessage) {
+    fn record_unanswered_message(&mut self, m: u32, message: &InFlightMessage) {
         self.workers[m].record_unanswered(self.now, message.relayed);
         self.workers[m].next_message_at = self.next_probe_at(m);
     }
 
-    /// The worker has not executed the message.
+    /// Handles a message that the worker has rejected without executing it.
     fn handle_rejection(
         &mut self,
         m: u32,
         message: &InFlightMessage,
         heartbeat: Option<Heartbeat>,
     ) {
-        // One that answers is written to again at once: a new leader's next message carries the
-        // fencing token that it needs.
+        // A worker that answers with a heartbeat can be sent the next message at once. After an
+        // election, that message carries the new fencing token, without which it rejects commands.
         self.workers[m].next_message_at = if heartbeat.is_some() {
             self.now
         } else {
             self.now + REJECTED_RETRY_S
         };
-        self.remove_unsent_starts(m, message);
+        self.remove_unexecuted_starts(m, message);
         if let Some(heartbeat) = heartbeat {
             self.apply_direct_answer(m, message, heartbeat, false);
         }
     }
 
-    /// The network may hold the message for minutes: its starts stay possible, and no attempt of
-    /// them is forgotten, until the worker's incarnation changes.
+    /// Handles a message that may or may not have arrived. The network may delay it for minutes, so
+    /// the starts in it may still be executed, and the worker is not told to forget their attempts,
+    /// until its incarnation changes.
     fn handle_unknown_outcome(&mut self, m: u32, message: &InFlightMessage) {
         let worker = &mut self.workers[m];
         tracing::info!(
@@ -79,24 +80,24 @@
                 instance.unacknowledged = true;
             }
         }
-        self.record_missed_answer(m, message);
+        self.record_unanswered_message(m, message);
     }
 
-    /// Removes the instances whose start was surely not executed.
-    fn remove_unsent_starts(&mut self, m: u32, message: &InFlightMessage) {
+    /// Removes the instances whose start was definitely not executed.
+    fn remove_unexecuted_starts(&mut self, m: u32, message: &InFlightMessage) {
         for id in &message.starts {
-            let unsent = self.workers[m]
+            let not_executed = self.workers[m]
                 .instances
                 .get(id)
                 .is_some_and(|i| !i.unacknowledged && i.sent_directly_in(message.id));
-            if unsent {
+            if not_executed {
                 self.remove_instance(m, *id);
                 self.abort_gang_attempt(*id);
             }
         }
     }
 
-    /// Takes in the heartbeat with which a worker has answered a message.
+    /// Applies the heartbeat with which a worker has answered a message.
     fn apply_direct_answer(
         &mut self,
         m: u32,
@@ -119,13 +120,18 @@
             };
             self.apply_heartbeat(m, heartbeat, source);
         } else if executed {
-            self.settle_executed_starts(m, message, &heartbeat);
+            self.resolve_executed_starts(m, message, &heartbeat);
         }
     }
 
-    /// A later heartbeat has arrived before the answer and could not yet include the result of the
-    /// starts in the message.
-    fn settle_executed_starts(&mut self, m: u32, message: &InFlightMessage, heartbeat: &Heartbeat) {
+    /// Applies the results of the starts in an executed message whose answer was overtaken by a newer
+    /// heartbeat. The newer heartbeat alone does not tell what became of these starts.
+    fn resolve_executed_starts(
+        &mut self,
+        m: u32,
+        message: &InFlightMessage,
+        heartbeat: &Heartbeat,
+    ) {
         for id in &message.starts {
             let Some(instance) = self.workers[m].instances.get_mut(id) else {
                 continue;
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: which are answered, by whom, and what they change.
+//! Heartbeats of workers: which of them are answered, by which controller, and how they are applied.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 use super::lease_log::{AppliedHeartbeat, Renewal};
 
 impl Core {
-    /// Adds a worker that was not known.
+    /// Adds a new worker and returns its index.
     pub(crate) fn add_worker(
         &mut self,
         name: &str,
@@ -30,30 +30,32 @@
         index
     }
 
-    /// A heartbeat has come to this controller.
+    /// Handles a heartbeat that this controller has received from a worker.
     pub(crate) fn handle_heartbeat(&mut self, ticket: u64, heartbeat: Heartbeat) {
         let m = match self.worker_of(&heartbeat) {
             Ok(m) => m,
             Err(why) => return self.refuse(ticket, &heartbeat, why),
         };
-        let again = HeartbeatSequence::of(&heartbeat) == self.workers[m].newest_receipt.sequence;
-        if again || self.is_duplicate_heartbeat(m, &heartbeat, self.own_controller_index()) {
+        let is_repeat =
+            HeartbeatSequence::of(&heartbeat) == self.workers[m].newest_receipt.sequence;
+        if is_repeat || self.is_duplicate_heartbeat(m, &heartbeat, self.own_controller_index()) {
             return self.refuse(ticket, &heartbeat, HeartbeatRefusal::Duplicate);
         }
         self.answer_heartbeat(ticket, heartbeat);
     }
 
-    /// Gives a heartbeat no answer that renews a lease.
+    /// Refuses a heartbeat. The refusal does not renew the worker's lease.
     fn refuse(&mut self, ticket: u64, heartbeat: &Heartbeat, why: HeartbeatRefusal) {
         let log = &mut self.reconciliation.lease_log;
         log.record_refusal(self.now, &heartbeat.worker, why);
         self.effects.push(Effect::RefuseHeartbeat { ticket, why });
     }
 
-    /// Whether a newer heartbeat has come, or the same one to another controller. The worker no
-    /// longer waits for the answer to this one or has had it: it renews no lease and proves
-    /// nothing. Without this check, delayed duplicates kept dead workers from being released. A
-    /// shard owner forwards the same heartbeat until it may answer it; that is no duplicate.
+    /// Whether a newer heartbeat of the worker has been received, or the same one by another
+    /// controller. The worker has had the answer to such a heartbeat or no longer waits for it, so
+    /// the heartbeat must not renew the lease or count as a sign of life. Without this check,
+    /// delayed duplicates kept dead workers from being released. A shard owner forwards the same
+    /// heartbeat repeatedly until it may answer it; these copies are not duplicates.
     pub(crate) fn is_duplicate_heartbeat(
         &mut self,
         m: u32,
@@ -73,7 +75,7 @@
         duplicate
     }
 
-    /// Answers a heartbeat here, sends its worker to its shard owner, or defers the answer.
+    /// Answers a heartbeat, redirects its worker to the shard owner, or defers the answer.
     pub(crate) fn answer_heartbeat(&mut self, ticket: u64, heartbeat: Heartbeat) {
         let m = match self.worker_of(&heartbeat) {
             Ok(m) => m,
@@ -102,7 +104,7 @@
             self.apply_heartbeat(m, heartbeat, HeartbeatSource::Worker);
             self.collect_commands(m, sequence.counter)
         } else {
-            // A direct answer has overtaken it. It renews the lease all the same.
+            // A direct answer has overtaken the heartbeat, but the answer still renews the lease.
             self.due_stops(m)
         };
         self.record_renewal(m, sequence, !newer, &commands);
@@ -131,7 +133,8 @@
         log.record_renewal(self.now, &renewal);
     }
 
-    /// The worker that sent a heartbeat, added if it is new; or why this leader ignores it.
+    /// The index of the worker that sent a heartbeat, which is added if it is new, or the reason why
+    /// the heartbeat is refused.
     pub(crate) fn worker_of(&mut self, heartbeat: &Heartbeat) -> Result<u32, HeartbeatRefusal> {
         if heartbeat.token > self.token {
             self.effects.push(Effect::StepDown);
@@ -145,7 +148,7 @@
             None => self.add_booted_worker(heartbeat),
         };
         if heartbeat.incarnation <= self.workers[m].expired_incarnation {
-            // Delayed by the network: the lease of that incarnation expired long ago.
+            // The network has delayed the heartbeat: the lease of that incarnation has expired.
             return Err(HeartbeatRefusal::IncarnationExpired);
         }
         Ok(m)
@@ -165,12 +168,12 @@
         )
     }
 
-    /// Whether a heartbeat is newer than the newest that was applied.
+    /// Whether a heartbeat is newer than every heartbeat applied so far.
     pub(crate) fn is_newer(&self, m: u32, heartbeat: &Heartbeat) -> bool {
         HeartbeatSequence::of(heartbeat) > self.workers[m].sequence()
     }
 
-    /// Takes in a heartbeat that is newer than all before it.
+    /// Applies a heartbeat that is newer than every heartbeat applied so far.
     pub(crate) fn apply_heartbeat(
         &mut self,
         m: u32,
@@ -187,8 +190,8 @@
         let (listed, orphaned_tasks) = self.apply_listed_tasks(m, &heartbeat.tasks);
         self.remove_absent_instances(m, &listed, counter, source);
         self.workers[m].orphaned_tasks = orphaned_tasks;
-        self.clear_orphaned_tasks(m);
-        self.log_applied(m, &heartbeat, source, was_reconciled);
+        self.queue_orphan_commands(m);
+        self.log_applied_heartbeat(m, &heartbeat, source, was_reconciled);
         if reclaim_noticed {
             self.checkpoint_before_reclaim(m);
         }
@@ -201,7 +204,7 @@
         }
     }
 
-    fn log_applied(
+    fn log_applied_heartbeat(
         &mut self,
         m: u32,
         heartbeat: &Heartbeat,
@@ -231,7 +234,7 @@
         }
     }
 
-    /// A new process of the worker holds none of the tasks of those before it.
+    /// Records a new incarnation of a worker, which holds none of the tasks of earlier ones.
     fn begin_incarnation(&mut self, m: u32) {
         let worker = &mut self.workers[m];
         if worker.incarnation > 0 && !worker.instances.is_empty() {
@@ -242,14 +245,15 @@
             );
         }
         worker.reconciled = false;
-        // Its lease runs from when it began, which is before now. By the lease of the incarnation
-        // before it, what was started in this one would be taken for gone at once.
+        // The lease of the new incarnation began before now, so counting from now is safe. If the
+        // lease of the previous incarnation still counted, tasks started in the new one would be
+        // taken for gone as soon as that lease expired.
         worker.answered_at = Some(self.now);
         self.clear_worker(m);
     }
 
-    /// Applies the heartbeat's fields that describe the worker itself. Returns whether it is the
-    /// first to report that the cloud will reclaim the worker.
+    /// Applies the heartbeat's fields that describe the worker itself. Returns whether this is the
+    /// first heartbeat with a notice that the cloud will reclaim the worker.
     fn update_worker(&mut self, m: u32, heartbeat: &Heartbeat) -> bool {
         let now = self.now;
         let worker = &mut self.workers[m];
@@ -268,8 +272,8 @@
         false
     }
 
-    /// Applies the status of each listed task. The instances that were listed, and the tasks of
-    /// jobs that are not known.
+    /// Applies the status of each listed task. Returns the listed instances of known jobs, and the
+    /// listed tasks of unknown jobs.
     fn apply_listed_tasks(
         &mut self,
         m: u32,
@@ -293,13 +297,14 @@
         (listed, orphaned_tasks)
     }
 
-    /// The job of a listed task, if it is known and has such a task.
+    /// The index of the job of a listed task, if the job is known and has a task of that number.
     pub(super) fn known_job_of(&self, status: &TaskStatus) -> Option<u32> {
         let job = self.jobs.index_of(status.job)?;
         ((status.task as usize) < self.jobs[job].tasks.len()).then_some(job)
     }
 
-    /// Removes the instances that a heartbeat does not list and that it would list by now.
+    /// Removes the instances that a heartbeat does not list although their starts must have reached
+    /// the worker before it was sent.
     fn remove_absent_instances(
         &mut self,
         m: u32,
@@ -313,12 +318,12 @@
             .filter(|(id, instance)| {
                 !listed.contains(*id)
                     && !instance.unacknowledged
-                    && arrived_before(instance.start_delivery, counter, source)
+                    && start_is_settled(instance.start_delivery, counter, source)
             })
             .map(|(id, _)| *id)
             .collect();
         for id in absent {
-            // An answer with a start in it was lost. Perhaps all are.
+            // The answer with the start was lost, so later answers may be lost as well.
             let lost = matches!(
                 self.workers[m].instances[&id].start_delivery,
                 StartDelivery::Response { .. }
@@ -330,10 +335,14 @@
     }
 }
 
-/// Whether a start that was sent so had reached the worker, if it ever would, when the worker
-/// sent the heartbeat with this counter.
-fn arrived_before(sent: StartDelivery, heartbeat_counter: u64, source: HeartbeatSource) -> bool {
-    match sent {
+/// Whether a start had either reached the worker or been lost for good when the worker sent the
+/// heartbeat with this counter.
+fn start_is_settled(
+    delivery: StartDelivery,
+    heartbeat_counter: u64,
+    source: HeartbeatSource,
+) -> bool {
+    match delivery {
         StartDelivery::Queued => false,
         StartDelivery::Reported => true,
         StartDelivery::Response { counter } => {
--- a/src/coordination/reconciliation/lease_log.rs
+++ b/src/coordination/reconciliation/lease_log.rs
@@ -1,46 +1,47 @@
-//! What the log says of worker leases: which answers renewed them and with which stops, which were
-//! withheld and why, and what reconciled a worker.
+//! The log of worker leases: renewals and the stops sent with them, refused and deferred answers,
+//! and the heartbeats that reconciled a worker.
 //!
-//! Single events are debug lines, at most [`MAX_LINES_PER_S`] a second; what is left out is
-//! counted. The sums are one info line every [`SUMMARY_INTERVAL_S`].
+//! Single events are logged at debug level, at most [`MAX_LINES_PER_S`] lines per second; omitted
+//! lines are counted. The totals are logged at info level every [`SUMMARY_INTERVAL_S`] seconds.
 
 use crate::coordination::messages::HeartbeatRefusal;
 use crate::coordination::model::{HeartbeatSequence, Time};
 
-/// Debug lines in a second: a failover of thousands of workers must not be slowed by its log.
+/// The maximum number of debug lines per second, so that logging does not slow the failover of
+/// thousands of workers.
 const MAX_LINES_PER_S: u32 = 100;
 const SUMMARY_INTERVAL_S: Time = 30.0;
 
-/// An answer to a heartbeat, which renews the lease of its worker.
+/// An answer to a heartbeat. It renews the lease of the worker.
 pub(super) struct Renewal<'a> {
     pub(super) worker: &'a str,
-    /// Of the heartbeat that is answered.
+    /// The sequence of the heartbeat that is answered.
     pub(super) sequence: HeartbeatSequence,
-    /// A newer message of the worker has come before.
+    /// Whether a newer message of the worker was received before the heartbeat.
     pub(super) overtaken: bool,
-    /// A direct message to the worker has no outcome yet.
+    /// Whether a direct message to the worker is in flight.
     pub(super) message_in_flight: bool,
-    /// The stops in the answer.
+    /// The number of stops in the answer.
     pub(super) stops: usize,
 }
 
-/// A message of a worker that was applied.
+/// A heartbeat of a worker that was applied.
 pub(super) struct AppliedHeartbeat<'a> {
     pub(super) worker: &'a str,
     pub(super) sequence: HeartbeatSequence,
-    /// It answered a direct message.
+    /// Whether it answered a direct message.
     pub(super) direct: bool,
     /// The highest fencing token that the worker had seen.
     pub(super) token: u64,
-    /// The tasks that it listed.
+    /// The number of tasks that it listed.
     pub(super) tasks: usize,
-    /// How many of these run and belong to no job that this leader knows.
+    /// The number of running tasks whose jobs this leader does not know.
     pub(super) orphaned: usize,
 }
 
-/// The sums between two info lines.
+/// Event counts since the last info line.
 #[derive(Debug, Default)]
-struct Sums {
+struct Totals {
     renewed: u32,
     renewed_with_stops: u32,
     renewed_overtaken: u32,
@@ -53,17 +54,17 @@
 /// The log of worker leases.
 #[derive(Debug, Default)]
 pub(in crate::coordination) struct LeaseLog {
-    sums: Sums,
+    totals: Totals,
     next_summary_at: Time,
-    /// The second that `lines` counts.
+    /// The second in which `lines` were written.
     second: u64,
     lines: u32,
     left_out: u64,
 }
 
 impl LeaseLog {
-    /// Whether another debug line may be written now.
-    fn may_write(&mut self, now: Time) -> bool {
+    /// Whether another debug line may be written now. Counts the line as written or as omitted.
+    fn admit_line(&mut self, now: Time) -> bool {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return false;
         }
@@ -78,14 +79,14 @@
         admitted
     }
 
-    /// An answer leaves. Only those with stops, and those to messages that were overtaken, have a
-    /// line of their own.
+    /// Records an answer that renews a lease. Only answers with stops and answers to overtaken
+    /// heartbeats are logged individually.
     pub(super) fn record_renewal(&mut self, now: Time, renewal: &Renewal<'_>) {
-        self.sums.renewed += 1;
-        self.sums.renewed_with_stops += u32::from(renewal.stops > 0);
-        self.sums.renewed_overtaken += u32::from(renewal.overtaken);
-        let notable = renewal.stops > 0 || renewal.overtaken;
-        if notable && self.may_write(now) {
+        self.totals.renewed += 1;
+        self.totals.renewed_with_stops += u32::from(renewal.stops > 0);
+        self.totals.renewed_overtaken += u32::from(renewal.overtaken);
+        let logged = renewal.stops > 0 || renewal.overtaken;
+        if logged && self.admit_line(now) {
             tracing::debug!(
                 worker = renewal.worker,
                 incarnation = renewal.sequence.incarnation,
@@ -98,40 +99,40 @@
         }
     }
 
-    /// A heartbeat is not answered: another controller is to answer its worker.
+    /// Records a heartbeat whose worker is redirected to another controller.
     pub(super) fn record_redirect(&mut self) {
-        self.sums.redirected += 1;
+        self.totals.redirected += 1;
     }
 
-    /// The answer to a heartbeat waits.
+    /// Records a heartbeat whose answer is deferred.
     pub(in crate::coordination) fn record_deferral(&mut self, now: Time, worker: &str) {
-        self.sums.deferred += 1;
-        if self.may_write(now) {
+        self.totals.deferred += 1;
+        if self.admit_line(now) {
             tracing::debug!(worker, "answer deferred");
         }
     }
 
-    /// A heartbeat gets no answer that renews a lease.
+    /// Records a refused heartbeat.
     pub(super) fn record_refusal(&mut self, now: Time, worker: &str, why: HeartbeatRefusal) {
-        self.sums.refused += 1;
-        if self.may_write(now) {
+        self.totals.refused += 1;
+        if self.admit_line(now) {
             tracing::debug!(worker, reason = %why, "heartbeat refused");
         }
     }
 
-    /// A message has reconciled its worker: it had not reported this leader's token before.
+    /// Records a heartbeat that has reconciled its worker, the first with this leader's token.
     pub(super) fn record_reconciliation(&mut self, now: Time, applied: &AppliedHeartbeat<'_>) {
-        self.write_applied(now, applied, "worker reconciled");
+        self.log_applied(now, applied, "worker reconciled");
     }
 
-    /// A worker lists running tasks that belong to no job that this leader knows.
+    /// Records a heartbeat that lists running tasks of jobs that this leader does not know.
     pub(super) fn record_orphans(&mut self, now: Time, applied: &AppliedHeartbeat<'_>) {
-        self.sums.orphaned += 1;
-        self.write_applied(now, applied, "orphaned tasks reported");
+        self.totals.orphaned += 1;
+        self.log_applied(now, applied, "orphaned tasks reported");
     }
 
-    fn write_applied(&mut self, now: Time, applied: &AppliedHeartbeat<'_>, line: &str) {
-        if self.may_write(now) {
+    fn log_applied(&mut self, now: Time, applied: &AppliedHeartbeat<'_>, line: &str) {
+        if self.admit_line(now) {
             tracing::debug!(
                 worker = applied.worker,
                 incarnation = applied.sequence.incarnation,
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Stops leave in a direct message.
+    /// Records the stops sent in a direct message.
     pub(in crate::coordination) fn record_direct_stops(
         &mut self,
         now: Time,
@@ -154,12 +155,12 @@
         via: Option<u32>,
         stops: usize,
     ) {
-        if stops > 0 && self.may_write(now) {
+        if stops > 0 && self.admit_line(now) {
             tracing::debug!(worker, message_id, ?via, stops, "stops sent");
         }
     }
 
-    /// Another controller, or none but the leader, may answer a worker from now on.
+    /// Records a change of the shard owner that may answer a worker; `None` for the leader alone.
     pub(in crate::coordination) fn record_assignment(
         &mut self,
         now: Time,
@@ -167,12 +168,12 @@
         owner: Option<u32>,
         reason: &str,
     ) {
-        if self.may_write(now) {
+        if self.admit_line(now) {
             tracing::debug!(worker, ?owner, reason, "worker assigned");
         }
     }
 
-    /// Logs the sums if they are due.
+    /// Logs the totals if the interval has passed.
     pub(in crate::coordination) fn log_if_due(&mut self, now: Time, token: u64) {
         if self.next_summary_at == 0.0 {
             self.next_summary_at = now + SUMMARY_INTERVAL_S;
@@ -181,7 +182,7 @@
             return;
         }
         self.next_summary_at = now + SUMMARY_INTERVAL_S;
-        let Sums {
+        let Totals {
             renewed,
             renewed_with_stops,
             renewed_overtaken,
@@ -189,7 +190,7 @@
             deferred,
             refused,
             orphaned,
-        } = std::mem::take(&mut self.sums);
+        } = std::mem::take(&mut self.totals);
         let left_out = std::mem::take(&mut self.left_out);
         tracing::info!(
             token,
--- a/src/coordination/reconciliation/leases.rs
+++ b/src/coordination/reconciliation/leases.rs
@@ -1,21 +1,21 @@
-//! Leases of workers: when one has surely expired, the worker has dropped all of its tasks.
+//! Expiry of worker leases. A worker whose lease has expired has dropped all of its tasks.
 
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 
-/// Steady clocks drift apart by 0.05% each way.
+/// A bound on the relative rate of two steady clocks, each of which drifts by up to 0.05%.
 const CLOCK_DRIFT: f64 = 1.001;
-/// Timers and queues of a worker add a little to its lease.
+/// Added to the lease for the delay of timers and queues in the worker.
 const LEASE_MARGIN_S: Time = 0.3;
-/// How much longer than a worker is unresponsive all of them must be before the leader takes
-/// itself for partitioned.
+/// The extra time without any heartbeat, after every worker has become unresponsive, before the
+/// leader considers itself partitioned.
 const ALL_UNRESPONSIVE_MARGIN_S: Time = 0.5;
 
 impl Core {
-    /// Whether no worker at all has sent a heartbeat for longer than any worker goes without one:
-    /// then it is this controller that is partitioned, and another should lead.
+    /// Whether no worker has sent a heartbeat for longer than the interval between the heartbeats of
+    /// any one worker. In that case this controller is partitioned, and another one should lead.
     pub fn has_lost_all_workers(&self) -> bool {
-        let patience_s = self.unresponsive_after_s() + ALL_UNRESPONSIVE_MARGIN_S;
+        let timeout_s = self.unresponsive_after_s() + ALL_UNRESPONSIVE_MARGIN_S;
         let last = self
             .workers
             .iter()
@@ -24,21 +24,21 @@
         self.workers
             .iter()
             .any(|(_, worker)| worker.known_to_predecessor || worker.last_heartbeat_at.is_some())
-            && self.now - last > patience_s
+            && self.now - last > timeout_s
     }
 
-    /// When a worker's lease has surely expired; infinite while a shard owner may renew it.
+    /// When a worker's lease will certainly have expired; infinite while a shard owner may renew it.
     pub(super) fn lease_expires_at(&self, worker: &Worker) -> Time {
         let answered = self.latest_possible_answer(worker);
         answered.map_or(f64::INFINITY, |at| at + self.lease_upper_bound_s())
     }
 
-    /// After this long without an answer a worker has surely dropped its tasks.
+    /// The time after its last answered heartbeat by which a worker has certainly dropped its tasks.
     pub(crate) fn lease_upper_bound_s(&self) -> f64 {
         self.config.cluster.workers.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
     }
 
-    /// Workers whose lease has expired hold nothing any more.
+    /// Clears the workers whose lease has expired: they have dropped their tasks.
     pub(crate) fn expire_leases(&mut self) {
         let mut expired = 0u32;
         let mut instances = 0;
@@ -73,8 +73,8 @@
         let worker = &mut self.workers[m];
         worker.expired_incarnation = worker.incarnation;
         worker.reconciled = false;
-        // It holds nothing, so the next leader need not wait for its answer. Otherwise reclaimed
-        // spot workers would hold every failover up for a lease.
+        // The worker holds no tasks, so the next leader need not wait for its heartbeat. If it
+        // stayed registered, reclaimed spot workers would delay every failover by a lease.
         self.unregister_worker(m);
     }
 }
--- a/src/coordination/reconciliation/mod.rs
+++ b/src/coordination/reconciliation/mod.rs
@@ -1,10 +1,11 @@
-//! Reconciliation: what workers report, and what this leader concludes from it or from its absence.
+//! Reconciliation: updates the leader's state from the heartbeats of workers, or from their absence.
 //!
-//! A task instance counts until something proves that it is gone. The proofs are a heartbeat that
-//! no longer lists it (`heartbeats`, `task_status`), the outcome of the direct message that carried
-//! its start (`command_outcomes`), and the end of its worker's lease (`leases`). What follows for
-//! the worker is collected in `worker_commands`. Until every worker of an earlier leader is
-//! reconciled or its lease has expired, `blocked_jobs` keeps back the jobs it may hold.
+//! A task instance counts as possibly running until it is proved gone. The proofs are a heartbeat
+//! that no longer lists it (`heartbeats`, `task_status`), the outcome of the direct message that
+//! carried its start (`command_outcomes`), and the expiry of its worker's lease (`leases`).
+//! `worker_commands` collects the resulting commands for the worker. Until every worker of an
+//! earlier leader is reconciled or its lease has expired, `blocked_jobs` blocks the jobs that the
+//! worker may hold.
 
 mod blocked_jobs;
 mod command_outcomes;
@@ -16,22 +17,23 @@
 
 use lease_log::LeaseLog;
 
-/// What a new leader does not know yet of the task instances of earlier leaders.
+/// What a new leader does not know yet about the task instances of earlier leaders.
 #[derive(Debug, Default)]
 pub(super) struct Reconciliation {
     complete: bool,
     unknown_workers: bool,
-    /// What the log says of worker leases.
+    /// Logs the renewal and refusal of worker leases.
     pub(super) lease_log: LeaseLog,
 }
 
 impl Reconciliation {
-    /// No start of an earlier leader can be anywhere without this leader knowing of it.
+    /// Whether this leader knows of every task instance that an earlier leader may have started.
     pub(super) fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// A page of the worker registry cannot be read: a worker that nobody knows may hold anything.
+    /// Records that a page of the worker registry cannot be read. The workers on it are unknown, and
+    /// they may hold tasks of any job.
     pub(super) fn record_unknown_workers(&mut self) {
         self.unknown_workers = true;
     }
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -1,20 +1,21 @@
-//! What a worker reports of one task, and what follows for its job.
+//! Applies the reported status of one task to its instance and its job.
 
 use crate::protocol::worker::{Command, Exit, TaskPhase, TaskStatus, Verb};
 
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 
-/// A task that has run for so long shows that its job is not at fault.
-const RUNS_WELL_S: Time = 10.0;
-/// How long a job that its worker had no room for waits, and stays away from that worker.
+/// A task that has run for this long shows that its job is not at fault for failures.
+const HEALTHY_RUN_S: Time = 10.0;
+/// The delay before a task is started again after its worker had no room for it.
 const NO_ROOM_RETRY_S: Time = 0.3;
+/// How long a job avoids a worker that had no room for one of its tasks.
 const NO_ROOM_AVOID_S: Time = 3.0;
-/// How long a task waits that its worker was too busy for, or of which it knew nothing.
+/// The delay before a task is started again after its worker was too busy or did not know it.
 const BUSY_RETRY_S: Time = 1.0;
 
 impl Core {
-    /// Takes in the phase of a task instance that a worker has listed.
+    /// Applies the phase of a task instance that a worker has listed.
     pub(super) fn apply_task_phase(&mut self, m: u32, id: InstanceId, phase: TaskPhase) {
         if !self.workers[m].instances.contains_key(&id) && self.adopt_instance(m, id, phase) {
             return;
@@ -29,7 +30,7 @@
         }
         let first_report = instance.phase.is_none();
         let was_running = instance.is_running();
-        let arrived = matches!(instance.start_delivery, StartDelivery::Response { .. })
+        let confirms_delivery = matches!(instance.start_delivery, StartDelivery::Response { .. })
             || instance.unacknowledged;
         instance.start_delivery = StartDelivery::Reported;
         instance.phase = Some(phase);
@@ -37,21 +38,23 @@
         if is_running && !was_running {
             instance.running_since = Some(now);
         }
-        let runs_well = is_running
+        let runs_long_enough = is_running
             && instance
                 .running_since
-                .is_some_and(|since| now - since > RUNS_WELL_S);
+                .is_some_and(|since| now - since > HEALTHY_RUN_S);
         let stopping = instance.stop.is_some();
-        if arrived && first_report {
-            // What leaves with our answers has an effect, though it may answer no message.
+        if confirms_delivery && first_report {
+            // The worker receives the commands in answers to its heartbeats, even if it does not
+            // answer direct messages.
             self.workers[m].commands_unanswered = false;
         }
         let job = &mut self.jobs[id.job];
         let ending = job.is_ending();
         job.running = job.running + u32::from(is_running) - u32::from(was_running);
-        // A replica never ends, so running is all it can prove. Without this, a service that
-        // failed on one faulty worker waited for ever although its other replicas ran.
-        if runs_well {
+        // A replica never completes, so running long enough must count as success. Otherwise a
+        // service that failed on one faulty worker would wait forever although its other replicas
+        // run.
+        if runs_long_enough {
             self.mark_job_known_good(id.job);
         }
         if matches!(phase, TaskPhase::Exited(_)) {
@@ -68,7 +71,7 @@
     }
 
     /// Adds an instance that an earlier leader started, or that is listed again before its worker
-    /// has forgotten it. Whether it has exited, which settles it.
+    /// has forgotten it. Returns whether it has exited; if so, its exit has been handled.
     fn adopt_instance(&mut self, m: u32, id: InstanceId, phase: TaskPhase) -> bool {
         let exited = matches!(phase, TaskPhase::Exited(_));
         self.add_instance(m, id, TaskInstance::adopted(exited.then_some(phase)));
@@ -82,7 +85,7 @@
         exited
     }
 
-    /// A worker has the image of a job in its cache, as the newest.
+    /// Records that the image of a job is the most recently used one in a worker's cache.
     pub(crate) fn record_image(&mut self, m: u32, job: u32) {
         let image = self.jobs[job].image;
         let instance_type = self.types.get(self.workers[m].kind);
@@ -96,7 +99,7 @@
         while total_gb > cache_gb && worker.images.len() > 1 {
             total_gb -= images.size_gb(worker.images.remove(0));
         }
-        // The next leader reads from the worker registry which images are where.
+        // The worker registry tells the next leader which images each worker has.
         if !known {
             self.images_changed(m);
         }
@@ -118,11 +121,11 @@
                 self.handle_task_failure(m, id);
             }
             Exit::NoRoom => {
-                self.retry_after(id, NO_ROOM_RETRY_S);
+                self.delay_retry(id, NO_ROOM_RETRY_S);
                 let avoid_until = self.now + NO_ROOM_AVOID_S;
                 self.workers[m].failed_jobs.insert(id.job, avoid_until);
             }
-            Exit::Busy | Exit::Unknown => self.retry_after(id, BUSY_RETRY_S),
+            Exit::Busy | Exit::Unknown => self.delay_retry(id, BUSY_RETRY_S),
             Exit::Stopped { .. } | Exit::PeersGone | Exit::Alone => {}
         }
         if exit != Exit::Done {
@@ -130,8 +133,8 @@
         }
     }
 
-    fn retry_after(&mut self, id: InstanceId, pause_s: Time) {
-        self.jobs[id.job].tasks[id.task as usize].not_before = (self.now + pause_s) as f32;
+    fn delay_retry(&mut self, id: InstanceId, delay_s: Time) {
+        self.jobs[id.job].tasks[id.task as usize].not_before = (self.now + delay_s) as f32;
     }
 
     fn handle_task_done(&mut self, m: u32, id: InstanceId) {
@@ -147,16 +150,15 @@
         }
     }
 
-    /// Tasks of jobs that nobody knows, or that ended long ago: stopped, and forgotten once they
-    /// have exited.
-    pub(super) fn clear_orphaned_tasks(&mut self, m: u32) {
+    /// Queues the stops of a worker's orphaned tasks, and orders it to forget those that have exited.
+    pub(super) fn queue_orphan_commands(&mut self, m: u32) {
         let orphaned = self.workers[m].orphaned_tasks.iter();
         let commands = orphaned.map(orphan_command).collect();
         self.workers[m].queue_missing(commands);
     }
 }
 
-/// What is ordered of a task that belongs to no job that this leader knows.
+/// The command for an orphaned task, whose job this leader does not know.
 pub(super) fn orphan_command(status: &TaskStatus) -> Command {
     Command {
         verb: match status.phase {
--- a/src/coordination/reconciliation/worker_commands.rs
+++ b/src/coordination/reconciliation/worker_commands.rs
@@ -1,4 +1,4 @@
-//! Commands for a worker: what waits to be sent, and what follows from its last heartbeat.
+//! Commands for a worker: those in its outbox, and those that follow from its last heartbeat.
 
 use crate::protocol::worker::{Command, Exit, MAX_COMMANDS, TaskPhase, Verb};
 
@@ -7,11 +7,11 @@
 
 use super::task_status::orphan_command;
 
-/// A stop that had no effect for so long is sent again.
+/// A stop that has had no effect for this long is sent again.
 const STOP_RETRY_S: Time = 1.0;
 
 impl Core {
-    /// What goes back with the answer to the newest heartbeat of a worker.
+    /// Collects the commands for the answer to a worker's newest heartbeat.
     pub(super) fn collect_commands(&mut self, m: u32, counter: u64) -> Vec<Command> {
         let stops = self.due_stops(m);
         let room = MAX_COMMANDS - stops.len();
@@ -25,20 +25,20 @@
         commands
     }
 
-    /// What must stop on a worker now. Each answer to a heartbeat carries it, for each renews the
-    /// lease: of all tasks whose jobs have ended or are being cancelled, and of what else was
-    /// ordered to stop and has not been sent. Also while a direct message is out that may carry the
-    /// same, and whether or not it was sent before: stops may be repeated, and messages be lost. At
-    /// most as many as an answer may have.
+    /// The stops that are due on a worker: those of orphaned tasks, of tasks whose jobs have ended or
+    /// are being cancelled, and those in the outbox. At most [`MAX_COMMANDS`].
     ///
-    /// The stops once left with the queue alone, which waits while a message is out. Leases were
-    /// renewed again and again without them (docs/incidents/cancelled-task-ran-on.md).
+    /// Every answer to a heartbeat renews the lease, so every answer carries these stops. They are
+    /// included even if they were sent before or a direct message in flight carries them: a stop may
+    /// be repeated, and a message may be lost. If the stops were only sent from the outbox, they
+    /// would wait while a direct message is in flight, and leases would be renewed repeatedly
+    /// without them (docs/incidents/cancelled-task-ran-on.md).
     pub(super) fn due_stops(&self, m: u32) -> Vec<Command> {
         let worker = &self.workers[m];
         let mut stops: Vec<Command> = worker.running_orphans().map(orphan_command).collect();
         for (id, instance) in &worker.instances {
-            let ends = self.jobs[id.job].is_ending() && instance.exit().is_none();
-            if !ends || instance.start_delivery == StartDelivery::Queued {
+            let must_stop = self.jobs[id.job].is_ending() && instance.exit().is_none();
+            if !must_stop || instance.start_delivery == StartDelivery::Queued {
                 continue;
             }
             if instance.may_arrive_late() {
@@ -52,8 +52,8 @@
         stops
     }
 
-    /// At most `limit` commands that follow from what a worker has just reported: what has exited
-    /// is forgotten, what had no effect is sent again.
+    /// At most `limit` commands that follow from a worker's newest heartbeat: exited tasks are
+    /// forgotten, and commands that had no effect are sent again.
     pub(crate) fn follow_up_commands(&mut self, m: u32, limit: usize) -> Vec<Command> {
         let mut commands = Vec::new();
         let ids: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
@@ -61,7 +61,7 @@
             if commands.len() >= limit {
                 break;
             }
-            match self.follow_up_of(id, &self.workers[m].instances[&id]) {
+            match self.follow_up_for(id, &self.workers[m].instances[&id]) {
                 FollowUp::Nothing => {}
                 FollowUp::Forget => commands.push(self.command(id, Verb::Forget)),
                 FollowUp::Start => commands.push(self.command(id, Verb::Start)),
@@ -75,24 +75,25 @@
         commands
     }
 
-    fn follow_up_of(&self, id: InstanceId, instance: &TaskInstance) -> FollowUp {
+    fn follow_up_for(&self, id: InstanceId, instance: &TaskInstance) -> FollowUp {
         let job = &self.jobs[id.job];
         let stored =
             job.tasks[id.task as usize].stored || matches!(job.state, JobState::Terminal(_));
-        let never_reported = instance.may_arrive_late();
+        let may_arrive_late = instance.may_arrive_late();
         match (instance.exit(), instance.stop) {
-            // A start that may still arrive would start a forgotten attempt anew.
+            // If the worker forgot the attempt, a start that arrives late would start it again.
             (Some(_), _) if instance.unacknowledged => FollowUp::Nothing,
             (Some(Exit::Done), _) if !stored && !job.is_service() => FollowUp::Nothing,
             (Some(_), _) => FollowUp::Forget,
-            // Not there, but its start may still arrive, perhaps minutes late. Held as an exited
-            // attempt that is never forgotten, the late start does nothing.
-            (None, Some(_)) if never_reported => FollowUp::StartAndStop,
+            // The worker does not list the attempt, but its start may still arrive minutes late.
+            // With start and stop sent together, the worker holds an exited attempt, which is never
+            // forgotten, and ignores the late start.
+            (None, Some(_)) if may_arrive_late => FollowUp::StartAndStop,
             (None, Some(stop)) if self.stop_is_overdue(stop, instance) => FollowUp::Stop {
                 grace_s: stop.grace_s,
             },
-            // Sent again with the same attempt: it does nothing if it arrived before.
-            (None, None) if never_reported => FollowUp::Start,
+            // The repeated start has the same attempt, so it has no effect if the first one arrived.
+            (None, None) if may_arrive_late => FollowUp::Start,
             (None, _) => FollowUp::Nothing,
         }
     }
@@ -112,18 +113,19 @@
         self.command(id, Verb::Stop { grace_s })
     }
 
-    /// Takes the commands that are to be sent, at most `limit`, and records how their starts leave.
+    /// Takes at most `limit` commands from the outbox and records how the
+    /// starts in them are sent and when the stops are sent.
     pub(crate) fn take_queued_commands(
         &mut self,
         m: u32,
         limit: usize,
-        how: StartDelivery,
+        delivery: StartDelivery,
     ) -> Vec<Command> {
         let now = self.now;
         let worker = &mut self.workers[m];
         let count = worker.outbox.len().min(limit);
-        let later = worker.outbox.split_off(count);
-        let commands = std::mem::replace(&mut worker.outbox, later);
+        let remaining = worker.outbox.split_off(count);
+        let commands = std::mem::replace(&mut worker.outbox, remaining);
         for command in &commands {
             let Some(job) = self.jobs.index_of(command.job) else {
                 continue;
@@ -137,7 +139,7 @@
                 continue;
             };
             match command.verb {
-                Verb::Start => instance.start_delivery = how,
+                Verb::Start => instance.start_delivery = delivery,
                 Verb::Stop { .. } => {
                     if let Some(stop) = &mut instance.stop {
                         stop.sent_at = Some(now);
@@ -150,7 +152,7 @@
     }
 }
 
-/// What is sent for one instance after a heartbeat.
+/// The commands for one instance that follow from a heartbeat.
 enum FollowUp {
     Nothing,
     Forget,
--- a/src/coordination/start_conditions.rs
+++ b/src/coordination/start_conditions.rs
@@ -1,13 +1,13 @@
-//! Every condition of a start, checked against all task instances that may exist.
+//! The conditions of a start, checked against all task instances that may exist.
 
 use crate::protocol::job::Resources;
 
 use super::model::*;
 use super::state::Core;
 
-/// Heartbeats come up to a quarter of their interval late.
+/// Heartbeats arrive up to a quarter of their interval late.
 const LATEST_HEARTBEAT_FACTOR: f64 = 1.25;
-/// How much later than the latest heartbeat a worker is unresponsive.
+/// The time after the latest expected heartbeat before a worker counts as unresponsive.
 const UNRESPONSIVE_MARGIN_S: Time = 1.0;
 
 impl Core {
@@ -28,12 +28,13 @@
             && self.team_allows(job.team, &job.spec.needs)
     }
 
-    /// Whether the job may have one more instance in this zone.
+    /// Whether one more instance of the job may be started in this zone.
     pub(super) fn zone_allows(&self, ix: u32, zone: u32) -> bool {
         self.zone_allows_more(ix, zone, 0)
     }
 
-    /// The same where `planned` more of its tasks are to be started there.
+    /// Whether one more instance of the job may be started in this zone, in addition to `planned`
+    /// ones.
     pub(super) fn zone_allows_more(&self, ix: u32, zone: u32, planned: u32) -> bool {
         let job = &self.jobs[ix];
         let here = job
@@ -45,7 +46,7 @@
             && (!job.spec.one_zone || job.instances_by_zone.iter().sum::<u32>() == here)
     }
 
-    /// Whether the team's limit allows these resources beside all that may be in use.
+    /// Whether the team's limit allows these resources in addition to all that may be in use.
     pub(super) fn team_allows(&self, team: u32, needs: &Resources) -> bool {
         let usage = &self.teams[team as usize];
         let limit = &usage.limit;
@@ -56,7 +57,7 @@
             && (limit.gpus == 0 || total.gpus <= limit.gpus)
     }
 
-    /// Whether the job may run on the worker, and has not failed there lately.
+    /// Whether the job may run on the worker and does not avoid it after a recent failure.
     pub(super) fn worker_allowed(&self, ix: u32, m: u32) -> bool {
         let worker = &self.workers[m];
         self.constraints_allow_worker(ix, m)
@@ -66,8 +67,8 @@
                 .is_none_or(|&until| until <= self.now)
     }
 
-    /// Whether the job's own conditions allow the worker, whatever has happened there: any leader
-    /// may start the job on it.
+    /// Whether the job's own constraints (zone, instance types, spot) allow the worker. Recent
+    /// failures do not count, so this tells whether any leader could have started the job there.
     pub(super) fn constraints_allow_worker(&self, ix: u32, m: u32) -> bool {
         let job = &self.jobs[ix];
         let worker = &self.workers[m];
@@ -79,28 +80,28 @@
                 .is_none_or(|list| list.contains(&worker.kind))
     }
 
-    /// A worker is unresponsive, and nothing new is sent to it, after this long without a heartbeat.
+    /// The time without a heartbeat after which a worker is unresponsive and nothing new is sent to it.
     pub(super) fn unresponsive_after_s(&self) -> f64 {
         self.config.cluster.workers.heartbeat_interval_s * LATEST_HEARTBEAT_FACTOR
             + UNRESPONSIVE_MARGIN_S
     }
 
-    /// Whether nothing has come from a worker for longer than workers ever take.
+    /// Whether a worker has sent nothing for longer than the latest heartbeat takes.
     pub(super) fn is_unresponsive(&self, m: u32) -> bool {
         self.workers[m]
             .last_heartbeat_at
             .is_none_or(|at| self.now - at > self.unresponsive_after_s())
     }
 
-    /// Whether a worker that may answer direct messages has sent no heartbeat by itself for half a
-    /// lease: nothing renews its lease, and what is started there ends with it.
+    /// Whether a worker has sent no heartbeat on its own for half a lease, although it may answer
+    /// direct messages. Its lease is not renewed, so a task started there would end with the lease.
     fn sends_no_heartbeats(&self, m: u32) -> bool {
-        // While no leader was valid heartbeats were refused, which is not the worker's fault.
+        // While no leader was valid, heartbeats were refused. That time does not count.
         let listening = self.expecting_heartbeats_since.max(self.valid_since);
-        let since = self.workers[m].reported_at;
-        let since = since.map_or(listening, |at| at.max(listening));
-        let patience_s = self.config.cluster.workers.lease_s / 2.0;
-        self.now - since > patience_s.max(self.unresponsive_after_s())
+        let last_report_at = self.workers[m].reported_at;
+        let last_report_at = last_report_at.map_or(listening, |at| at.max(listening));
+        let timeout_s = self.config.cluster.workers.lease_s / 2.0;
+        self.now - last_report_at > timeout_s.max(self.unresponsive_after_s())
     }
 
     /// Whether anything may be started on a worker.
@@ -120,15 +121,15 @@
             && !self.sends_no_heartbeats(m)
     }
 
-    /// What no task instance that may be on a worker takes of it; nothing if its instance type is
-    /// not described.
+    /// The resources of a worker that are not taken by instances that may exist there; none if its
+    /// instance type is not described.
     pub(super) fn free_resources(&self, m: u32) -> Resources {
         let worker = &self.workers[m];
         let Some(instance_type) = self.types.get(worker.kind) else {
             return Resources::default();
         };
-        let mut room = instance_type.whole;
-        room.sub(&worker.used);
-        room
+        let mut free = instance_type.whole;
+        free.sub(&worker.used);
+        free
     }
 }
