--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -1,10 +1,11 @@
-//! Which worker a direct message is sent to next: probes of a new leader, and commands that cannot
+//! Chooses the workers to which direct messages are sent next: probes, and commands that cannot
 //! wait for a heartbeat.
 //!
-//! A leader has a part of a CPU core. With everything sent at once, after an election or when the
-//! leases of a zone expire, thousands of messages would wait for the processor together: probes
-//! would time out before their answers are read and be sent again, and the renewal of the leader's
-//! own lease would come last. So few are in flight at a time, and the most urgent go first.
+//! A leader has only a share of a CPU core. If it sent all messages at once after an election, or
+//! when the leases of a zone expire, thousands would compete for the processor: probes would time
+//! out before their answers are read and be sent again, and the renewal of the leader's own lease
+//! would be delayed. Therefore the number of messages in flight is limited, and the most urgent
+//! messages are sent first.
 
 use crate::protocol::job::Priority;
 use crate::protocol::worker::{Command, MAX_COMMANDS, Verb};
@@ -13,33 +14,34 @@
 use super::model::*;
 use super::state::Core;
 
-/// Messages in flight that may be answered any moment.
-const WINDOW: usize = 256;
-/// What a message takes of the window that this controller delivers itself.
+/// The maximum number of recent messages in flight, if this controller delivers all of them.
+const MAX_RECENT_IN_FLIGHT: usize = 256;
+/// The window units taken by a message that this controller delivers itself.
 const OWN_COST: usize = 4;
-/// What a message takes of the window that a shard owner delivers.
+/// The window units taken by a message that a shard owner delivers.
 const RELAYED_COST: usize = 1;
-/// One in flight for longer waits for a worker, not for this process, and leaves the window: on
-/// ordinary days answers come within 20 ms.
+/// The age from which a message in flight takes no window units. Answers normally arrive within
+/// 20 ms, so an older message waits for its worker and not for this process.
 const RECENT_S: Time = 0.2;
-/// Messages in flight at once to workers that are late or unresponsive: most of these wait out
-/// their deadline.
-const MAX_TO_UNRESPONSIVE: usize = 64;
-/// So many older messages to a zone are not taken for a sign that it is partitioned.
-const FEW_OLD: usize = 8;
-/// A worker is not probed again for so long.
+/// The maximum number of messages in flight to late or unresponsive workers. Most of these messages
+/// time out.
+const MAX_IN_FLIGHT_TO_UNRESPONSIVE: usize = 64;
+/// Zones are ranked by their number of old messages in steps of this size, so that a few old
+/// messages do not make a zone look partitioned.
+const OLD_MESSAGES_STEP: usize = 8;
+/// The minimum interval between two probes of a worker.
 const PROBE_INTERVAL_S: Time = 1.0;
-/// Heartbeats are late after this multiple of their interval.
+/// A heartbeat is late after this multiple of the heartbeat interval.
 const LATE_FACTOR: f64 = 1.04;
 
-/// Why a message is sent to a worker, the most urgent first.
+/// Why a message is sent to a worker, in descending order of urgency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Reason {
-    /// Until the worker has reported what it holds, jobs are blocked.
+enum SendReason {
+    /// A probe of a worker that has not reported its tasks yet, which blocks jobs.
     Reconcile,
-    /// The start of a service's replica.
+    /// The start of a service replica.
     Replica,
-    /// High-priority work, and stops, which make room or have a deadline.
+    /// The start of a high-priority task, or a stop, which frees resources or has a deadline.
     Urgent,
     /// Any other command.
     Other,
@@ -47,18 +49,19 @@
     ProbeUnresponsive,
 }
 
-/// What is in flight, and to whom.
+/// The messages in flight.
 #[derive(Default)]
 struct InFlightLoad {
-    /// What recent messages take of the window.
+    /// The window units that recent messages take.
     recent: usize,
+    /// The number of messages to late or unresponsive workers.
     to_unresponsive: usize,
-    /// By zone, messages that are not recent: a zone that does not answer comes last.
+    /// The number of messages per zone that are not recent. Zones that do not answer come last.
     old_by_zone: Vec<usize>,
 }
 
-/// What a message takes of the window.
-fn cost(message: &InFlightMessage) -> usize {
+/// The window units that a message takes.
+fn window_cost(message: &InFlightMessage) -> usize {
     if message.relayed {
         RELAYED_COST
     } else {
@@ -67,7 +70,7 @@
 }
 
 impl Core {
-    /// Asks a worker for its heartbeat.
+    /// Sends a worker a probe, which asks it for a heartbeat.
     pub(super) fn send_probe(&mut self, m: u32) {
         let message_id = self.new_message_id();
         self.workers[m].next_message_at = self.now + PROBE_INTERVAL_S;
@@ -76,7 +79,8 @@
         self.effects.push(Effect::RequestHeartbeat {
             worker: worker.name.clone(),
             address: worker.address.clone(),
-            // The first incarnation is the most likely: few workers ever lose a lease.
+            // If no incarnation is known, the first one is assumed, because few workers ever lose
+            // a lease.
             incarnation: worker.incarnation.max(1),
             message_id,
             via,
@@ -89,8 +93,8 @@
         message_id
     }
 
-    /// A message with these starts goes out to a worker. The controller that is to deliver it, if
-    /// it is another one.
+    /// Records a direct message with these starts as in flight to a worker. Returns the controller
+    /// that delivers it, if it is another one.
     fn record_in_flight(
         &mut self,
         m: u32,
@@ -112,46 +116,48 @@
         via
     }
 
-    /// A worker whose heartbeat has not come after this long is late.
+    /// The time without a heartbeat after which a worker is late.
     pub(super) fn late_after_s(&self) -> f64 {
         self.config.cluster.workers.heartbeat_interval_s * LATE_FACTOR
     }
 
     /// How many more late or unresponsive workers may be probed now.
     pub(super) fn remaining_probes(&self) -> usize {
-        MAX_TO_UNRESPONSIVE.saturating_sub(self.in_flight_load().to_unresponsive)
+        MAX_IN_FLIGHT_TO_UNRESPONSIVE.saturating_sub(self.in_flight_load().to_unresponsive)
     }
 
-    /// Sends what cannot wait for the next heartbeat.
+    /// Sends the probes and commands that cannot wait for the next heartbeat.
     pub(super) fn flush_commands(&mut self) {
-        let mut due = self.due_messages();
+        let mut due = self.workers_with_due_message();
         if due.is_empty() {
             return;
         }
         let mut load = self.in_flight_load();
-        let mut window = (WINDOW * OWN_COST).saturating_sub(load.recent);
-        if due.len() * OWN_COST > window {
-            let old_in_zone = |m: u32| load.old_by_zone[self.workers[m].zone as usize] / FEW_OLD;
-            due.sort_by_key(|&(reason, m)| (reason, old_in_zone(m), m));
+        let mut remaining_units = (MAX_RECENT_IN_FLIGHT * OWN_COST).saturating_sub(load.recent);
+        if due.len() * OWN_COST > remaining_units {
+            let zone_rank =
+                |m: u32| load.old_by_zone[self.workers[m].zone as usize] / OLD_MESSAGES_STEP;
+            due.sort_by_key(|&(reason, m)| (reason, zone_rank(m), m));
         }
         for (reason, m) in due {
-            if window == 0 {
+            if remaining_units == 0 {
                 return;
             }
-            if reason == Reason::ProbeUnresponsive {
-                if load.to_unresponsive >= MAX_TO_UNRESPONSIVE {
+            if reason == SendReason::ProbeUnresponsive {
+                if load.to_unresponsive >= MAX_IN_FLIGHT_TO_UNRESPONSIVE {
                     continue;
                 }
                 load.to_unresponsive += 1;
             }
-            self.send_to(m);
+            self.send_message(m);
             let message = &self.workers[m].in_flight;
-            window = window.saturating_sub(message.as_ref().map_or(OWN_COST, cost));
+            remaining_units =
+                remaining_units.saturating_sub(message.as_ref().map_or(OWN_COST, window_cost));
         }
     }
 
-    /// Workers that a message is to be sent to, and why; by index.
-    fn due_messages(&mut self) -> Vec<(Reason, u32)> {
+    /// The workers to which a message is due, and the reasons, in the order of worker indices.
+    fn workers_with_due_message(&mut self) -> Vec<(SendReason, u32)> {
         let mut due = Vec::new();
         for m in self.workers.indices() {
             if self.workers[m].in_flight.is_none()
@@ -163,9 +169,10 @@
         due
     }
 
-    /// A worker that has not reported to this leader is probed first: commands wait three times as
-    /// long for an answer, so that an unreachable worker would be known as such a second later.
-    fn send_to(&mut self, m: u32) {
+    /// Sends a worker its commands, or a probe if it has not reported to this leader yet. Commands
+    /// wait three times as long for an answer as probes do, so sending commands first would detect
+    /// an unreachable worker a second later.
+    fn send_message(&mut self, m: u32) {
         let worker = &self.workers[m];
         if worker.may_be_alive() && worker.reconciled {
             self.send_commands(m);
@@ -190,7 +197,7 @@
             let unresponsive = worker.fenced || worker.commands_unanswered || late;
             load.to_unresponsive += usize::from(unresponsive);
             if self.now - message.since < RECENT_S {
-                load.recent += cost(message);
+                load.recent += window_cost(message);
             } else {
                 load.old_by_zone[worker.zone as usize] += 1;
             }
@@ -198,50 +205,50 @@
         load
     }
 
-    /// Why a message is to be sent to a worker now, if one is.
-    fn reason_to_send(&mut self, m: u32) -> Option<Reason> {
+    /// Why a message is due to a worker, if one is.
+    fn reason_to_send(&mut self, m: u32) -> Option<SendReason> {
         let unresponsive = self.is_unresponsive(m);
         let worker = &self.workers[m];
-        let may_probe = worker.next_message_at <= self.now;
+        let message_allowed = worker.next_message_at <= self.now;
         let unreconciled =
             worker.known_to_predecessor && !worker.reconciled && !self.reconciliation.is_complete();
         if !worker.may_be_alive() || (unresponsive && unreconciled) {
-            // Registered by an earlier leader, and this one has had no heartbeat from it, or a shard
-            // owner had one before this leader was elected.
-            let probed = unreconciled && may_probe && !self.awaits_forwarded_heartbeats();
+            // An earlier leader registered the worker, and this leader has had no heartbeat from
+            // it, or only one that a shard owner received before this leader was elected.
+            let probed = unreconciled && message_allowed && !self.awaits_forwarded_heartbeats();
             return probed.then_some(if worker.fenced || worker.may_be_alive() {
-                Reason::ProbeUnresponsive
+                SendReason::ProbeUnresponsive
             } else {
-                Reason::Reconcile
+                SendReason::Reconcile
             });
         }
         let commands_unanswered = worker.commands_unanswered;
         if unresponsive || worker.fenced || commands_unanswered {
             self.cancel_queued_starts(m);
         }
-        if unresponsive || !may_probe {
+        if unresponsive || !message_allowed {
             return None;
         }
         let worker = &self.workers[m];
         if commands_unanswered && worker.outbox.is_empty() {
-            return Some(Reason::ProbeUnresponsive);
+            return Some(SendReason::ProbeUnresponsive);
         }
-        // One that has not learned of this leader learns of it by a probe.
+        // A probe informs the worker of this leader's fencing token.
         if !worker.reconciled {
-            return Some(Reason::Reconcile);
+            return Some(SendReason::Reconcile);
         }
-        worker.outbox.iter().map(|c| self.reason_of(c)).min()
+        worker.outbox.iter().map(|c| self.command_urgency(c)).min()
     }
 
-    fn reason_of(&self, command: &Command) -> Reason {
+    fn command_urgency(&self, command: &Command) -> SendReason {
         match command.verb {
             Verb::Start => match self.jobs.index_of(command.job).map(|ix| &self.jobs[ix]) {
-                Some(job) if job.is_service() => Reason::Replica,
-                Some(job) if job.spec.priority >= Priority::High => Reason::Urgent,
-                _ => Reason::Other,
+                Some(job) if job.is_service() => SendReason::Replica,
+                Some(job) if job.spec.priority >= Priority::High => SendReason::Urgent,
+                _ => SendReason::Other,
             },
-            Verb::Stop { .. } => Reason::Urgent,
-            Verb::Forget => Reason::Other,
+            Verb::Stop { .. } => SendReason::Urgent,
+            Verb::Forget => SendReason::Other,
         }
     }
 
--- a/src/coordination/instances.rs
+++ b/src/coordination/instances.rs
@@ -1,4 +1,4 @@
-//! Task instances: where each may be, and the resources that they take.
+//! Task instances: the workers that may hold them, and the resources allocated to them.
 
 use crate::protocol::worker::{Command, Verb};
 
@@ -6,23 +6,23 @@
 use super::state::Core;
 
 impl Core {
-    /// Adds an instance to a worker, and to what its job and team use there.
+    /// Adds an instance to a worker and, if it may exist, allocates its resources.
     pub(super) fn add_instance(&mut self, m: u32, id: InstanceId, instance: TaskInstance) {
-        let possible = instance.may_exist();
+        let may_exist = instance.may_exist();
         let running = instance.is_running();
         let worker = &mut self.workers[m];
-        let before = worker.instances.insert(id, instance);
-        debug_assert!(before.is_none(), "an instance is added once");
+        let previous = worker.instances.insert(id, instance);
+        debug_assert!(previous.is_none(), "the instance is already on the worker");
         worker.idle_since = None;
         let job = &mut self.jobs[id.job];
         job.listed_instances += 1;
         job.running += u32::from(running);
-        if possible {
+        if may_exist {
             self.allocate_resources(m, id);
         }
     }
 
-    /// An instance counts from now on: it may be on the worker.
+    /// Counts an instance that may exist in the usage of its worker, team and job.
     fn allocate_resources(&mut self, m: u32, id: InstanceId) {
         let job = &mut self.jobs[id.job];
         let needs = job.spec.needs;
@@ -41,7 +41,8 @@
         }
     }
 
-    /// An instance stops counting: it is surely not on the worker, now or later.
+    /// Removes an instance from the usage of its worker, team and job, because it is certainly not
+    /// on the worker, now or later.
     pub(super) fn release_resources(&mut self, m: u32, id: InstanceId) {
         let job = &mut self.jobs[id.job];
         let needs = job.spec.needs;
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Takes an instance off its worker's list, and with the last one of a job that has ended the
-    /// job itself.
+    /// Removes an instance from its worker. The job is removed as well if it has ended and this was
+    /// its last instance.
     pub(super) fn remove_instance(&mut self, m: u32, id: InstanceId) {
         let Some(instance) = self.workers[m].instances.remove(&id) else {
             return;
@@ -81,7 +82,7 @@
         self.remove_if_ended(id.job);
     }
 
-    /// Everything on a worker is gone.
+    /// Removes everything that a worker held, and its queued commands.
     pub(super) fn clear_worker(&mut self, m: u32) {
         let ids: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
         for id in ids {
@@ -93,7 +94,7 @@
         worker.orphaned_tasks.clear();
     }
 
-    /// Orders an instance to stop. Repeated after each heartbeat until it has an effect.
+    /// Orders an instance to stop. The stop is repeated after heartbeats until it has an effect.
     pub(super) fn stop_instance(&mut self, m: u32, id: InstanceId, grace_s: f64) {
         let Some(instance) = self.workers[m].instances.get_mut(&id) else {
             return;
@@ -116,7 +117,7 @@
         self.workers[m].queue_missing(vec![command]);
     }
 
-    /// The message that orders this of an instance.
+    /// A command for an instance.
     pub(super) fn command(&self, id: InstanceId, verb: Verb) -> Command {
         Command {
             verb,
@@ -126,13 +127,13 @@
         }
     }
 
-    /// A number that no attempt of any leader has.
+    /// Returns an attempt number that no leader has used before.
     pub(super) fn new_attempt(&mut self) -> u64 {
         self.next_attempt += 1;
         self.next_attempt
     }
 
-    /// Decides a start. The caller has checked `may_start`.
+    /// Queues the start of a task on a worker. The caller has checked `may_start`.
     pub(super) fn start(&mut self, ix: u32, task: u32, m: u32, attempt: u64) {
         let id = InstanceId {
             job: ix,
@@ -162,7 +163,7 @@
         worker.reservations.retain(|r| r.count > 0);
     }
 
-    /// The instances of a job on a worker.
+    /// The ids of all instances of a job on a worker.
     pub(super) fn instances_of(&self, m: u32, job: u32) -> Vec<InstanceId> {
         let from = InstanceId {
             job,
@@ -181,14 +182,14 @@
             .collect()
     }
 
-    /// A start that has not left for its worker does not leave any more.
+    /// Cancels a start that has not been sent yet, and removes its instance.
     pub(super) fn cancel_queued_start(&mut self, m: u32, id: InstanceId) {
         let start = self.command(id, Verb::Start);
         self.workers[m].outbox.retain(|command| *command != start);
         self.remove_instance(m, id);
     }
 
-    /// No start that has not left for a worker leaves for it any more.
+    /// Cancels all starts for a worker that have not been sent yet.
     pub(super) fn cancel_queued_starts(&mut self, m: u32) {
         let queued: Vec<InstanceId> = self.workers[m]
             .instances
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -1,4 +1,4 @@
-//! The life of a job in the core: from its stored record to its stored end.
+//! The lifecycle of a job in the core, from its stored record to its stored end.
 
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
@@ -10,34 +10,34 @@
 use super::objectives;
 use super::state::Core;
 
-/// How long a job's done bits may wait to be stored together.
-const PROGRESS_EVERY_S: Time = 2.0;
-/// Arrays of at most so many tasks bid with those of their scheduling class.
-const FEW_TASKS: u32 = 8;
-/// Steps of memory in a scheduling class to a factor of two.
+/// How long changes to a job's done bitmap are collected before they are stored together.
+const PROGRESS_WRITE_DELAY_S: Time = 2.0;
+/// Arrays with at most this many tasks bid together with the others of their scheduling class.
+const MAX_SMALL_ARRAY_TASKS: u32 = 8;
+/// The number of memory steps per factor of two in a scheduling class.
 const MEMORY_STEPS_PER_DOUBLING: f64 = 2.0;
 
 impl Core {
-    /// Takes in the cloud's descriptions of instance types.
+    /// Updates the cloud's descriptions of instance types.
     pub(super) fn update_instance_types(&mut self, types: Vec<MachineType>) {
         self.types.update(types);
         for ix in self.jobs.indices() {
-            // Jobs that came before their types were known.
+            // The job was added before its instance types were described.
             if self.jobs[ix].large_task_profile.is_none() {
                 self.jobs[ix].large_task_profile = self.record_large_task_arrival(ix);
             }
         }
     }
 
-    /// The index of an image, whose size is 0 if it is not stated.
+    /// Returns the index of an image, adding it if it is new. A `stated_gb` of 0 states no size.
     pub(super) fn intern_image(&mut self, name: &str, stated_gb: f64) -> u32 {
         self.images.intern(name, stated_gb)
     }
 
-    /// Adds a stored job, unless it is known or has ended.
+    /// Adds a stored job unless it is already known or has ended.
     pub(super) fn add_job(&mut self, stored: StoredJob) {
         let id = stored.spec.id;
-        // The watch may show again what the snapshot held, or a job that has ended by now.
+        // The watch may report a job that was in the snapshot, or one that has ended since.
         if self.jobs.index_of(id).is_some() || self.jobs.outcome(id).is_some() {
             return;
         }
@@ -52,7 +52,7 @@
         let chunks = spec.tasks.div_ceil(self.tasks_per_chunk) as usize;
         let fetch_s = spec.image_gb / self.types.max_fetch_gb_per_s(types.as_deref());
         let predates_election = stored.version < self.token;
-        let wanted = &self.config.cluster.objectives;
+        let objective_settings = &self.config.cluster.objectives;
         let tuning = &self.config.tuning;
         let mut job = Job::new(spec, team, image);
         if self.jobs.is_cancelled_early(id) {
@@ -68,9 +68,11 @@
         job.blocked = predates_election && !self.reconciliation.is_complete();
         job.accepted_at = self.now - stored.age_s;
         job.accepted_ms = stored.accepted_ms;
-        job.completion_target_s = objectives::completion_target_s(wanted, &job.spec);
-        job.start_delay_tolerance_s = objectives::start_delay_tolerance_s(wanted, &job.spec);
-        job.placement_deadlines_s = objectives::placement_deadlines_s(wanted, &job.spec, fetch_s);
+        job.completion_target_s = objectives::completion_target_s(objective_settings, &job.spec);
+        job.start_delay_tolerance_s =
+            objectives::start_delay_tolerance_s(objective_settings, &job.spec);
+        job.placement_deadlines_s =
+            objectives::placement_deadlines_s(objective_settings, &job.spec, fetch_s);
         job.movable = objectives::movable(tuning, &job.spec);
         job.pinned = objectives::pinned(tuning, &job.spec);
         job.protected = objectives::protected(tuning, &job.spec);
@@ -79,12 +81,13 @@
         self.jobs[ix].scheduling_class = self.scheduling_class_of(ix);
     }
 
-    /// The scheduling class of a job, if its tasks bid with those of others.
+    /// The index of the scheduling class of a job, if its tasks bid together with those of others.
     fn scheduling_class_of(&mut self, ix: u32) -> Option<u32> {
         let job = &self.jobs[ix];
         let spec = &job.spec;
-        let small =
-            spec.kind == Kind::Array && spec.tasks <= FEW_TASKS && job.large_task_profile.is_none();
+        let small = spec.kind == Kind::Array
+            && spec.tasks <= MAX_SMALL_ARRAY_TASKS
+            && job.large_task_profile.is_none();
         if !small || spec.one_zone || spec.spread {
             return None;
         }
@@ -107,7 +110,7 @@
         Some(*self.scheduling_classes.entry(class).or_insert(next))
     }
 
-    /// The end of a job is stored: nothing of it runs any more.
+    /// Records that the end of a job is stored, and stops its remaining instances.
     pub(super) fn end_job(&mut self, id: JobId, outcome: JobOutcome) {
         self.jobs.record_outcome(id, outcome);
         let Some(ix) = self.jobs.index_of(id) else {
@@ -124,11 +127,11 @@
             self.remove_if_ended(ix);
             return;
         }
-        // The last of its instances to go frees the job.
+        // The job is removed together with its last instance.
         self.stop_all_instances(ix);
     }
 
-    /// Nothing of a job starts any more, and all of it that may be on a worker is stopped.
+    /// Stops all instances of a job that may be on a worker, and cancels its queued starts.
     pub(super) fn stop_all_instances(&mut self, ix: u32) {
         for m in self.workers.indices() {
             for key in self.instances_of(m, ix) {
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Forgets a job that has ended once no worker holds anything of it.
+    /// Removes a job that has ended, if no worker holds an instance of it.
     pub(super) fn remove_if_ended(&mut self, ix: u32) {
         let job = &self.jobs[ix];
         if !matches!(job.state, JobState::Terminal(_)) || job.listed_instances > 0 {
@@ -152,10 +155,10 @@
         self.jobs.remove(ix);
     }
 
-    /// A task has ended well.
+    /// Marks a task as done and schedules the write of its done bit.
     pub(super) fn mark_task_done(&mut self, ix: u32, task: u32) {
         let tasks_per_chunk = self.tasks_per_chunk;
-        let due = self.now + PROGRESS_EVERY_S;
+        let due = self.now + PROGRESS_WRITE_DELAY_S;
         let job = &mut self.jobs[ix];
         let is_service = job.is_service();
         let state = &mut job.tasks[task as usize];
@@ -171,7 +174,7 @@
         self.finish_if_done(ix);
     }
 
-    /// Has the end of a job stored once all of its tasks are done.
+    /// Queues the end of a job to be stored if all of its tasks are done.
     pub(super) fn finish_if_done(&mut self, ix: u32) {
         let job = &mut self.jobs[ix];
         if job.state == JobState::Live && job.done == job.spec.tasks {
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -1,5 +1,5 @@
-//! What the leader stores: ends of jobs, done tasks, drains, the worker registry and the fencing
-//! record, one transaction at a time.
+//! Writes the leader's state to the state service, one transaction at a time: ends of jobs, done
+//! tasks, drains, the worker registry and the fencing record.
 
 mod write_batch;
 mod write_queue;
@@ -20,19 +20,21 @@
 pub(super) use write_batch::WriteBatch;
 pub(super) use write_queue::{JobChunk, ObsoleteChunk, WriteQueue};
 
-/// Changes that the end of a job takes: its terminal state appears, its description goes.
+/// The number of changes for the end of a job: its terminal state is added and its description is
+/// removed.
 const CHANGES_PER_FINISHED_JOB: usize = 2;
-/// Of a write of done tasks, besides the bitmap itself.
+/// The size of a progress write without the bitmap itself.
 const PROGRESS_OVERHEAD_BYTES: usize = 200;
 
 impl Core {
-    /// Sends what waits to be written, if no transaction is in flight.
+    /// Sends a transaction with the pending writes, if none is in flight.
     pub(super) fn flush_writes(&mut self) {
         if self.write_queue.is_in_flight() {
             return;
         }
         let mut batch = WriteBatch::new(self.config.cluster.state.txn_ops);
-        // First, as workers wait for their answers until their removal is stored.
+        // Fencing writes come first, because a fenced worker gets no answer until its removal from
+        // the record is stored.
         self.add_fencing_writes(&mut batch);
         self.add_finished_jobs(&mut batch);
         self.add_drain_writes(&mut batch);
@@ -74,8 +76,8 @@
         }
     }
 
-    /// When a chunk is to be written; `None` if the job has ended since: its index may be
-    /// another's by now.
+    /// When a chunk is due to be written; `None` if its job has ended since. In that case another
+    /// job may have the same index now.
     fn chunk_due_at(&self, chunk: JobChunk) -> Option<Time> {
         let job = self.jobs.get(chunk.job)?;
         if job.state != JobState::Live {
@@ -116,7 +118,7 @@
         }
     }
 
-    /// The transaction in flight has ended.
+    /// Handles the results of the transaction in flight.
     pub(super) fn handle_write_results(&mut self, results: Vec<(Write, Written)>) {
         self.write_queue.end_transaction();
         for (write, written) in results {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Notes which tasks are stored as done.
+    /// Marks the tasks whose done bits are stored.
     fn mark_stored(&mut self, ix: u32, chunk: u32, value: &Value) {
         let bitmap = TaskBitmap::from_record(value).unwrap_or_default();
         let first = self.first_task_of_chunk(chunk);
@@ -189,8 +191,8 @@
         }
     }
 
-    /// Restores a chunk that an earlier leader has stored. It may be longer than a chunk is
-    /// now, if the state service took larger values then.
+    /// Restores a chunk that an earlier leader has stored. It may be longer than the current chunk
+    /// size, if the state service accepted larger values at that time.
     pub(super) fn restore_progress(&mut self, stored: &StoredProgress) {
         let StoredProgress {
             job: id,
@@ -199,7 +201,7 @@
             ..
         } = *stored;
         let Some(ix) = self.jobs.index_of(id) else {
-            // Left over from a job that has ended.
+            // The job has ended, so the chunk is obsolete.
             return self.write_queue.push_obsolete_chunk(ObsoleteChunk {
                 job: id,
                 chunk,
@@ -208,8 +210,8 @@
         };
         let first = self.first_task_of_chunk(chunk);
         let job = &mut self.jobs[ix];
-        if let Some(of_chunk) = job.chunk_versions.get_mut(chunk as usize) {
-            *of_chunk = version;
+        if let Some(chunk_version) = job.chunk_versions.get_mut(chunk as usize) {
+            *chunk_version = version;
         }
         let tasks = job.tasks.iter_mut().skip(first);
         for (position, task) in tasks.take(stored.bitmap.capacity()).enumerate() {
@@ -221,7 +223,7 @@
         }
     }
 
-    /// The tasks of a job that a chunk is about.
+    /// The range of a job's tasks that a chunk covers.
     fn tasks_of_chunk(&self, ix: u32, chunk: u32) -> Range<usize> {
         let first = self.first_task_of_chunk(chunk);
         let end = first + self.tasks_per_chunk as usize;
@@ -232,7 +234,7 @@
         chunk as usize * self.tasks_per_chunk as usize
     }
 
-    /// Has a chunk written at `at`, unless it is to be written already.
+    /// Schedules the write of a chunk at `at`, unless a write is already scheduled.
     pub(super) fn schedule_progress_write(&mut self, ix: u32, chunk: u32, at: Time) {
         let due = &mut self.jobs[ix].chunk_due[chunk as usize];
         if due.is_none() {
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Has a chunk of a job that has ended removed, if it is stored.
+    /// Queues the removal of a chunk whose job has ended, if the chunk is stored.
     pub(super) fn remove_chunk(&mut self, job: JobId, chunk: u32, version: u64) {
         if version > 0 {
             self.write_queue.push_obsolete_chunk(ObsoleteChunk {
--- a/src/coordination/persistence/write_batch.rs
+++ b/src/coordination/persistence/write_batch.rs
@@ -1,22 +1,24 @@
-//! One transaction as it is put together, within the limits of the state service.
+//! Collects the writes of one transaction within the limits of the state service.
 
 use crate::storage::writer::Write;
 
-/// Bytes of values in one transaction, under the 64 KiB that it may have.
+/// The limit on bytes of values in one transaction, below the 64 KiB that the state service
+/// accepts.
 const MAX_VALUE_BYTES: usize = 40 * 1024;
 
 /// The writes of one transaction.
 #[derive(Debug)]
 pub(in crate::coordination) struct WriteBatch {
     writes: Vec<Write>,
-    /// What the state service takes in one transaction.
+    /// The maximum number of changes that the state service accepts in one transaction.
     max_changes: usize,
     changes: usize,
     value_bytes: usize,
 }
 
 impl WriteBatch {
-    /// `max_changes`: the changes that the state service takes in one transaction.
+    /// Creates an empty batch. `max_changes` is the maximum number of changes that the state
+    /// service accepts in one transaction.
     pub fn new(max_changes: usize) -> Self {
         Self {
             writes: Vec::new(),
@@ -26,30 +28,30 @@
         }
     }
 
-    /// Adds a write whose value has about so many bytes.
+    /// Adds a write whose value has about `value_bytes` bytes.
     pub fn push(&mut self, write: Write, value_bytes: usize) {
         self.changes += write.changes();
         self.value_bytes += value_bytes;
         self.writes.push(write);
     }
 
-    /// Whether so many changes more fit.
+    /// Whether this many more changes fit.
     pub fn has_room_for(&self, changes: usize) -> bool {
         self.changes + changes <= self.max_changes
     }
 
-    /// Whether one change with a larger value fits.
+    /// Whether one more change with a large value fits.
     pub fn has_room_for_value(&self) -> bool {
         self.has_room_for(1) && self.value_bytes <= MAX_VALUE_BYTES
     }
 
-    /// How many values of so many bytes fit at most.
+    /// The maximum number of values of this size that still fit.
     pub fn room_for_values_of(&self, bytes: usize) -> usize {
         let changes = self.max_changes.saturating_sub(self.changes);
         changes.min(MAX_VALUE_BYTES / bytes)
     }
 
-    /// Whether there is nothing to send.
+    /// Whether the batch has no writes.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty()
     }
