--- a/src/coordination/instances.rs
+++ b/src/coordination/instances.rs
@@ -129,8 +129,8 @@
 
     /// Returns an attempt number that no leader has used before.
     pub(super) fn new_attempt(&mut self) -> u64 {
-        self.next_attempt += 1;
-        self.next_attempt
+        self.last_attempt += 1;
+        self.last_attempt
     }
 
     /// Queues the start of a task on a worker. The caller has checked `may_start`.
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -101,7 +101,7 @@
         }
         // The worker registry tells the next leader which images each worker has.
         if !known {
-            self.images_changed(m);
+            self.schedule_images_write(m);
         }
     }
 
