--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -118,7 +118,7 @@
             let mut total_value = 0.0;
             let mut by_zone = vec![0u32; self.zones.len()];
             for (m, value) in candidates {
-                let mut room = self.room_after_reservations(m, ix);
+                let mut room = self.available_resources(m, ix);
                 let z = self.workers[m].zone as usize;
                 while placements.len() < job.spec.tasks as usize
                     && job.spec.needs.fits_in(&room)
@@ -181,7 +181,7 @@
                 self.workers[m].reservations.retain(|c| c.job == ix);
                 if !self.workers[m].reservations.is_empty() {
                     self.renew_reservation(m, ix, GANG_RESERVATION_S);
-                } else if needs.fits_in(&self.room_after_reservations(m, ix)) {
+                } else if needs.fits_in(&self.available_resources(m, ix)) {
                     self.reserve(m, ix, GANG_RESERVATION_S);
                 }
             }
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -217,8 +217,8 @@
             frees: usable && available && (reserved_for_job || reserved_for.is_none()),
             whole: kind.whole,
             room: match waiting_job.filter(|_| available) {
-                Some(ix) => self.room_after_reservations(m, ix),
-                None => self.room_after_reservations(m, u32::MAX),
+                Some(ix) => self.available_resources(m, ix),
+                None => self.available_resources(m, u32::MAX),
             },
             price: price / SECONDS_PER_HOUR,
             fetch_gb_per_s: kind.fetch_gb_per_s,
--- a/src/coordination/migration/start.rs
+++ b/src/coordination/migration/start.rs
@@ -58,7 +58,7 @@
             if large_task_profile.is_some() && reserved_for == large_task_profile {
                 self.workers[target].reserved_for = None;
             }
-            let Some(preemption) = self.victims(ix, target) else {
+            let Some(preemption) = self.select_victims(ix, target) else {
                 for (m, ix) in held {
                     self.release_hold(m, ix);
                 }
--- a/src/coordination/placement/auction_round.rs
+++ b/src/coordination/placement/auction_round.rs
@@ -61,7 +61,7 @@
             if !self.worker_usable(m) {
                 continue;
             }
-            let room = self.room_after_reservations(m, NO_JOB);
+            let room = self.available_resources(m, NO_JOB);
             let lot = Lot {
                 cpu_slots: (room.cpus as f64 / 1000.0 / slot_cpus).floor().max(0.0) as u32,
                 gpu_slots: (room.gpus / 1000).max(0) as u32,
--- a/src/coordination/placement/exact_fit.rs
+++ b/src/coordination/placement/exact_fit.rs
@@ -21,7 +21,7 @@
         let needs = self.jobs[ix].spec.needs;
         for m in self.workers_with_room(ix) {
             while remaining > 0
-                && needs.fits_in(&self.room_after_reservations(m, ix))
+                && needs.fits_in(&self.available_resources(m, ix))
                 && self.start_next_task(ix, m)
             {
                 remaining -= 1;
@@ -40,7 +40,7 @@
             .into_iter()
             .filter(|&m| {
                 self.worker_usable(m)
-                    && needs.fits_in(&self.room_after_reservations(m, ix))
+                    && needs.fits_in(&self.available_resources(m, ix))
                     && self.worker_allowed(ix, m)
                     && self.in_tier_or_better(ix, m, tier)
             })
--- a/src/coordination/preemption/gangs.rs
+++ b/src/coordination/preemption/gangs.rs
@@ -91,7 +91,7 @@
     /// Room for one task of a gang on a worker without reservations for other jobs.
     fn gang_placement(&self, ix: u32, m: u32) -> Option<GangPlacement> {
         match self.workers[m].reservations.as_slice() {
-            [] => self.victims(ix, m).map(|preemption| GangPlacement {
+            [] => self.select_victims(ix, m).map(|preemption| GangPlacement {
                 cost: preemption.cost,
                 worker: m,
                 victims: preemption.victims,
--- a/src/coordination/preemption/reservations.rs
+++ b/src/coordination/preemption/reservations.rs
@@ -71,7 +71,7 @@
     }
 
     /// Free room of a worker less what is reserved for other jobs.
-    pub(in crate::coordination) fn room_after_reservations(&self, m: u32, ix: u32) -> Resources {
+    pub(in crate::coordination) fn available_resources(&self, m: u32, ix: u32) -> Resources {
         let mut room = self.free_resources(m);
         if let Some(kept) = self.withheld_resources(m, ix) {
             room.sub(&kept);
@@ -86,8 +86,8 @@
 
     /// Free room of a worker less everything that is reserved on it, including reservations for
     /// this job.
-    pub(super) fn unreserved_room(&self, ix: u32, m: u32) -> Resources {
-        let mut room = self.room_after_reservations(m, ix);
+    pub(super) fn unreserved_resources(&self, ix: u32, m: u32) -> Resources {
+        let mut room = self.available_resources(m, ix);
         for reservation in &self.workers[m].reservations {
             if reservation.job == ix {
                 self.subtract_reserved(&mut room, reservation);
@@ -127,7 +127,7 @@
                     && self.jobs[ix]
                         .spec
                         .needs
-                        .fits_in(&self.room_after_reservations(m, ix))
+                        .fits_in(&self.available_resources(m, ix))
                     && self.start_next_task(ix, m)
                 {}
             }
--- a/src/coordination/preemption/single_tasks.rs
+++ b/src/coordination/preemption/single_tasks.rs
@@ -92,7 +92,7 @@
         if !self.can_make_room(ix, m) {
             return None;
         }
-        let preemption = self.victims(ix, m)?;
+        let preemption = self.select_victims(ix, m)?;
         // Dividing by the value makes a costlier stop acceptable on a worker that has the image
         // cached.
         let value = self.value(ix, m).max(MIN_VALUE);
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -49,11 +49,11 @@
         self.outranks(ix, other) && (self.jobs[ix].is_service() || !self.is_multi_task_gang(other))
     }
 
-    /// Whether [`Self::victims`] finds a set of stops. Cheaper, as it does not look for the best
+    /// Whether [`Self::select_victims`] finds a set of stops. Cheaper, as it does not look for the best
     /// one.
     pub(in crate::coordination) fn can_make_room(&self, ix: u32, m: u32) -> bool {
         let needs = &self.jobs[ix].spec.needs;
-        let mut room = self.unreserved_room(ix, m);
+        let mut room = self.unreserved_resources(ix, m);
         let mut instances = self.workers[m].instances.iter();
         while !needs.fits_in(&room) {
             let Some((key, instance)) = instances.next() else {
@@ -69,9 +69,9 @@
 
     /// A set of stops on one worker that makes room for one task, chosen in ascending order of
     /// cost.
-    pub(in crate::coordination) fn victims(&self, ix: u32, m: u32) -> Option<Preemption> {
+    pub(in crate::coordination) fn select_victims(&self, ix: u32, m: u32) -> Option<Preemption> {
         let needs = self.jobs[ix].spec.needs;
-        let mut room = self.unreserved_room(ix, m);
+        let mut room = self.unreserved_resources(ix, m);
         for (key, instance) in &self.workers[m].instances {
             if instance.may_exist() && instance.stop.is_some() {
                 // This instance is being stopped already. Its room is reserved for the job that it
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -202,7 +202,7 @@
 
     /// A worker as a target, if it has room or has it by preempting tasks that are no gang's.
     fn replica_target(&self, ix: u32, m: u32) -> Option<Target> {
-        let preemption = self.victims(ix, m)?;
+        let preemption = self.select_victims(ix, m)?;
         let breaks_gang = preemption
             .victims
             .iter()
