--- a/src/coordination/placement/auction_round.rs
+++ b/src/coordination/placement/auction_round.rs
@@ -8,7 +8,8 @@
 
 use super::MAX_TASKS_PER_JOB;
 
-/// Stands for no job: room after reservations for it is room that is reserved for no job.
+/// A job index that no job has. The resources available to it are those that are reserved for no
+/// job.
 const NO_JOB: u32 = u32::MAX;
 
 /// The lots of an auction, and the index of the worker that each belongs to.
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -49,8 +49,8 @@
         self.outranks(ix, other) && (self.jobs[ix].is_service() || !self.is_multi_task_gang(other))
     }
 
-    /// Whether [`Self::select_victims`] finds a set of stops. Cheaper, as it does not look for the best
-    /// one.
+    /// Whether [`Self::select_victims`] finds a set of stops. Cheaper, as it does not look for the
+    /// best one.
     pub(in crate::coordination) fn can_make_room(&self, ix: u32, m: u32) -> bool {
         let needs = &self.jobs[ix].spec.needs;
         let mut room = self.unreserved_resources(ix, m);
--- a/tests/behaviours.rs
+++ b/tests/behaviours.rs
@@ -356,9 +356,9 @@
     }
 }
 
-/// Guards against mistaking jobs that fail everywhere for a faulty worker. Several such jobs, each
-/// on its first attempts, looked like good jobs on a faulty worker, and workers that had run
-/// nothing else were scaled in.
+/// Guards against attributing the failures of faulty jobs to workers. Several jobs that fail
+/// everywhere, each on its first attempts, looked like good jobs on a faulty worker, and workers
+/// that had run nothing else were scaled in.
 #[test]
 fn failing_jobs_cost_no_healthy_worker_and_few_starts() {
     let mut harness = harness_with(&[("a", "small", 4), ("b", "small", 4)]);
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -136,8 +136,8 @@
 }
 
 /// Guards against refusing heartbeats after a failover. One heartbeat of each worker waits until
-/// the new leader has read the stored state, and is then answered. When only 2,048 could wait, the
-/// limit was too low: 4,000 workers send that many in 1.3 s.
+/// the new leader has read the stored state, and is then answered. A limit of 2,048 waiting
+/// heartbeats was too low: 4,000 workers send that many in 1.3 s.
 #[test]
 fn heartbeats_of_all_workers_wait_until_a_new_leader_has_read_the_state() {
     run_in_simulated_time(async {
