--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -95,7 +95,7 @@
     }
 
     /// Ends the drain of a worker that is gone for good, and its name with it.
-    pub(super) fn forget_drain(&mut self, name: &str) {
+    pub(super) fn end_drain_of_removed_worker(&mut self, name: &str) {
         if let Some(drain) = self.drains.get_mut(name) {
             drain.request_end();
         }
--- a/src/coordination/provisioning/boots.rs
+++ b/src/coordination/provisioning/boots.rs
@@ -1,40 +1,43 @@
-//! Workers that boot: how long that takes by type, and which are overdue.
+//! Booting workers: estimates of the boot time by instance type, and detection of overdue boots.
 
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 
-use super::scale_out::Room;
+use super::scale_out::AvailableWorker;
 
-/// A boot is overdue after this multiple of what is usual: boot times are between half and one and
-/// a half of it.
+/// A boot is overdue after this multiple of the expected boot time. Actual boot times lie between
+/// 0.5 and 1.5 times the expected one.
 const OVERDUE_FACTOR: f64 = 1.6;
-/// Added to every boot time, for the first heartbeat.
+/// Added to every boot time to allow for the first heartbeat.
 const OVERDUE_MARGIN_S: Time = 2.0;
-/// A worker is returned after this multiple of the time at which its boot is overdue.
+/// A worker is returned to the cloud after this multiple of the time after which its boot is
+/// overdue.
 const RETURN_FACTOR: f64 = 2.5;
-/// Weight of one boot in the estimate for its type: one worker says little about the next.
+/// Weight of one boot in the moving average for its instance type. The weight is low because boot
+/// times vary between workers.
 const BOOT_WEIGHT: f64 = 0.2;
-/// The least and the most that one boot counts, as multiples of what the cloud says.
+/// Bounds of one observed boot time, as multiples of the boot time that the cloud states.
 const MIN_BOOT_FACTOR: f64 = 0.05;
 const MAX_BOOT_FACTOR: f64 = 3.0;
-/// The least that the estimate counts when it is used.
+/// Lower bound of the estimate when it is used, as a multiple of the boot time that the cloud
+/// states.
 const MIN_ESTIMATED_FACTOR: f64 = 0.5;
-/// Taken for types that the cloud has not described.
+/// The boot time assumed for instance types that the cloud has not described.
 const DEFAULT_BOOT_S: Time = 60.0;
 
-/// A worker that the cloud has started and that has sent no heartbeat yet.
+/// A worker that the cloud has started but that has not sent a heartbeat yet.
 #[derive(Debug, Clone)]
 pub(super) struct BootingWorker {
-    /// Index of its instance type.
+    /// Index of the instance type.
     pub(super) kind: u32,
-    /// When its boot began.
+    /// When the boot began.
     pub(super) since: Time,
-    /// The cloud may reclaim it.
+    /// Whether it is a spot worker, which the cloud may reclaim.
     pub(super) spot: bool,
 }
 
 impl Core {
-    /// A worker has sent its first heartbeat: its boot time updates the estimate for its type.
+    /// Handles the first heartbeat of a worker: its boot time updates the estimate for its type.
     pub(crate) fn handle_worker_boot(&mut self, name: &str) {
         let Some(booting) = self.provisioning.booting.remove(name) else {
             return;
@@ -50,7 +53,8 @@
         tracing::debug!(worker = name, took_s, factor = *factor, "boot time");
     }
 
-    /// After how long a booting worker is overdue: then others are requested in its place.
+    /// Returns after how many seconds a boot is overdue. Overdue workers are replaced by new
+    /// requests.
     fn boot_overdue_after_s(&self, kind: u32) -> Time {
         let factors = &self.provisioning.boot_time_factors;
         let factor = factors.get(&kind).copied().unwrap_or(1.0);
@@ -59,16 +63,16 @@
             + OVERDUE_MARGIN_S
     }
 
-    /// What booting workers will be able to take. What is overdue is not counted: some workers
-    /// never boot, and their work would wait minutes for them.
-    pub(super) fn booting_room(&self) -> Vec<Room> {
+    /// Returns the booting workers on which tasks can be planned. Overdue workers are left out:
+    /// some never boot, and tasks planned on them would wait for minutes.
+    pub(super) fn available_booting_workers(&self) -> Vec<AvailableWorker> {
         self.provisioning
             .booting
             .values()
             .filter(|worker| self.now - worker.since <= self.boot_overdue_after_s(worker.kind))
             .filter_map(|worker| {
                 let kind = self.types.get(worker.kind)?;
-                Some(Room {
+                Some(AvailableWorker {
                     kind: worker.kind,
                     spot: worker.spot,
                     free: kind.whole,
@@ -77,7 +81,8 @@
             .collect()
     }
 
-    /// Workers that have not booted for so long that they are returned, by name.
+    /// Returns the names of workers that have taken so long to boot that they are returned to the
+    /// cloud.
     pub(super) fn unbooted_workers(&self) -> impl Iterator<Item = &String> {
         self.provisioning
             .booting
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -1,9 +1,12 @@
-//! Provisioning: which workers the cluster has. Workers are scaled out for tasks that find no room,
-//! and scaled in when they are idle, do not boot, or can only be proved empty by their return.
+//! Provisioning of workers from the cloud.
 //!
-//! `scale_out` and `scale_in` send the requests and handle their results, `boots` estimates boot
-//! times, `unresponsive` releases workers that this leader cannot reach, and `quarantine` tells
-//! faulty workers from mistaken jobs.
+//! The cluster scales out when tasks do not fit on the existing workers. It scales in workers that
+//! are idle or do not boot, and workers whose tasks can only be proved gone by returning the worker
+//! to the cloud.
+//!
+//! `scale_out` and `scale_in` send requests and handle their results, `boots` estimates boot times,
+//! `unresponsive` releases workers that this leader cannot reach, `recent_heartbeats` tells which
+//! zones are reachable, and `quarantine` distinguishes faulty workers from faulty jobs.
 
 mod boots;
 mod quarantine;
@@ -23,41 +26,43 @@
 use boots::BootingWorker;
 use scale_out::{CapacityPool, ProvisioningRequest};
 
-/// How often the cloud is asked for the list of its workers.
+/// How often the list of workers is read from the cloud.
 const LIST_INTERVAL_S: Time = 3.0;
-/// How often the cloud is asked for its instance types.
+/// How often the instance types are read from the cloud.
 const TYPES_INTERVAL_S: Time = 20.0;
 
-/// The cloud's name for the phase of a worker that has stopped by itself.
+/// The phase that the cloud lists for a worker that has stopped by itself.
 const PHASE_FAILED: &str = "failed";
-/// The cloud's name for the phase of a worker that boots.
+/// The phase that the cloud lists for a booting worker.
 const PHASE_STARTING: &str = "starting";
 
-/// What the leader has asked the cloud for, and what it knows of the cloud's answers.
+/// The leader's requests to the cloud and what it has learned from the responses.
 #[derive(Debug)]
 pub(super) struct Provisioning {
-    /// The leader's fencing token, which makes the ids of requests unique across leaders.
+    /// The leader's fencing token. Part of the request ids, which makes them unique across leaders.
     token: u64,
-    /// The number of the last request to scale out.
+    /// The number of the last scale-out request.
     last_request: u64,
-    /// Requests to scale out that have no answer yet, by id.
+    /// Scale-out requests without a response yet, by id.
     pending_requests: BTreeMap<String, ProvisioningRequest>,
-    /// Workers without a heartbeat yet, by name.
+    /// Workers that have not sent a heartbeat yet, by name.
     booting: BTreeMap<String, BootingWorker>,
-    /// By type: how long workers took to boot, as a multiple of what the cloud says.
+    /// The moving average of boot times by instance type, as a multiple of the boot time that the
+    /// cloud states.
     boot_time_factors: BTreeMap<u32, f64>,
-    /// Pools that had no capacity, and until when they are not asked again.
+    /// Pools that had no capacity or refused a request, and until when they are not requested from.
     no_capacity_until: BTreeMap<CapacityPool, Time>,
     next_list_at: Time,
     next_types_at: Time,
-    /// A request to scale in has no answer yet; there is one at a time.
+    /// Whether a scale-in request has no response yet. Only one is sent at a time.
     scale_in_pending: bool,
-    /// The cloud has listed its workers to this leader: before, it may have more than are known.
+    /// Whether this leader has received the cloud's list of workers. Before that, there may be
+    /// workers that it does not know.
     workers_listed: bool,
 }
 
 impl Provisioning {
-    /// The state of a new leader with this fencing token.
+    /// Creates the state of a new leader with this fencing token.
     pub(super) fn new(token: u64, now: Time) -> Self {
         Self {
             token,
@@ -75,7 +80,7 @@
 }
 
 impl Core {
-    /// What is done once a second: reads of the cloud's state, then scaling out and in.
+    /// Runs once a second: reads the cloud's state when due, then scales out and in.
     pub(super) fn run_provisioning(&mut self) {
         if self.now >= self.provisioning.next_types_at {
             self.provisioning.next_types_at = self.now + TYPES_INTERVAL_S;
@@ -89,7 +94,7 @@
         self.scale_in();
     }
 
-    /// The cloud has listed its workers.
+    /// Handles the cloud's list of workers.
     pub(super) fn handle_worker_list(&mut self, list: Vec<ListedWorker>) {
         self.provisioning.workers_listed = true;
         for entry in list {
@@ -116,7 +121,8 @@
         }
     }
 
-    /// A worker has stopped by itself: only its return proves that its tasks are gone.
+    /// Returns a worker that has stopped by itself. Only its return to the cloud proves that its
+    /// tasks are gone.
     fn return_failed_worker(&mut self, entry: &ListedWorker, kind: u32, zone: u32) {
         let m = match self.workers.index_of(&entry.name) {
             Some(m) => m,
--- a/src/coordination/provisioning/recent_heartbeats.rs
+++ b/src/coordination/provisioning/recent_heartbeats.rs
@@ -1,23 +1,26 @@
-//! Whether other workers of a zone are reachable, from their last heartbeats.
+//! Reachability of zones, derived from the last heartbeats of their workers.
 
 use std::collections::BTreeMap;
 
 use crate::coordination::model::Time;
 
-/// This many other workers with a recent heartbeat are enough, or a quarter where there are fewer.
-const ENOUGH_RESPONSIVE: u32 = 3;
+/// A group is responsive if this many of its workers, or a quarter of them if that is fewer, have
+/// sent a recent heartbeat.
+const MIN_RESPONSIVE_WORKERS: u32 = 3;
 
-/// The last heartbeats of all workers, as far as they show whether a zone is reachable.
+/// The latest heartbeats by zone and overall, from which the reachability of a zone is derived.
 #[derive(Debug, Default)]
 pub(super) struct RecentHeartbeats {
     by_zone: BTreeMap<u32, WorkerGroup>,
     all: WorkerGroup,
 }
 
-/// Some workers, and the few of them with the latest heartbeats, the latest first.
+/// A group of workers, of which only the latest heartbeats are kept.
 #[derive(Debug, Default)]
 struct WorkerGroup {
+    /// Number of workers in the group.
     workers: u32,
+    /// The latest heartbeats, the most recent first.
     latest: Vec<LastHeartbeat>,
 }
 
@@ -27,26 +30,27 @@
     worker: u32,
 }
 
-/// What the other workers of a group show about their network.
+/// Whether the other workers of a group are reachable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum OtherWorkers {
-    /// There are none.
+    /// There are no other workers.
     Absent,
-    /// Enough of them have sent a heartbeat.
+    /// Enough of them have sent a recent heartbeat.
     Responsive,
-    /// Too few have.
+    /// Too few of them have sent a recent heartbeat.
     Unresponsive,
 }
 
 impl RecentHeartbeats {
-    /// Adds the last heartbeat of a worker.
+    /// Adds a worker and the time of its last heartbeat.
     pub(super) fn record(&mut self, worker: u32, zone: u32, at: Option<Time>) {
         self.by_zone.entry(zone).or_default().record(worker, at);
         self.all.record(worker, at);
     }
 
-    /// Whether workers of a zone other than `worker` (`None`: it was not recorded) have sent
-    /// heartbeats after `since`. The only worker of its zone is judged by all others.
+    /// Returns whether enough workers of a zone other than `worker` have sent a heartbeat after
+    /// `since`. If the zone has no other workers, the workers of all zones are considered. `worker`
+    /// is `None` if it was not recorded.
     pub(super) fn others_responsive(
         &self,
         worker: Option<u32>,
@@ -69,8 +73,8 @@
     fn record(&mut self, worker: u32, at: Option<Time>) {
         self.workers += 1;
         let position = self.latest.partition_point(|known| known.at >= at);
-        // One more than enough, as the worker in question may be among them.
-        let limit = ENOUGH_RESPONSIVE as usize + 1;
+        // One more than required, because the worker that is asked about may be among them.
+        let limit = MIN_RESPONSIVE_WORKERS as usize + 1;
         if position < limit {
             self.latest.insert(position, LastHeartbeat { at, worker });
             self.latest.truncate(limit);
@@ -87,7 +91,7 @@
             .iter()
             .filter(|last| Some(last.worker) != worker && last.at > since)
             .count() as u32;
-        if responsive >= (others / 4).clamp(1, ENOUGH_RESPONSIVE) {
+        if responsive >= (others / 4).clamp(1, MIN_RESPONSIVE_WORKERS) {
             OtherWorkers::Responsive
         } else {
             OtherWorkers::Unresponsive
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -1,16 +1,19 @@
-//! Scaling in: idle, quarantined and unbooted workers, and those that other modules release.
+//! Scale-in: returns idle, quarantined and unbooted workers to the cloud, and workers that other
+//! modules release.
 
 use crate::coordination::messages::Effect;
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 
-/// Workers in one request; the cloud takes no more than 100.
+/// Workers per request. The cloud accepts at most 100.
 const MAX_WORKERS_PER_REQUEST: usize = 100;
-/// An empty worker that was quarantined this often in a row is returned.
+/// An empty worker is returned after this many quarantines without a successful task in
+/// between.
 const QUARANTINES_BEFORE_RETURN: u32 = 2;
 
 impl Core {
-    /// The cloud has answered a request to scale in; `ok`: it has taken all of these back.
+    /// Handles the result of a scale-in request. `ok` means that the cloud has taken back all of
+    /// the workers.
     pub(crate) fn handle_scale_in_result(&mut self, names: Vec<String>, ok: bool) {
         self.provisioning.scale_in_pending = false;
         if !ok {
@@ -27,13 +30,13 @@
             self.unregister_worker(m);
             self.remove_worker_from_shards(m);
             self.workers.remove(m);
-            self.forget_drain(&name);
+            self.end_drain_of_removed_worker(&name);
             removed.push(name);
         }
         log_scaled_in(&removed);
     }
 
-    /// Marks the workers that are not needed, and requests their return.
+    /// Marks workers that are not needed or faulty as returning, and requests their return.
     pub(super) fn scale_in(&mut self) {
         let now = self.now;
         let is_live = |job: &Job| job.state == JobState::Live;
@@ -41,7 +44,7 @@
             .jobs
             .iter()
             .any(|(_, job)| is_live(job) && job.waiting() > 0);
-        // While there is work, more can be expected.
+        // While any job is live, more jobs can be expected, so the idle time has its own setting.
         let idle_return_s = if self.jobs.iter().any(|(_, job)| is_live(job)) {
             self.config.tuning.idle_return_s
         } else {
@@ -62,7 +65,8 @@
         self.send_scale_in();
     }
 
-    /// Requests the return of workers that are marked or did not boot, unless a request is pending.
+    /// Requests the return of workers that are marked as returning or did not boot, unless a
+    /// request is pending.
     pub(super) fn send_scale_in(&mut self) {
         if self.provisioning.scale_in_pending {
             return;
@@ -85,12 +89,12 @@
     }
 }
 
-/// Whether nothing is on a worker or on its way to it.
+/// Returns whether a worker holds no tasks and no message to it is in flight.
 fn is_empty(worker: &Worker) -> bool {
     worker.instances.is_empty() && worker.orphaned_tasks.is_empty() && worker.in_flight.is_none()
 }
 
-/// Logs one worker by name, several by their number and by name at debug level.
+/// Logs a single worker by name. Several workers are logged as a count, and by name at debug level.
 fn log_scaled_in(workers: &[String]) {
     if let [worker] = workers {
         tracing::info!(worker, "scaled in");
@@ -104,7 +108,7 @@
     }
 }
 
-/// Logs one worker by name, several by their number and by name at debug level.
+/// Logs a single worker by name. Several workers are logged as a count, and by name at debug level.
 fn log_unbooted(workers: &[String]) {
     if let [worker] = workers {
         tracing::info!(worker, "worker did not boot, returned");
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scaling out: workers for the tasks that find no room, at the lowest price.
+//! Scale-out: requests workers for tasks that fit on no existing worker, at the lowest price.
 
 use std::collections::BTreeMap;
 
@@ -10,31 +10,31 @@
 
 use super::boots::BootingWorker;
 
-/// How long a pool is left alone after the cloud had no capacity in it.
+/// How long no workers are requested from a pool after the cloud had no capacity in it.
 const NO_CAPACITY_S: Time = 20.0;
-/// How long a pool is left alone after a request was refused or had no answer.
+/// How long no workers are requested from a pool after a request was refused or got no response.
 const REFUSED_RETRY_S: Time = 5.0;
-/// A job wants new workers once it has waited for room this long.
-const UNPLACED_S: Time = 0.5;
-/// Workers requested at once; the cloud takes no more than 50.
+/// Workers are requested for a job once its tasks have been unplaced for this long.
+const MIN_UNPLACED_S: Time = 0.5;
+/// Workers per request. The cloud accepts at most 50.
 const MAX_WORKERS_PER_REQUEST: u32 = 50;
-/// Requests at once: the rest is requested the next time.
+/// Requests per scaling round. What remains is requested in the next round.
 const MAX_REQUESTS: usize = 3;
-/// Waiting tasks of one job that are planned for at once.
+/// Waiting tasks of one job that are considered in one scaling round.
 const MAX_TASKS_PER_JOB: u32 = 2000;
 
-/// What the cloud has separate capacity for: workers of one type in one zone, spot or not.
+/// A capacity pool of the cloud: workers of one instance type in one zone, either spot or not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CapacityPool {
     /// Index of the instance type.
     kind: u32,
     /// Index of the zone.
     zone: u32,
-    /// The cloud may reclaim its workers.
+    /// Whether its workers are spot workers, which the cloud may reclaim.
     spot: bool,
 }
 
-/// A request to scale out that has no answer yet.
+/// A scale-out request without a response yet.
 #[derive(Debug, Clone)]
 pub(super) struct ProvisioningRequest {
     pool: CapacityPool,
@@ -42,29 +42,30 @@
     count: u32,
 }
 
-/// Resources that are free on a worker, or will be.
+/// A worker that tasks can be planned on. It exists, is booting or is about to be requested.
 #[derive(Debug)]
-pub(super) struct Room {
+pub(super) struct AvailableWorker {
     /// Index of the worker's instance type.
     pub(super) kind: u32,
-    /// The cloud may reclaim it.
+    /// Whether it is a spot worker, which the cloud may reclaim.
     pub(super) spot: bool,
-    /// What is free on it.
+    /// Its free resources.
     pub(super) free: Resources,
 }
 
-impl Room {
-    /// Places as many of `left` tasks as fit, and returns how many are left.
-    fn fill(&mut self, needs: &Resources, mut left: u32) -> u32 {
-        while left > 0 && needs.fits_in(&self.free) {
+impl AvailableWorker {
+    /// Takes the resources of as many of the `remaining` tasks as fit, and returns how many tasks
+    /// do not fit.
+    fn pack_tasks(&mut self, needs: &Resources, mut remaining: u32) -> u32 {
+        while remaining > 0 && needs.fits_in(&self.free) {
             self.free.sub(needs);
-            left -= 1;
+            remaining -= 1;
         }
-        left
+        remaining
     }
 
-    /// Whether a job's tasks may run on the worker at all.
-    fn suits(&self, job: &Job) -> bool {
+    /// Returns whether a job allows the worker's instance type, and spot if it is a spot worker.
+    fn allowed_for(&self, job: &Job) -> bool {
         (!self.spot || job.spec.spot)
             && job
                 .types
@@ -73,26 +74,28 @@
     }
 }
 
-/// What is to be requested for the jobs that were planned so far.
+/// The workers to be requested for the jobs planned so far.
 struct ScaleOutPlan {
     /// How many more workers may be requested.
     allowed: u32,
-    /// Room on workers that boot or are planned.
-    room: Vec<Room>,
-    /// How many workers of each pool are to be requested.
+    /// Workers with free resources: booting ones, planned ones, and existing ones while replicas
+    /// are at risk.
+    available: Vec<AvailableWorker>,
+    /// How many workers to request from each pool.
     wanted: BTreeMap<CapacityPool, u32>,
 }
 
-/// The replicas that will soon be lost, and the zones in which no workers are requested.
+/// The replicas that need replacements because their zones are unresponsive, and those zones, in
+/// which no workers are requested.
 struct ScaleOutDemand {
-    /// By zone index: most of its workers are unresponsive.
+    /// By zone index, whether most workers of the zone are unresponsive.
     zones_unresponsive: Vec<bool>,
-    /// By service: its replicas in such zones.
+    /// By index of the service's job, the number of its replicas in such zones.
     replicas_at_risk: BTreeMap<u32, u32>,
 }
 
 impl Core {
-    /// The cloud has answered a request to scale out, or has not.
+    /// Handles the outcome of a scale-out request, which may be that no response arrived.
     pub(crate) fn handle_scale_out_result(&mut self, request: &str, outcome: ScaleOutOutcome) {
         let Some(request) = self.provisioning.pending_requests.remove(request) else {
             return;
@@ -108,7 +111,8 @@
                 }
             }
             ScaleOutOutcome::NoCapacity => self.avoid_pool(request.pool, NO_CAPACITY_S),
-            // Workers of a lost answer show up in the list or send heartbeats by themselves.
+            // If the response was lost, the new workers become known through the worker list or
+            // through their heartbeats.
             ScaleOutOutcome::Refused | ScaleOutOutcome::Unknown => {
                 self.avoid_pool(request.pool, REFUSED_RETRY_S);
             }
@@ -132,7 +136,7 @@
         self.provisioning.booting.insert(name, worker);
     }
 
-    /// Requests workers for the tasks that find no room.
+    /// Requests workers for the tasks that fit on no existing worker.
     pub(super) fn scale_out(&mut self) {
         let now = self.now;
         self.provisioning
@@ -147,17 +151,17 @@
         }
     }
 
-    /// How many workers of each pool are wanted, for the jobs of the highest weight first.
+    /// Returns how many workers to request from each pool. Jobs of the highest weight come first.
     fn plan_scale_out(&self) -> BTreeMap<CapacityPool, u32> {
         let demand = self.scale_out_demand();
         let mut plan = ScaleOutPlan {
             allowed: self.allowed_workers(),
-            room: self.booting_room(),
+            available: self.available_booting_workers(),
             wanted: BTreeMap::new(),
         };
         if !demand.replicas_at_risk.is_empty() {
-            plan.room
-                .extend(self.room_outside(&demand.zones_unresponsive));
+            plan.available
+                .extend(self.available_workers_outside(&demand.zones_unresponsive));
         }
         for ix in self.jobs_by_weight(&demand) {
             self.plan_workers_for(ix, &demand, &mut plan);
@@ -174,7 +178,7 @@
         }
     }
 
-    /// How many workers may be requested without exceeding the configured number.
+    /// Returns how many workers may be requested without exceeding the configured maximum.
     fn allowed_workers(&self) -> u32 {
         let limit = self.config.tuning.fleet_max;
         if limit == 0 {
@@ -184,15 +188,15 @@
         limit.saturating_sub(present).min(MAX_WORKERS_PER_REQUEST)
     }
 
-    /// Whether tasks of a job have waited for room long enough.
-    fn wants_room(&self, job: &Job) -> bool {
+    /// Returns whether tasks of a job have been unplaced for long enough to request workers.
+    fn needs_workers(&self, job: &Job) -> bool {
         job.waiting() > 0
             && job
                 .unplaced_since
-                .is_some_and(|t| self.now - t > UNPLACED_S)
+                .is_some_and(|t| self.now - t > MIN_UNPLACED_S)
     }
 
-    /// The jobs that workers are wanted for, by descending weight.
+    /// Returns the jobs that need new workers, by descending weight.
     fn jobs_by_weight(&self, demand: &ScaleOutDemand) -> Vec<u32> {
         let mut jobs: Vec<(f64, u32)> = self
             .jobs
@@ -200,7 +204,7 @@
             .filter(|(ix, job)| {
                 job.state == JobState::Live
                     && !self.is_faulty_job(*ix)
-                    && (self.wants_room(job) || demand.replicas_at_risk.contains_key(ix))
+                    && (self.needs_workers(job) || demand.replicas_at_risk.contains_key(ix))
             })
             .map(|(ix, _)| (self.weight(ix), ix))
             .collect();
@@ -208,23 +212,27 @@
         jobs.into_iter().map(|(_, ix)| ix).collect()
     }
 
-    /// Plans workers for the tasks of a job that the room planned so far does not hold.
+    /// Plans new workers for the tasks of a job that do not fit on the available ones.
     fn plan_workers_for(&self, ix: u32, demand: &ScaleOutDemand, plan: &mut ScaleOutPlan) {
         let job = &self.jobs[ix];
         let needs = job.spec.needs;
-        let waiting = if self.wants_room(job) {
+        let waiting = if self.needs_workers(job) {
             job.waiting()
         } else {
             0
         };
-        let mut left = waiting
+        let mut remaining = waiting
             .min(MAX_TASKS_PER_JOB)
             .min(self.trial_start_limit(ix));
-        left += demand.replicas_at_risk.get(&ix).copied().unwrap_or(0);
-        for room in plan.room.iter_mut().filter(|room| room.suits(job)) {
-            left = room.fill(&needs, left);
+        remaining += demand.replicas_at_risk.get(&ix).copied().unwrap_or(0);
+        for worker in plan
+            .available
+            .iter_mut()
+            .filter(|worker| worker.allowed_for(job))
+        {
+            remaining = worker.pack_tasks(&needs, remaining);
         }
-        while left > 0 && plan.allowed > 0 {
+        while remaining > 0 && plan.allowed > 0 {
             let zones_unresponsive = &demand.zones_unresponsive;
             let Some(pool) = self.cheapest_pool(ix, &plan.wanted, zones_unresponsive) else {
                 break;
@@ -234,13 +242,13 @@
             };
             *plan.wanted.entry(pool).or_default() += 1;
             plan.allowed -= 1;
-            let mut room = Room {
+            let mut worker = AvailableWorker {
                 kind: pool.kind,
                 spot: pool.spot,
                 free: kind.whole,
             };
-            left = room.fill(&needs, left);
-            plan.room.push(room);
+            remaining = worker.pack_tasks(&needs, remaining);
+            plan.available.push(worker);
         }
     }
 
@@ -260,9 +268,10 @@
         });
     }
 
-    /// By service, its replicas in unresponsive zones. They serve on until their leases expire,
-    /// and will then all want room at once: workers take about as long to boot as leases to
-    /// expire, so workers are requested for them before.
+    /// Returns, by service, the number of its replicas on unresponsive workers in unresponsive
+    /// zones. They keep running until their workers' leases expire, and then all need new workers
+    /// at once. Booting takes about as long as a lease, so replacements are requested before the
+    /// leases expire.
     fn replicas_at_risk(&self, zones_unresponsive: &[bool]) -> BTreeMap<u32, u32> {
         let mut replicas = BTreeMap::new();
         if !zones_unresponsive.contains(&true) {
@@ -282,8 +291,8 @@
         replicas
     }
 
-    /// What is free on workers outside of unresponsive zones.
-    fn room_outside(&self, zones_unresponsive: &[bool]) -> Vec<Room> {
+    /// Returns the usable workers without reservations outside of unresponsive zones.
+    fn available_workers_outside(&self, zones_unresponsive: &[bool]) -> Vec<AvailableWorker> {
         self.workers
             .iter()
             .filter(|(m, worker)| {
@@ -291,7 +300,7 @@
                     && self.worker_usable(*m)
                     && worker.reservations.is_empty()
             })
-            .map(|(m, worker)| Room {
+            .map(|(m, worker)| AvailableWorker {
                 kind: worker.kind,
                 spot: worker.spot,
                 free: self.free_room(m),
@@ -299,8 +308,8 @@
             .collect()
     }
 
-    /// The pool where a task of the job costs least; among equals, the one that least is wanted of,
-    /// which spreads workers over the zones.
+    /// Returns the pool in which a task of the job costs least. Among pools of equal cost, the one
+    /// with the fewest planned workers is chosen, which spreads workers over the zones.
     fn cheapest_pool(
         &self,
         ix: u32,
@@ -332,9 +341,9 @@
                     } else {
                         described.price
                     };
-                    let rank = (price * share, wanted.get(&pool).copied().unwrap_or(0));
-                    if best.as_ref().is_none_or(|(least, _)| rank < *least) {
-                        best = Some((rank, pool));
+                    let key = (price * share, wanted.get(&pool).copied().unwrap_or(0));
+                    if best.as_ref().is_none_or(|(best_key, _)| key < *best_key) {
+                        best = Some((key, pool));
                     }
                 }
             }
@@ -342,13 +351,14 @@
         best.map(|(_, pool)| pool)
     }
 
-    /// Whether the job allows spot workers if these are, and the pool has not just lacked capacity.
+    /// Returns whether workers of the pool may be requested for the job: it must allow spot workers
+    /// if the pool has them, and the pool must not have lacked capacity lately.
     fn may_request(&self, job: &Job, pool: CapacityPool) -> bool {
         let without_capacity = &self.provisioning.no_capacity_until;
         (!pool.spot || job.spec.spot) && !without_capacity.contains_key(&pool)
     }
 
-    /// Whether another task of the job may run in this zone.
+    /// Returns whether another task of the job may run in this zone.
     fn job_allows_zone(&self, ix: u32, zone: u32) -> bool {
         self.jobs[ix].zone.is_none_or(|required| required == zone) && self.zone_allows(ix, zone)
     }
--- a/src/coordination/provisioning/unresponsive.rs
+++ b/src/coordination/provisioning/unresponsive.rs
@@ -1,10 +1,12 @@
-//! Release of workers that this leader cannot reach. Returning a worker to the cloud proves at once
-//! that its tasks are gone, so that they can start elsewhere before its lease has expired.
+//! Release of workers that this leader cannot reach.
 //!
-//! Three kinds are released: unresponsive workers with replicas, workers that a new leader has not
-//! reconciled, and one-way partitioned workers, whose heartbeats arrive but that get no answer. Log
-//! lines: `unresponsive worker released`, `unreconciled worker released` and
-//! `one-way partitioned worker released`.
+//! Returning a worker to the cloud proves at once that its tasks are gone, so they can start
+//! elsewhere before the worker's lease has expired.
+//!
+//! Three kinds of workers are released: unresponsive workers with replicas, workers that a new
+//! leader has not reconciled, and one-way partitioned workers, whose heartbeats arrive but which
+//! receive no responses. The log lines are `unresponsive worker released`,
+//! `unreconciled worker released` and `one-way partitioned worker released`.
 
 use std::fmt;
 
@@ -13,20 +15,24 @@
 
 use super::recent_heartbeats::RecentHeartbeats;
 
-/// From the first probe that was not answered until a second one was not.
-const SECOND_PROBE_S: Time = 1.6;
-/// By then three probes have gone unanswered, each half a second and a second apart.
-const THIRD_PROBE_S: Time = 3.4;
-/// Heartbeats come a quarter of their interval early or late.
-const HEARTBEAT_JITTER: f64 = 1.25;
-/// How long a heartbeat takes at most to arrive.
-const HEARTBEAT_DELAY_S: Time = 0.1;
-/// Heartbeats that arrive this long after an election show that their zone reaches the new leader.
+/// Once the first unanswered probe is longer ago than this, a second probe has gone unanswered too.
+const SECOND_PROBE_AFTER_S: Time = 1.6;
+/// Time in which three probes can go unanswered: probes are sent a second apart and time out after
+/// half a second.
+const THIRD_PROBE_AFTER_S: Time = 3.4;
+/// The longest time between two heartbeats as a multiple of their interval: each is sent up to a
+/// quarter of the interval early or late.
+const MAX_HEARTBEAT_INTERVAL_FACTOR: f64 = 1.25;
+/// The longest time that a heartbeat takes to arrive.
+const MAX_HEARTBEAT_DELAY_S: Time = 0.1;
+/// Heartbeats that arrive at least this long after an election show that their zone can reach the
+/// new leader.
 const ELECTION_MARGIN_S: Time = 0.5;
-/// More unresponsive workers for each responsive one mean a fault of the network.
+/// More unresponsive workers than this per responsive one indicate a network fault.
 const NETWORK_FAULT_RATIO: f64 = 0.4;
-/// One in so many workers may be unreconciled before a third probe is waited for.
-const FEW_UNRECONCILED: usize = 20;
+/// Unreconciled workers count as many if there are more than one in this many workers, plus one. In
+/// that case a third probe is awaited before any of them is released.
+const WORKERS_PER_EARLY_RELEASE: usize = 20;
 
 /// Why a worker is released.
 #[derive(Debug, Clone, Copy)]
@@ -52,15 +58,16 @@
     last_heartbeat_at: Time,
 }
 
-/// How the heartbeats of the workers arrive at one time.
+/// Which workers' heartbeats are late at one point in time.
 struct HeartbeatSurvey {
     late: Vec<LateWorker>,
-    /// How many workers are not late.
+    /// Number of workers whose heartbeats are not late.
     on_time: usize,
 }
 
 impl Core {
-    /// Releases unresponsive workers with replicas, and probes those that may be unresponsive.
+    /// Releases unresponsive workers that may run replicas, and probes those that may be
+    /// unresponsive.
     pub(crate) fn release_unresponsive_workers(&mut self) {
         let survey = self.survey_heartbeats();
         let network_fault = self.is_network_fault(&survey);
@@ -91,22 +98,23 @@
         self.log_released(ReleaseReason::Unresponsive, &released);
     }
 
-    /// When many workers are overdue at once the network is at fault, perhaps this controller's own
-    /// part of it; the workers may all be well.
+    /// Returns whether so many workers are overdue at once that a network fault is more likely than
+    /// worker failures. The fault may be in this controller's own connection.
     fn is_network_fault(&self, survey: &HeartbeatSurvey) -> bool {
         let overdue = survey.late.iter().filter(|late| self.is_overdue(late));
         let overdue = overdue.count();
         let responsive = survey.on_time + survey.late.len() - overdue;
-        suggest_network_fault(overdue, responsive)
+        exceeds_network_fault_ratio(overdue, responsive)
     }
 
-    /// Whether the heartbeat of a late worker is later than that of any worker that is well.
+    /// Returns whether the heartbeat of a late worker is later than that of a healthy worker can
+    /// be.
     fn is_overdue(&self, late: &LateWorker) -> bool {
         self.now - late.last_heartbeat_at > self.max_heartbeat_interval_s()
     }
 
-    /// Whether a late worker is overdue and has failed to answer a probe since it was late, by
-    /// whichever controller.
+    /// Returns whether a late worker is overdue and has not answered a probe since it became late,
+    /// whichever controller sent the probe.
     fn is_confirmed_unresponsive(&self, late: &LateWorker) -> bool {
         let late_since = late.last_heartbeat_at + self.late_after_s();
         let unanswered_at = self.workers[late.index].unanswered_at;
@@ -115,15 +123,15 @@
             && self.answers_no_controller(late.index)
     }
 
-    /// Whether a direct message may be sent to a worker now.
+    /// Returns whether a probe may be sent to a worker now.
     fn may_probe(&self, m: u32) -> bool {
         let worker = &self.workers[m];
         worker.in_flight.is_none() && worker.next_probe <= self.now
     }
 
-    /// Which workers are late. Heartbeats come a quarter of their interval early or late: a worker
-    /// that is not early counts as late and is probed, so that one that is overdue is known to be
-    /// unresponsive at once.
+    /// Returns which workers are late. A heartbeat comes up to a quarter of its interval early or
+    /// late. A worker counts as late, and is probed, soon after one interval. By the time it is
+    /// overdue, the probe has shown whether it is unresponsive.
     fn survey_heartbeats(&self) -> HeartbeatSurvey {
         let late_after_s = self.late_after_s();
         let mut late = Vec::new();
@@ -147,7 +155,7 @@
         HeartbeatSurvey { late, on_time }
     }
 
-    /// Whether a worker may run a replica of a service.
+    /// Returns whether a worker may run a replica of a service.
     fn may_run_replicas(&self, m: u32) -> bool {
         self.workers[m]
             .instances
@@ -155,15 +163,19 @@
             .any(|(id, instance)| instance.possible() && self.jobs[id.job].is_service())
     }
 
-    /// Releases the workers that have not answered a new leader while their zones have, if they are
-    /// few: most are reclaimed spot workers. What they block starts seconds earlier for it. If they
-    /// are many, a third probe is waited for: they block all that is older than the election.
+    /// Releases workers that have not answered a new leader although other workers of their zones
+    /// have. Most are reclaimed spot workers, and the jobs that they block can start seconds
+    /// earlier. If there are many, a third probe is awaited first, and none is released if a
+    /// network fault is likely. Unreconciled workers block all jobs that are older than the
+    /// election.
     pub(crate) fn release_unreconciled_workers(&mut self, unreconciled: &[u32]) {
         self.release_one_way_partitioned_workers(unreconciled);
         let all = self.workers.iter().count();
-        let many = unreconciled.len() > 1 + all / FEW_UNRECONCILED;
-        let early = self.now - self.listening_since < THIRD_PROBE_S;
-        if many && (early || suggest_network_fault(unreconciled.len(), all - unreconciled.len())) {
+        let many = unreconciled.len() > 1 + all / WORKERS_PER_EARLY_RELEASE;
+        let early = self.now - self.listening_since < THIRD_PROBE_AFTER_S;
+        if many
+            && (early || exceeds_network_fault_ratio(unreconciled.len(), all - unreconciled.len()))
+        {
             return;
         }
         let since = Some(self.elected_at + ELECTION_MARGIN_S);
@@ -171,10 +183,10 @@
         let mut released = Vec::new();
         for &m in unreconciled {
             let worker = &self.workers[m];
-            // Probed once a second: by then two probes have gone unanswered.
+            // Probes are sent once a second, so two have gone unanswered by then.
             let probed_twice = worker
                 .unanswered_at
-                .is_some_and(|t| self.now - t > SECOND_PROBE_S)
+                .is_some_and(|t| self.now - t > SECOND_PROBE_AFTER_S)
                 && self.answers_no_controller(m);
             if probed_twice && !worker.returning && self.zone_is_reachable(&recent, m, since) {
                 released.push(m);
@@ -185,11 +197,12 @@
         self.send_scale_in();
     }
 
-    /// Releases the workers whose heartbeats arrive although the incarnation that an earlier leader
-    /// knew must have ended for want of answers, and that still have not learned of this leader.
-    /// They receive nothing: their tasks are gone, and nothing can be started there. Only their
-    /// return proves that no command of an earlier leader can reach them any more; otherwise they
-    /// would block everything older than the election for as long as the partition lasts.
+    /// Releases workers that send heartbeats but receive no responses.
+    ///
+    /// Their heartbeats arrive after the lease granted by any earlier leader must have expired, and
+    /// they still do not know this leader. Their tasks are gone and nothing can be started on them.
+    /// Only their return proves that no command of an earlier leader can still reach them. Without
+    /// it, they would block all jobs older than the election until the partition ends.
     fn release_one_way_partitioned_workers(&mut self, unreconciled: &[u32]) {
         let ttl_s = self.config.tuning.leader_ttl_ms as f64 / 1000.0;
         let expired_at = self.elected_at + ttl_s + self.lease_upper_bound_s();
@@ -208,23 +221,27 @@
         self.log_released(ReleaseReason::OneWayPartitioned, &released);
     }
 
-    /// The longest time between two heartbeats of a worker that is well.
+    /// Returns the longest time between two heartbeats of a healthy worker.
     fn max_heartbeat_interval_s(&self) -> Time {
-        self.config.cluster.workers.heartbeat_interval_s * HEARTBEAT_JITTER + HEARTBEAT_DELAY_S
+        self.config.cluster.workers.heartbeat_interval_s * MAX_HEARTBEAT_INTERVAL_FACTOR
+            + MAX_HEARTBEAT_DELAY_S
     }
 
-    /// Whether other workers of the same zone have sent heartbeats since. Where none has, the
-    /// network is partitioned: the worker's replicas serve on until their lease expires, and
-    /// returning it would only end them sooner. Without this check, a leader that is partitioned
-    /// itself returns good workers one by one as each becomes late.
+    /// Returns whether other workers of the same zone have sent heartbeats after `since`.
+    ///
+    /// If they have not, the network is partitioned: the worker's replicas keep running until its
+    /// lease expires, and returning the worker would only end them sooner. Without this check, a
+    /// leader that is itself partitioned would return healthy workers one by one as they become
+    /// late.
     fn zone_is_reachable(&self, recent: &RecentHeartbeats, m: u32, since: Option<Time>) -> bool {
         let worker = &self.workers[m];
-        let itself = worker.may_be_alive().then_some(m);
-        recent.others_responsive(itself, worker.zone, since)
+        let recorded = worker.may_be_alive().then_some(m);
+        recent.others_responsive(recorded, worker.zone, since)
     }
 
-    /// The last heartbeats of all workers that may be alive, counted once for all late workers: on
-    /// a site of thousands of workers, counting for each took longer than the batches.
+    /// Collects the last heartbeats of all workers that may be alive, once for all late workers.
+    /// With thousands of workers, collecting them for each late worker took longer than the
+    /// placement batches.
     fn recent_heartbeats(&self) -> RecentHeartbeats {
         let mut recent = RecentHeartbeats::default();
         for (m, worker) in self.workers.iter() {
@@ -235,7 +252,8 @@
         recent
     }
 
-    /// Whether most workers of a zone are unresponsive: new ones there would be too.
+    /// Returns whether most workers of a zone are unresponsive. New workers there would be
+    /// unresponsive too.
     pub(super) fn zone_is_unresponsive(&self, zone: u32) -> bool {
         let (mut unresponsive, mut all) = (0, 0);
         for (m, worker) in self.workers.iter() {
@@ -247,8 +265,8 @@
         all > 0 && unresponsive * 2 > all
     }
 
-    /// Logs the workers that one step has released: one by name, several by their number and by
-    /// name at debug level.
+    /// Logs the workers released in one step. A single worker is logged by name; several are logged
+    /// as a count, and by name at debug level.
     fn log_released(&self, reason: ReleaseReason, released: &[u32]) {
         if let [m] = released {
             let worker = &self.workers[*m].name;
@@ -265,7 +283,8 @@
     }
 }
 
-/// Whether so many workers are unresponsive that the network rather than they must be at fault.
-fn suggest_network_fault(unresponsive: usize, responsive: usize) -> bool {
+/// Returns whether so many workers are unresponsive that the network, not the workers, is likely at
+/// fault.
+fn exceeds_network_fault_ratio(unresponsive: usize, responsive: usize) -> bool {
     unresponsive as f64 > NETWORK_FAULT_RATIO * responsive as f64
 }
