--- a/src/coordination/demand_log.rs
+++ b/src/coordination/demand_log.rs
@@ -1,4 +1,4 @@
-//! Supply and demand in the debug log, for whoever looks for the cause of a delay.
+//! Logs supply and demand at debug level, to help find the cause of delays.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use super::model::*;
 use super::state::Core;
 
-/// Tasks of the jobs of one class.
+/// Numbers of live jobs of one class and of their tasks.
 #[derive(Default)]
 struct Demand {
     jobs: u32,
@@ -16,7 +16,7 @@
     running: u32,
 }
 
-/// Workers of one instance type, zone and price.
+/// Numbers of workers of one instance type in one zone, either spot or not.
 #[derive(Default)]
 struct Supply {
     all: u32,
@@ -24,12 +24,12 @@
     empty: u32,
     with_gangs: u32,
     with_replicas: u32,
-    kept_empty: u32,
+    reserved_for_profile: u32,
     with_reservations: u32,
 }
 
 impl Core {
-    /// Logs what each class waits for and what the workers have.
+    /// Logs the demand of each class and the supply of workers.
     pub(super) fn log_demand(&self) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
@@ -54,13 +54,14 @@
                 empty = supply.empty,
                 gangs = supply.with_gangs,
                 replicas = supply.with_replicas,
-                kept = supply.kept_empty,
+                kept = supply.reserved_for_profile,
                 reserved = supply.with_reservations,
                 "supply"
             );
         }
     }
 
+    /// Returns the demand by class.
     fn demand(&self) -> BTreeMap<&str, Demand> {
         let mut classes: BTreeMap<&str, Demand> = BTreeMap::new();
         for (_, job) in self.jobs.iter().filter(|(_, j)| j.state == JobState::Live) {
@@ -73,23 +74,25 @@
         classes
     }
 
+    /// Returns the supply by instance type, zone and whether the workers are spot workers.
     fn supply(&self) -> BTreeMap<(u32, u32, bool), Supply> {
-        let mut places: BTreeMap<(u32, u32, bool), Supply> = BTreeMap::new();
+        let mut pools: BTreeMap<(u32, u32, bool), Supply> = BTreeMap::new();
         for (m, worker) in self.workers.iter() {
-            let place = (worker.kind, worker.zone, worker.spot);
-            let supply = places.entry(place).or_default();
+            let pool = (worker.kind, worker.zone, worker.spot);
+            let supply = pools.entry(pool).or_default();
             let usable = self.worker_usable(m);
             supply.all += 1;
             supply.usable += u32::from(usable);
             supply.empty += u32::from(usable && worker.used == Resources::default());
             supply.with_gangs += u32::from(self.holds_any(worker, Job::is_gang));
             supply.with_replicas += u32::from(self.holds_any(worker, Job::is_service));
-            supply.kept_empty += u32::from(worker.reserved_for.is_some());
+            supply.reserved_for_profile += u32::from(worker.reserved_for.is_some());
             supply.with_reservations += u32::from(!worker.reservations.is_empty());
         }
-        places
+        pools
     }
 
+    /// Returns whether a worker may hold a task of a job that passes the test.
     fn holds_any(&self, worker: &Worker, test: fn(&Job) -> bool) -> bool {
         let mut instances = worker.instances.iter().filter(|(_, i)| i.possible());
         instances.any(|(id, _)| test(&self.jobs[id.job]))
--- a/src/coordination/drains/admin.rs
+++ b/src/coordination/drains/admin.rs
@@ -1,4 +1,4 @@
-//! The answers of the admin API: workers, migrations, and waiting jobs.
+//! Responses of the admin API about workers, migrations and waiting jobs.
 //!
 //! The admin API calls a worker a node and a migration a move.
 
@@ -14,7 +14,7 @@
 use crate::protocol::job::Resources;
 use crate::protocol::peer::AdminRequest;
 
-/// Items in one answer, which keeps it well under 64 KiB.
+/// The maximum number of items of each list in one response, which keeps it well under 64 KiB.
 pub(super) const PAGE_SIZE: usize = 100;
 
 impl Core {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Answers a request of an operator.
+    /// Answers a request of an operator with a status and a JSON body.
     pub(super) fn answer_admin(&mut self, ticket: u64, status: u16, value: &impl Serialize) {
         self.effects.push(Effect::AdminAnswered {
             ticket,
@@ -52,17 +52,19 @@
         });
     }
 
+    /// Answers that no worker has this name.
     pub(super) fn answer_unknown_node(&mut self, ticket: u64, name: &str) {
         let error = json!({"error": format!("there is no node {name:?}")});
         self.answer_admin(ticket, 404, &error);
     }
 
+    /// Answers with the view of one worker.
     pub(super) fn answer_node(&mut self, ticket: u64, name: &str) {
         let node = self.node_view_by_name(name);
         self.answer_admin(ticket, 200, &node);
     }
 
-    /// Covers draining workers that this leader does not know.
+    /// Returns the view of a worker, which may be a draining worker that this leader does not know.
     fn node_view_by_name(&self, name: &str) -> views::Node {
         match self.workers.index_of(name) {
             Some(m) => self.node_view(m),
@@ -70,6 +72,8 @@
         }
     }
 
+    /// Returns one page of workers whose names follow `since`, including draining workers that this
+    /// leader does not know.
     fn nodes_view(&self, since: &str) -> views::Nodes {
         let known = self.workers.names();
         let unknown = self.drains.keys().map(String::as_str);
@@ -94,13 +98,16 @@
             instances.filter(|(_, instance)| instance.possible())
         };
         let capacity = self.types.get(worker.kind).map(|kind| kind.whole);
-        let capacity = readable_amounts(&capacity.unwrap_or_default());
-        let used = readable_amounts(&worker.used);
+        let capacity = display_units(&capacity.unwrap_or_default());
+        let used = display_units(&worker.used);
         let usage = |resource: usize| views::ResourceUsage {
             used: used[resource],
             capacity: capacity[resource],
         };
-        let deadline = self.drains.get(&worker.name).and_then(|drain| drain.until);
+        let deadline = self
+            .drains
+            .get(&worker.name)
+            .and_then(|drain| drain.deadline);
         views::Node {
             name: worker.name.clone(),
             machine_type: self.types.names.name(worker.kind).to_string(),
@@ -174,6 +181,7 @@
         }
     }
 
+    /// Returns the view of a job that waits, or `None` if none of its tasks waits any longer.
     fn waiting_view(&self, id: JobId, reason: String) -> Option<views::Waiting> {
         let job = &self.jobs[self.jobs.index_of(id)?];
         (job.waiting() > 0).then(|| views::Waiting {
@@ -185,9 +193,9 @@
     }
 }
 
-/// A draining worker that this leader does not know.
+/// Returns the view of a draining worker that this leader does not know.
 fn unknown_node_view(name: &str) -> views::Node {
-    let nothing = views::ResourceUsage {
+    let no_usage = views::ResourceUsage {
         used: 0.0,
         capacity: 0.0,
     };
@@ -200,17 +208,17 @@
         tasks: 0,
         protected: 0,
         leaving: 0,
-        cpus: nothing,
-        gpus: nothing,
-        memory_gb: nothing,
+        cpus: no_usage,
+        gpus: no_usage,
+        memory_gb: no_usage,
         deadline_s: None,
         heard_s: None,
         controller: None,
     }
 }
 
-/// Resources in the units that people read.
-fn readable_amounts(resources: &Resources) -> [f64; 3] {
+/// Converts resources to CPUs, GPUs and gigabytes of memory.
+fn display_units(resources: &Resources) -> [f64; 3] {
     let thousandths = [resources.cpus, resources.gpus, resources.memory];
     thousandths.map(|amount| amount as f64 / 1000.0)
 }
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -1,11 +1,12 @@
-//! Drains of workers that operators order.
+//! Drains of workers, requested by operators.
 //!
-//! Nothing new starts on a draining worker. What may move migrates, the rest runs to its end, or is
-//! stopped with its grace period once the deadline has passed. A drain takes effect at once, since
-//! to start less breaks nothing, and its operator is answered when it is stored; the end of a drain
-//! takes effect once it is stored.
+//! No new task starts on a draining worker. Tasks that may be migrated are migrated. The others run
+//! to their end, or are stopped with their grace period once the drain's deadline has passed.
 //!
-//! `state` is what is kept of a drain, `admin` answers the requests of operators.
+//! A drain takes effect at once, because starting fewer tasks is always safe, and the operator is
+//! answered when it is stored. The end of a drain takes effect only once it is stored.
+//!
+//! `state` holds the state of a drain, and `admin` answers the requests of operators.
 
 mod admin;
 mod state;
@@ -25,24 +26,27 @@
 const MS_PER_S: f64 = 1000.0;
 
 impl Core {
-    /// Takes in a drain that an earlier leader stored.
+    /// Restores a drain that an earlier leader stored.
     pub(super) fn restore_drain(&mut self, stored: StoredDrain) {
         if let Some(m) = self.workers.index_of(&stored.worker) {
             self.workers[m].draining = true;
         }
         let drain = Drain {
-            // With an unreadable record the worker drains on; the next request writes it anew.
+            // If the record is unreadable, the worker keeps draining, and the next request for this
+            // worker overwrites the record.
             record: Some(stored.record.unwrap_or(DrainRecord {
                 at_ms: 0,
                 until_ms: None,
             })),
-            until: stored.left_s.map(|left_s| self.now + left_s),
+            deadline: stored.left_s.map(|left_s| self.now + left_s),
             version: stored.version,
             ..Drain::default()
         };
         self.drains.insert(stored.worker, drain);
     }
 
+    /// Starts a drain or changes its deadline. A drain that would disturb protected jobs must be
+    /// confirmed.
     fn drain(
         &mut self,
         ticket: u64,
@@ -68,25 +72,26 @@
             at_ms,
             until_ms: deadline_s.map(|s| unix_ms + (s * MS_PER_S) as u64),
         };
-        // A repeated request whose deadline stays the same changes nothing.
-        let unchanged = drain.version > 0 && !drain.writing && drain.record == Some(record);
+        // A repeated request with the same deadline needs no write.
+        let unchanged = drain.version > 0 && !drain.write_in_flight && drain.record == Some(record);
         drain.record = Some(record);
-        drain.until = deadline_s.map(|s| now + s);
-        drain.waiters.push(ticket);
-        drain.due |= !unchanged;
+        drain.deadline = deadline_s.map(|s| now + s);
+        drain.waiting_tickets.push(ticket);
+        drain.write_due |= !unchanged;
         self.workers[m].draining = true;
         self.unqueue_all(m);
         if unchanged {
             let name = self.workers[m].name.clone();
-            self.answer_drain_waiters(&name);
+            self.answer_waiting_tickets(&name);
         }
     }
 
+    /// Requests the end of a drain. A worker without a drain is answered at once.
     fn undrain(&mut self, ticket: u64, name: &str) {
         if let Some(drain) = self.drains.get_mut(name) {
             tracing::info!(node = name, "drain ends");
             drain.request_end();
-            drain.waiters.push(ticket);
+            drain.waiting_tickets.push(ticket);
         } else if self.workers.contains(name) {
             self.answer_node(ticket, name);
         } else {
@@ -94,22 +99,22 @@
         }
     }
 
-    /// Ends the drain of a worker that is gone for good, and its name with it.
+    /// Requests the end of the drain of a worker that was removed. Its name is never used again.
     pub(super) fn end_drain_of_removed_worker(&mut self, name: &str) {
         if let Some(drain) = self.drains.get_mut(name) {
             drain.request_end();
         }
     }
 
-    /// Adds the drains that differ from what is stored.
+    /// Adds writes for the drains that differ from their stored records.
     pub(super) fn add_drain_writes(&mut self, batch: &mut WriteBatch) {
         for (name, drain) in &mut self.drains {
             if !batch.has_room_for(1) {
                 return;
             }
-            if drain.due && !drain.writing {
-                drain.due = false;
-                drain.writing = true;
+            if drain.write_due && !drain.write_in_flight {
+                drain.write_due = false;
+                drain.write_in_flight = true;
                 let write = Write::Drain {
                     node: name.clone(),
                     record: drain.record,
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Handles the result of a write of a drain.
+    /// Handles the result of writing a drain.
     pub(super) fn handle_drain_written(
         &mut self,
         name: String,
@@ -130,44 +135,47 @@
         let Some(drain) = self.drains.get_mut(&name) else {
             return;
         };
-        drain.record_written(written);
-        // Changed meanwhile, or not stored: the next write answers.
-        if drain.due || drain.record != record {
+        drain.record_write_result(written);
+        // The drain has changed since, or was not stored. The operators are answered after the next
+        // write.
+        if drain.write_due || drain.record != record {
             return;
         }
         if record.is_none() {
             self.end_drain(&name);
         } else {
-            self.answer_drain_waiters(&name);
+            self.answer_waiting_tickets(&name);
         }
     }
 
-    /// The end of a drain is stored.
+    /// Ends a drain after its end was stored, and answers the operators that wait for it.
     fn end_drain(&mut self, name: &str) {
         if let Some(m) = self.workers.index_of(name) {
             self.workers[m].draining = false;
         }
-        let waiters = self.drains.remove(name).map(|drain| drain.waiters);
-        for ticket in waiters.unwrap_or_default() {
+        let tickets = self.drains.remove(name).map(|drain| drain.waiting_tickets);
+        for ticket in tickets.unwrap_or_default() {
             self.answer_node(ticket, name);
         }
     }
 
-    fn answer_drain_waiters(&mut self, name: &str) {
+    /// Answers the operators that wait for a drain to be stored.
+    fn answer_waiting_tickets(&mut self, name: &str) {
         let drain = self.drains.get_mut(name);
-        let waiters = drain.map(|drain| std::mem::take(&mut drain.waiters));
-        for ticket in waiters.unwrap_or_default() {
+        let tickets = drain.map(|drain| std::mem::take(&mut drain.waiting_tickets));
+        for ticket in tickets.unwrap_or_default() {
             self.answer_node(ticket, name);
         }
     }
 
-    /// Once a second: migrates tasks off draining workers, and stops what is left at the deadline.
+    /// Runs once a second: migrates tasks off draining workers, and stops the remaining tasks after
+    /// the deadline.
     pub(super) fn advance_drains(&mut self) {
         let draining: Vec<(u32, Option<Time>)> = self
             .drains
             .iter()
             .filter(|(_, drain)| drain.record.is_some())
-            .filter_map(|(name, drain)| Some((self.workers.index_of(name)?, drain.until)))
+            .filter_map(|(name, drain)| Some((self.workers.index_of(name)?, drain.deadline)))
             .collect();
         for (m, deadline) in draining {
             if deadline.is_some_and(|time| time <= self.now) {
@@ -178,6 +186,7 @@
         }
     }
 
+    /// Stops all task instances on a worker that are not being stopped already.
     fn stop_remaining_instances(&mut self, m: u32) {
         let ids: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
         for id in ids {
@@ -188,7 +197,7 @@
         }
     }
 
-    /// The jobs of a protected class on a worker, as operators read them.
+    /// Returns the protected jobs that may have tasks on a worker, as shown to operators.
     fn protected_jobs_on(&self, m: u32) -> Vec<String> {
         let instances = self.workers[m].instances.iter();
         let mut jobs: Vec<u32> = instances
--- a/src/coordination/drains/state.rs
+++ b/src/coordination/drains/state.rs
@@ -1,42 +1,43 @@
-//! Drains of workers that operators have asked for.
+//! The state of a drain.
 
 use crate::coordination::model::Time;
 use crate::storage::DrainRecord;
 use crate::storage::writer::Written;
 
-/// A drain, as it is wanted and as it is stored.
+/// The requested state of a drain, and what is known about its stored record.
 #[derive(Debug, Default)]
 pub(in crate::coordination) struct Drain {
-    /// `None`: it is to end, which takes effect once it is stored.
+    /// The record to be stored. `None` if the drain is to end, which takes effect once that is
+    /// stored.
     pub(super) record: Option<DrainRecord>,
-    /// The deadline, after which remaining tasks are stopped.
-    pub(super) until: Option<Time>,
-    /// Version of the stored record, 0 if there is none.
+    /// The time after which remaining tasks are stopped.
+    pub(super) deadline: Option<Time>,
+    /// The version of the stored record, 0 if there is none.
     pub(super) version: u64,
-    /// What is stored differs from what is wanted.
-    pub(super) due: bool,
-    /// A write is in flight.
-    pub(super) writing: bool,
-    /// Tickets of the operators who are answered once it is stored.
-    pub(super) waiters: Vec<u64>,
+    /// Whether the requested state must be written.
+    pub(super) write_due: bool,
+    /// Whether a write is in flight.
+    pub(super) write_in_flight: bool,
+    /// Tickets of the operators' requests that are answered once the requested state is stored.
+    pub(super) waiting_tickets: Vec<u64>,
 }
 
 impl Drain {
-    /// It is to end.
+    /// Requests the end of the drain.
     pub(super) fn request_end(&mut self) {
         self.record = None;
-        self.until = None;
-        self.due = true;
+        self.deadline = None;
+        self.write_due = true;
     }
 
-    /// A write of it has a result.
-    pub(super) fn record_written(&mut self, written: &Written) {
-        self.writing = false;
+    /// Records the result of a write.
+    pub(super) fn record_write_result(&mut self, written: &Written) {
+        self.write_in_flight = false;
         match written {
             Written::Stored { version } => self.version = *version,
             Written::Again { version } => {
                 self.version = *version;
-                self.due = true;
+                self.write_due = true;
             }
             Written::Ended(_) => {}
         }
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -1,27 +1,29 @@
-//! Whole workers for whole-worker tasks.
+//! Reservation of whole workers for large tasks, based on their forecast arrivals.
 //!
-//! A task that takes most of a worker finds room only where nothing else has
-//! settled. Work of equal priority may not be stopped for it, so room has to
-//! be kept before it comes: as many workers as are likely to be asked for in
-//! the time that draining or booting another one takes.
+//! A task that takes most of a worker fits only on a worker that holds little else. Work of equal
+//! priority must not be preempted for it, so workers are reserved before such tasks arrive: as many
+//! as are likely to be needed in the time that emptying or booting another worker takes.
 
 use crate::protocol::job::Resources;
 
 use super::model::*;
 use super::state::Core;
 
-/// The time ahead for which workers are kept whole.
-const HORIZON_S: f64 = 75.0;
-/// Over how long arrivals are averaged.
-const MEMORY_S: f64 = 120.0;
-/// A task is of a shape of its own from this share of its worker on.
-const WHOLE: f64 = 0.5;
+/// How far ahead arrivals are forecast.
+const FORECAST_HORIZON_S: f64 = 75.0;
+/// Time constant of the moving average of the arrival rate.
+const RATE_AVERAGING_S: f64 = 120.0;
+/// A task is large if it takes more than this share of every allowed instance type on which it fits.
+const LARGE_TASK_SHARE: f64 = 0.5;
+/// A profile with fewer arrivals per second than this does not keep other tasks off its workers.
+const MIN_ARRIVAL_RATE: f64 = 1e-3;
 
 impl Core {
-    /// Notes the arrival of a job whose tasks take most of a worker.
+    /// Updates the arrival rate of the job's large-task profile, which is added if it is new.
+    /// Returns the index of the profile, or `None` if the job's tasks are not large.
     pub(super) fn record_large_task_arrival(&mut self, ix: u32) -> Option<u32> {
         let job = &self.jobs[ix];
-        let largest = self
+        let smallest_share = self
             .types
             .known
             .iter()
@@ -31,19 +33,19 @@
             .filter(|t| job.spec.needs.fits_in(&t.whole))
             .map(|t| job.spec.needs.share_of(&t.whole))
             .reduce(f64::min)?;
-        if largest <= WHOLE || job.is_service() {
+        if smallest_share <= LARGE_TASK_SHARE || job.is_service() {
             return None;
         }
         let tasks = f64::from(job.spec.tasks);
         let now = self.now;
-        let known = self.large_task_profiles.iter().position(|s| {
-            s.needs == job.spec.needs
-                && s.types == job.types
-                && s.zone == job.zone
-                && s.spot == job.spec.spot
-                && s.priority == job.spec.priority
+        let known = self.large_task_profiles.iter().position(|profile| {
+            profile.needs == job.spec.needs
+                && profile.types == job.types
+                && profile.zone == job.zone
+                && profile.spot == job.spec.spot
+                && profile.priority == job.spec.priority
         });
-        let at = known.unwrap_or_else(|| {
+        let index = known.unwrap_or_else(|| {
             self.large_task_profiles.push(LargeTaskProfile {
                 needs: job.spec.needs,
                 types: job.types.clone(),
@@ -55,72 +57,69 @@
             });
             self.large_task_profiles.len() - 1
         });
-        let large_task_profile = &mut self.large_task_profiles[at];
-        large_task_profile.rate = large_task_profile.rate_at(now) + tasks / MEMORY_S;
-        large_task_profile.rate_updated_at = now;
-        Some(at as u32)
+        let profile = &mut self.large_task_profiles[index];
+        profile.rate = profile.rate_at(now) + tasks / RATE_AVERAGING_S;
+        profile.rate_updated_at = now;
+        Some(index as u32)
     }
 
-    pub(super) fn worker_suits_profile(
-        &self,
-        large_task_profile: &LargeTaskProfile,
-        m: u32,
-    ) -> bool {
+    /// Returns whether tasks of a profile may run on a worker and fit on it when it is empty.
+    pub(super) fn worker_suits_profile(&self, profile: &LargeTaskProfile, m: u32) -> bool {
         let worker = &self.workers[m];
-        large_task_profile
+        profile
             .types
             .as_ref()
             .is_none_or(|l| l.contains(&worker.kind))
-            && large_task_profile.zone.is_none_or(|z| z == worker.zone)
-            && (!worker.spot || large_task_profile.spot)
+            && profile.zone.is_none_or(|z| z == worker.zone)
+            && (!worker.spot || profile.spot)
             && self
                 .types
                 .get(worker.kind)
-                .is_some_and(|t| large_task_profile.needs.fits_in(&t.whole))
+                .is_some_and(|t| profile.needs.fits_in(&t.whole))
     }
 
-    fn worker_holds_profile(&self, s: u32, m: u32) -> bool {
+    /// Returns whether a worker lists a task of a profile.
+    fn worker_holds_profile(&self, profile: u32, m: u32) -> bool {
         let mut instances = self.workers[m].instances.keys();
-        instances.any(|k| self.jobs[k.job].large_task_profile == Some(s))
+        instances.any(|k| self.jobs[k.job].large_task_profile == Some(profile))
     }
 
-    /// Chooses which workers are kept whole. A choice stands while the worker
-    /// can be used, so that draining comes to an end.
+    /// Updates which workers are reserved for each large-task profile. A worker stays reserved
+    /// while it is usable and its profile's forecast needs it, so that it can become empty.
     pub(super) fn reserve_whole_workers(&mut self) {
         for m in self.workers.indices() {
-            if let Some(s) = self.workers[m].reserved_for
+            if let Some(profile) = self.workers[m].reserved_for
                 && !(self.worker_usable(m)
-                    && self.worker_suits_profile(&self.large_task_profiles[s as usize], m))
+                    && self.worker_suits_profile(&self.large_task_profiles[profile as usize], m))
             {
                 self.workers[m].reserved_for = None;
             }
         }
-        for s in 0..self.large_task_profiles.len() as u32 {
-            let large_task_profile = &self.large_task_profiles[s as usize];
-            let expected =
-                (large_task_profile.rate_at(self.now) * HORIZON_S + 0.5).floor() as usize;
-            let mut kept: Vec<u32> = self
+        for profile in 0..self.large_task_profiles.len() as u32 {
+            let rate = self.large_task_profiles[profile as usize].rate_at(self.now);
+            let expected = (rate * FORECAST_HORIZON_S + 0.5).floor() as usize;
+            let mut reserved: Vec<u32> = self
                 .workers
                 .iter()
-                .filter(|(_, m)| m.reserved_for == Some(s))
+                .filter(|(_, worker)| worker.reserved_for == Some(profile))
                 .map(|(m, _)| m)
                 .collect();
-            while kept.len() > expected {
-                let m = kept.pop().expect("more than expected");
+            while reserved.len() > expected {
+                let m = reserved.pop().expect("more than expected");
                 self.workers[m].reserved_for = None;
             }
-            // One that a task of the shape has taken is kept no more.
-            for m in kept.clone() {
-                if self.worker_holds_profile(s, m) {
+            // A worker that holds a task of the profile no longer needs the reservation.
+            for m in reserved.clone() {
+                if self.worker_holds_profile(profile, m) {
                     self.workers[m].reserved_for = None;
-                    kept.retain(|&k| k != m);
+                    reserved.retain(|&r| r != m);
                 }
             }
-            if kept.len() >= expected {
+            if reserved.len() >= expected {
                 continue;
             }
-            let needs = self.large_task_profiles[s as usize].needs;
-            let mut choices: Vec<(f64, u32)> = self
+            let needs = self.large_task_profiles[profile as usize].needs;
+            let mut candidates: Vec<(f64, u32)> = self
                 .workers
                 .indices()
                 .into_iter()
@@ -128,34 +127,37 @@
                     self.worker_usable(m)
                         && self.workers[m].reserved_for.is_none()
                         && self.workers[m].reservations.is_empty()
-                        && self.worker_suits_profile(&self.large_task_profiles[s as usize], m)
-                        && !self.worker_holds_profile(s, m)
+                        && self.worker_suits_profile(&self.large_task_profiles[profile as usize], m)
+                        && !self.worker_holds_profile(profile, m)
                 })
                 .filter_map(|m| self.drained_in(&needs, m).map(|t| (t, m)))
                 .collect();
-            choices.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            for (_, m) in choices.into_iter().take(expected - kept.len()) {
-                self.workers[m].reserved_for = Some(s);
+            candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+            for (_, m) in candidates.into_iter().take(expected - reserved.len()) {
+                self.workers[m].reserved_for = Some(profile);
             }
         }
     }
 
-    /// Room of a worker that a job must leave alone. Jobs of the shape itself
-    /// and work of higher priority may take it; so may lower work, which is
-    /// stopped when the room is wanted.
+    /// Returns the resources of a worker that a job must leave free for large tasks.
+    ///
+    /// Jobs of the profile itself, jobs of a higher priority and jobs within their team's quota may
+    /// use these resources. So may jobs of a lower priority, as they are preempted when a task of
+    /// the profile needs the resources.
     pub(super) fn withheld_resources(&self, m: u32, ix: u32) -> Option<Resources> {
-        let s = self.workers[m].reserved_for?;
-        let large_task_profile = &self.large_task_profiles[s as usize];
-        let free = self.jobs.get(ix).is_some_and(|j| {
-            j.large_task_profile == Some(s)
-                || j.spec.priority != large_task_profile.priority
+        let reserved_for = self.workers[m].reserved_for?;
+        let profile = &self.large_task_profiles[reserved_for as usize];
+        let may_use = self.jobs.get(ix).is_some_and(|j| {
+            j.large_task_profile == Some(reserved_for)
+                || j.spec.priority != profile.priority
                 || j.within_quota
         });
-        (!free).then_some(large_task_profile.needs)
+        (!may_use).then_some(profile.needs)
     }
 
-    /// Whether a small task would leave no room for a whole-worker task that
-    /// the worker could otherwise take.
+    /// Returns whether a task of a job would take so much of a worker that a large task, which
+    /// could otherwise run there, no longer fits. Large tasks themselves never count as
+    /// fragmenting.
     pub(super) fn fragments_worker(&self, ix: u32, m: u32) -> bool {
         let job = &self.jobs[ix];
         if job.large_task_profile.is_some() {
@@ -167,11 +169,12 @@
         if !self
             .large_task_profiles
             .iter()
-            .any(|s| self.worker_suits_profile(s, m))
+            .any(|profile| self.worker_suits_profile(profile, m))
         {
-            // Nobody has asked for such a worker yet. Replicas that settle on the
-            // largest GPU workers in the first seconds would stay there for good.
-            let limit = self
+            // No large task has needed such a worker yet. Replicas that start on the workers with
+            // the most GPUs in the first seconds of a site would stay there permanently, so
+            // replicas without GPUs are kept off them.
+            let max_gpus = self
                 .types
                 .known
                 .iter()
@@ -181,28 +184,29 @@
             return job.is_service()
                 && job.spec.needs.gpus == 0
                 && kind.whole.gpus > 0
-                && Some(kind.whole.gpus) == limit;
+                && Some(kind.whole.gpus) == max_gpus;
         }
-        // What stays: services, which do not end by themselves.
-        let mut room = kind.whole;
+        // Only replicas of services are subtracted, as they do not end by themselves.
+        let mut available = kind.whole;
         for key in self.workers[m].instances.keys() {
             if self.jobs[key.job].is_service() {
-                room.sub(&self.jobs[key.job].spec.needs);
+                available.sub(&self.jobs[key.job].spec.needs);
             }
         }
-        let mut after = room;
-        after.sub(&job.spec.needs);
-        self.large_task_profiles.iter().any(|s| {
-            s.rate_at(self.now) > 1e-3
-                && self.worker_suits_profile(s, m)
-                && s.needs.fits_in(&room)
-                && !s.needs.fits_in(&after)
+        let mut available_after = available;
+        available_after.sub(&job.spec.needs);
+        self.large_task_profiles.iter().any(|profile| {
+            profile.rate_at(self.now) > MIN_ARRIVAL_RATE
+                && self.worker_suits_profile(profile, m)
+                && profile.needs.fits_in(&available)
+                && !profile.needs.fits_in(&available_after)
         })
     }
 }
 
 impl LargeTaskProfile {
+    /// Returns the smoothed arrival rate, decayed since its last update.
     pub fn rate_at(&self, now: Time) -> f64 {
-        self.rate * (-(now - self.rate_updated_at).max(0.0) / MEMORY_S).exp()
+        self.rate * (-(now - self.rate_updated_at).max(0.0) / RATE_AVERAGING_S).exp()
     }
 }
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -1,20 +1,23 @@
-//! What the settings ask for a job: its class's objectives, and whether its tasks may be moved.
+//! Properties of a job that follow from the settings: times derived from its class's objectives,
+//! and whether its tasks may be migrated.
 
 use crate::protocol::job::{JobSpec, Kind, Priority};
 use crate::settings::{Objective, Tuning};
 
-/// The worthwhile time of a job whose class has no objective.
+/// The completion target of a job without an objective or a deadline.
 const DEFAULT_COMPLETION_TARGET_S: f64 = 3600.0;
-/// The longest patience of a job at its start.
+/// The highest tolerance of a job for a delayed start, used for jobs without a `wait` objective.
 const MAX_START_DELAY_TOLERANCE_S: f64 = 120.0;
+/// The lowest tolerance of a job for a delayed start.
 const MIN_START_DELAY_TOLERANCE_S: f64 = 0.5;
-/// Of the time an image takes to be fetched, what a job must be placed earlier for it.
-const FETCH_SHARE: f64 = 0.8;
-/// However long the fetch, a job has this part of its objective to be placed.
-const MIN_START_SHARE: f64 = 0.2;
+/// The share of the image fetch time by which a job must be placed ahead of its objective.
+const FETCH_LEAD_SHARE: f64 = 0.8;
+/// The share of an objective's time that a job always has for its placement, however long the fetch
+/// takes.
+const MIN_PLACEMENT_SHARE: f64 = 0.2;
 
-/// Whether an operator is asked before the job is disturbed: services of the highest priority, and
-/// classes that the settings protect.
+/// Returns whether an operator must confirm a drain that disturbs the job. This holds for services
+/// of the highest priority and for classes that the settings protect.
 pub(super) fn protected(tuning: &Tuning, spec: &JobSpec) -> bool {
     (spec.kind == Kind::Service && spec.priority == Priority::Production)
         || tuning
@@ -23,20 +26,20 @@
             .is_some_and(|class| class.protected)
 }
 
-/// Whether a job's tasks may be moved while they run: the stricter of its own setting and its
-/// class's counts, and what is protected never moves.
+/// Returns whether a job's tasks may be migrated while they run. The stricter of the job's and its
+/// class's setting applies, and protected jobs are never migrated.
 pub(super) fn movable(tuning: &Tuning, spec: &JobSpec) -> bool {
     !pinned(tuning, spec) && !protected(tuning, spec)
 }
 
-/// Whether the job or its class says that its tasks stay where they are.
+/// Returns whether the settings of the job or its class forbid migrating its tasks.
 pub(super) fn pinned(tuning: &Tuning, spec: &JobSpec) -> bool {
     let class = tuning.class.get(&spec.class);
     spec.movable == Some(false)
         || class.is_some_and(|class| class.protected || class.movable == Some(false))
 }
 
-/// How long after its submission finishing a job is still worth most.
+/// Returns within how many seconds of its submission a job should finish to keep most of its value.
 pub(super) fn completion_target_s(objectives: &[Objective], spec: &JobSpec) -> f64 {
     objectives
         .iter()
@@ -51,32 +54,33 @@
         .unwrap_or(DEFAULT_COMPLETION_TARGET_S)
 }
 
-/// How long after its submission a job must be placed to start in time, by each objective, if most
-/// workers have yet to fetch its image. One that is past that lets those go first that can still
-/// be in time.
+/// Returns, for each `wait` objective, within how many seconds of its submission a job must be
+/// placed to start in time, if most workers have not fetched its image yet. The times are
+/// ascending. A job that has missed them yields to jobs that can still start in time.
 pub(super) fn placement_deadlines_s(
     objectives: &[Objective],
     spec: &JobSpec,
     fetch_s: f64,
 ) -> Vec<f64> {
-    let mut all: Vec<f64> = wait_limits(objectives, spec)
-        .map(|within_s| (within_s - FETCH_SHARE * fetch_s).max(within_s * MIN_START_SHARE))
+    let mut deadlines_s: Vec<f64> = wait_objectives_s(objectives, spec)
+        .map(|within_s| (within_s - FETCH_LEAD_SHARE * fetch_s).max(within_s * MIN_PLACEMENT_SHARE))
         .collect();
-    all.sort_by(f64::total_cmp);
-    if all.is_empty() {
-        all.push(start_delay_tolerance_s(objectives, spec));
+    deadlines_s.sort_by(f64::total_cmp);
+    if deadlines_s.is_empty() {
+        deadlines_s.push(start_delay_tolerance_s(objectives, spec));
     }
-    all
+    deadlines_s
 }
 
-/// Seconds of delay at the start that cost a job most of its value.
+/// Returns the delay of its start, in seconds, that costs a job most of its value.
 pub(super) fn start_delay_tolerance_s(objectives: &[Objective], spec: &JobSpec) -> f64 {
-    wait_limits(objectives, spec)
+    wait_objectives_s(objectives, spec)
         .fold(MAX_START_DELAY_TOLERANCE_S, f64::min)
         .max(MIN_START_DELAY_TOLERANCE_S)
 }
 
-fn wait_limits(objectives: &[Objective], spec: &JobSpec) -> impl Iterator<Item = f64> {
+/// Returns the times, in seconds, of the `wait` objectives of a job's class.
+fn wait_objectives_s(objectives: &[Objective], spec: &JobSpec) -> impl Iterator<Item = f64> {
     objectives
         .iter()
         .filter(|objective| {
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -1,35 +1,37 @@
-//! Migration of replicas off workers that whole-worker tasks wait for.
+//! Migration of service replicas off workers that large tasks wait for.
 //!
-//! A replica stays where it started. Some start on the largest workers, in the first seconds of a
-//! site or after the loss of a zone, when there is no other room; later a third of those workers
-//! were found held by a replica or two each while whole-worker tasks waited. A replica is migrated
-//! only to a place that is reserved for it, so it is away for about a second, or for as long as its
-//! image takes.
+//! A replica stays on the worker on which it started. Some start on the largest workers because
+//! nothing else is free, in the first seconds of a site or after the loss of a zone. Without this
+//! module, a third of the largest workers ended up holding one or two replicas each while large
+//! tasks waited. A replica is migrated only to a worker on which resources are reserved for it, so
+//! its downtime is about a second plus the time to fetch its image.
 
 use super::model::*;
 use super::state::{Core, SETTLED_S};
 
-/// The share of all replicas that may be away for migrations. Eighty migrations in half a minute
-/// once cost more replica time than losing the leader did; migrating only to where the image is
-/// leaves gangs without workers.
-const MAX_AWAY_SHARE: f64 = 0.002;
-/// How many replicas may be away on a small site.
-const MIN_AWAY: f64 = 0.5;
-/// How long a migration takes beside the fetch.
-const MOVE_S: f64 = 1.0;
-/// For how many seconds unused downtime is saved up.
-const MAX_SAVED_S: f64 = 30.0;
-/// Tasks that wait for no longer are not counted.
+/// The average share of all replicas that may be down for migrations at a time. Without this limit,
+/// eighty migrations in half a minute cost more replica time than the loss of a leader. Migrating
+/// only to workers that have the image is no alternative, as it leaves gangs without workers.
+const MAX_SHARE_DOWN: f64 = 0.002;
+/// Lower bound of the average number of replicas that may be down, for small sites.
+const MIN_REPLICAS_DOWN: f64 = 0.5;
+/// Downtime of a migration in addition to the image fetch.
+const MIGRATION_DOWNTIME_S: f64 = 1.0;
+/// For how many seconds unused downtime accumulates in the budget.
+const MAX_ACCUMULATION_S: f64 = 30.0;
+/// Jobs that have waited for no longer than this do not cause migrations.
 const MIN_WAIT_S: f64 = 1.0;
 
+/// A planned migration of a replica to the worker `to`, where the victims are preempted for it.
 struct ReplicaMigration {
     id: InstanceId,
     to: u32,
     victims: Vec<InstanceId>,
 }
 
-/// A worker that a replica could migrate to.
+/// A worker to which a replica can migrate.
 struct Target {
+    /// Index of the worker.
     m: u32,
     fetch_s: f64,
     preemption_cost: f64,
@@ -37,7 +39,7 @@
 }
 
 impl Core {
-    /// Once a second: frees workers for the whole-worker tasks that wait.
+    /// Runs once a second: migrates replicas off workers for which large tasks wait.
     pub(super) fn rebalance_replicas(&mut self) {
         self.refill_downtime_budget();
         for profile in 0..self.large_task_profiles.len() as u32 {
@@ -63,15 +65,16 @@
         }
     }
 
+    /// Adds one second's allowance to the downtime budget of the replicas.
     fn refill_downtime_budget(&mut self) {
         let services = self.jobs.iter().filter(|(_, job)| job.is_service());
         let replicas: u32 = services.map(|(_, job)| job.active).sum();
-        let away = MIN_AWAY.max(f64::from(replicas) * MAX_AWAY_SHARE);
-        let budget_s = self.replica_downtime_budget_s + away;
-        self.replica_downtime_budget_s = budget_s.min(away * MAX_SAVED_S);
+        let allowed_down = MIN_REPLICAS_DOWN.max(f64::from(replicas) * MAX_SHARE_DOWN);
+        let budget_s = self.replica_downtime_budget_s + allowed_down;
+        self.replica_downtime_budget_s = budget_s.min(allowed_down * MAX_ACCUMULATION_S);
     }
 
-    /// How many more workers the waiting tasks of a profile could take at once.
+    /// Returns how many workers the waiting tasks of a profile need beyond those reserved for it.
     fn missing_workers(&self, profile: u32) -> usize {
         let waiting: usize = self
             .jobs
@@ -93,8 +96,9 @@
         waiting.saturating_sub(reserved)
     }
 
-    /// The replicas that keep tasks of a profile off a worker, if nothing else does for good and all
-    /// of them may be migrated.
+    /// Returns the replicas that must leave a worker so that a task of the profile fits once all
+    /// other tasks there have ended. `None` if there are none, if one of them may not migrate, or
+    /// if the worker is not eligible.
     fn blocking_replicas(&self, profile: u32, m: u32) -> Option<Vec<InstanceId>> {
         let profile = &self.large_task_profiles[profile as usize];
         let worker = &self.workers[m];
@@ -105,28 +109,28 @@
         {
             return None;
         }
-        let mut room = self.types.get(worker.kind)?.whole;
+        let mut available = self.types.get(worker.kind)?.whole;
         let mut replicas = Vec::new();
         let instances = worker.instances.iter();
         for (id, instance) in instances.filter(|(_, instance)| instance.possible()) {
             let job = &self.jobs[id.job];
             if job.is_service() {
-                room.sub(&job.spec.needs);
+                available.sub(&job.spec.needs);
                 replicas.push((*id, instance));
             }
         }
         let mut blocking = Vec::new();
         for (id, instance) in replicas {
-            if profile.needs.fits_in(&room) {
+            if profile.needs.fits_in(&available) {
                 break;
             }
             if !self.replica_may_migrate(id, instance) {
                 return None;
             }
-            room.add(&self.jobs[id.job].spec.needs);
+            available.add(&self.jobs[id.job].spec.needs);
             blocking.push(id);
         }
-        (!blocking.is_empty() && profile.needs.fits_in(&room)).then_some(blocking)
+        (!blocking.is_empty() && profile.needs.fits_in(&available)).then_some(blocking)
     }
 
     fn replica_may_migrate(&self, id: InstanceId, instance: &TaskInstance) -> bool {
@@ -135,7 +139,7 @@
         instance.stop.is_none() && settled && !self.jobs[id.job].pinned
     }
 
-    /// Migrates all replicas that block a worker, or none. Returns whether it does.
+    /// Migrates either all replicas that block a worker or none, and returns whether it did.
     fn migrate_replicas_off(&mut self, profile: u32, m: u32) -> bool {
         let Some(migrations) = self.plan_replica_migrations(profile, m) else {
             return false;
@@ -147,7 +151,7 @@
                 to = self.workers[to].name,
                 "replica migrated off a whole worker"
             );
-            self.replica_downtime_budget_s -= MOVE_S + self.fetch_s(id.job, to);
+            self.replica_downtime_budget_s -= MIGRATION_DOWNTIME_S + self.fetch_s(id.job, to);
             self.preempt_and_reserve(id.job, to, &victims);
             self.stop_instance(m, id, 0.0);
         }
@@ -155,7 +159,8 @@
         true
     }
 
-    /// A target for each replica that blocks a worker; `None` if one has no target.
+    /// Returns a target for each replica that blocks a worker, or `None` if one of them has no
+    /// target.
     fn plan_replica_migrations(&self, profile: u32, m: u32) -> Option<Vec<ReplicaMigration>> {
         let mut migrations: Vec<ReplicaMigration> = Vec::new();
         for id in self.blocking_replicas(profile, m)? {
@@ -170,7 +175,8 @@
         Some(migrations)
     }
 
-    /// The cheapest worker that could serve a replica as well, preferably one that has its image.
+    /// Returns the worker to which a replica can migrate with the shortest image fetch. Among
+    /// equals, the one with the lowest preemption cost is chosen.
     fn cheapest_target(
         &self,
         id: InstanceId,
@@ -180,7 +186,7 @@
         let workers = self.workers.indices().into_iter();
         workers
             .filter(|&m| m != from && !is_taken(m) && self.workers[m].reservations.is_empty())
-            .filter(|&m| self.may_serve_replica(id.job, from, m))
+            .filter(|&m| self.can_host_replica(id.job, from, m))
             .filter_map(|m| self.replica_target(id.job, m))
             .min_by(|a, b| {
                 a.fetch_s
@@ -190,9 +196,9 @@
             })
     }
 
-    fn may_serve_replica(&self, ix: u32, from: u32, m: u32) -> bool {
+    fn can_host_replica(&self, ix: u32, from: u32, m: u32) -> bool {
         let zone = self.workers[m].zone;
-        // Within its zone a replica takes its own place.
+        // Within its own zone the replica does not add to the zone's instances.
         let same_zone = zone == self.workers[from].zone;
         self.worker_usable(m)
             && self.worker_allowed(ix, m)
@@ -200,7 +206,8 @@
             && !self.fragments_worker(ix, m)
     }
 
-    /// A worker as a target, if it has room or has it by preempting tasks that are no gang's.
+    /// Returns a worker as a target if the replica fits on it, either at once or after preempting
+    /// tasks that belong to no gang.
     fn replica_target(&self, ix: u32, m: u32) -> Option<Target> {
         let preemption = self.victims(ix, m)?;
         let breaks_gang = preemption
