--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -13,7 +13,7 @@
 const FORECAST_HORIZON_S: f64 = 75.0;
 /// Time constant of the moving average of the arrival rate.
 const RATE_AVERAGING_S: f64 = 120.0;
-/// A task is large if it takes more than this share of every allowed instance type on which it fits.
+/// A task is large if it takes more than this share of every allowed instance type it fits on.
 const LARGE_TASK_SHARE: f64 = 0.5;
 /// A profile with fewer arrivals per second than this does not keep other tasks off its workers.
 const MIN_ARRIVAL_RATE: f64 = 1e-3;
--- a/tests/service_levels.rs
+++ b/tests/service_levels.rs
@@ -1,6 +1,8 @@
-//! Days that are made to starve somebody. Less than half of a class, of a team or of a class's
-//! largest jobs served fails a day, so the least served stays over half on each of them, at one size and at half as much
-//! again, wherever there was room for it.
+//! Service levels under bursts, overload, partitions, failing workers, lost workers and failovers.
+//!
+//! Guards against starvation, where some jobs are served at the expense of others. In each scenario
+//! at least half of the requested work of every class, of every team and of the largest jobs of
+//! every class must be served. Each scenario runs on a site of size 1 and on one of size 1.5.
 
 use copperfield_simulation::core_harness::CoreHarness;
 use copperfield_simulation::service_levels::{RequestedJob, service_levels};
@@ -12,24 +14,27 @@
  {"name":"small","cpus":4,"memory_gb":16,"local_gb":50,"pull_gb_per_s":1,"price":0.2,"ready_s":10,"regions":["a","b"]},
  {"name":"big","cpus":12,"gpus":2,"memory_gb":48,"local_gb":90,"pull_gb_per_s":1,"price":5.0,"ready_s":10,"regions":["a","b"]}]}"#;
 
-/// Jobs come for so long, and may take so long afterwards.
-const DAY_S: f64 = 150.0;
-const AFTER_S: f64 = 150.0;
+/// Jobs are submitted for this long.
+const SUBMISSION_S: f64 = 150.0;
+/// How long the run continues after the last submission, so that jobs can complete.
+const COMPLETION_S: f64 = 150.0;
 
+/// A class of jobs that is submitted throughout a scenario.
 struct Class {
     name: &'static str,
     team: &'static str,
     body: Value,
-    /// On a site of size 1.
-    a_minute: f64,
+    /// Average number of jobs submitted per minute on a site of size 1.
+    jobs_per_minute: f64,
 }
 
+/// Returns the job classes that are submitted in every scenario.
 fn classes() -> Vec<Class> {
-    let class = |name, team, a_minute, body| Class {
+    let class = |name, team, jobs_per_minute, body| Class {
         name,
         team,
         body,
-        a_minute,
+        jobs_per_minute,
     };
     vec![
         class(
@@ -61,24 +66,27 @@
     ]
 }
 
+/// What disrupts the service in a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Starves {
-    Nobody,
-    /// Ten times as many jobs of this class for 30 s.
+enum Disruption {
+    /// Nothing: a normal load without faults.
+    None,
+    /// Ten times as many jobs of this class are submitted for 30 s.
     Burst(&'static str),
-    /// Three times as many rush jobs without an end.
-    Rush,
-    /// The zone of most whole workers is cut for 40 s.
-    Cut,
-    /// All workers of a type fail every task for 40 s.
-    Sick,
-    /// A third of the small workers is taken at once, and none can be had.
-    Taken,
-    /// A leader ends every 3 s for 45 s.
-    Leaders,
+    /// Three times as many rush jobs are submitted from 30 s until the submissions end.
+    RushOverload,
+    /// Zone b, which has most of the big workers, is partitioned for 40 s.
+    ZonePartition,
+    /// All big workers fail every task for 40 s.
+    FailingWorkers,
+    /// A third of the small workers is lost at once, and the cloud has no replacements.
+    LostWorkers,
+    /// The leader fails every 3 s for 45 s.
+    Failovers,
 }
 
-fn day(starves: Starves, size: f64, seed: u64) -> Vec<(String, f64)> {
+/// Runs a scenario and returns the share of requested work that was served, by class and team.
+fn run_scenario(disruption: Disruption, size: f64, seed: u64) -> Vec<(String, f64)> {
     let teams = ["front", "art", "farm"].map(|name| json!({"name": name}));
     let cluster = json!({"zones": ["a", "b"], "teams": teams, "objectives": [
             {"kind": "wait", "class": "bake", "within_s": 20.0}, {"kind": "wait", "class": "portal", "within_s": 2.0},
@@ -86,7 +94,7 @@
         "workers": {"report_s": 2.0, "lease_s": 10.0, "gang_wait_s": 30.0, "gang_peer_s": 4.0, "cancel_s": 30.0},
         "state": {"rps": 400, "write_rps": 100, "value_kb": 8, "txn_ops": 12}, "cloud": {"rps": 5},
         "limits": {"max_sockets": 1000}, "clock_error_ms": 25});
-    let mut crew = CoreHarness::new(TYPES, cluster, 50);
+    let mut harness = CoreHarness::new(TYPES, cluster, 50);
     let mut names = Vec::new();
     for (flavor, zone, count) in [
         ("small", "a", 14.0),
@@ -97,35 +105,39 @@
         let count = (count * size) as usize;
         for i in 0..count {
             let name = format!("{zone}-{flavor}-{i}");
-            crew.add_worker(&name, flavor, zone, 0.1 + i as f64 * 1.9 / count as f64);
+            harness.add_worker(&name, flavor, zone, 0.1 + i as f64 * 1.9 / count as f64);
             names.push(name);
         }
     }
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut asked = Vec::new();
-    let mut next = 1;
-    for second in 0..(DAY_S + AFTER_S) as u32 {
+    let mut requested = Vec::new();
+    let mut next_id = 1;
+    for second in 0..(SUBMISSION_S + COMPLETION_S) as u32 {
         let at = f64::from(second);
         let within = |from: f64, to: f64| (from..to).contains(&at);
-        for class in classes().iter().filter(|_| at < DAY_S) {
-            let times = match starves {
-                Starves::Burst(name) if name == class.name && within(30.0, 60.0) => 10.0,
-                Starves::Rush if class.name == "rush" && at > 30.0 => 3.0,
+        for class in classes().iter().filter(|_| at < SUBMISSION_S) {
+            let rate_factor = match disruption {
+                Disruption::Burst(name) if name == class.name && within(30.0, 60.0) => 10.0,
+                Disruption::RushOverload if class.name == "rush" && at > 30.0 => 3.0,
                 _ => 1.0,
             };
-            let mut due = class.a_minute / 60.0 * size * times;
-            while due > 0.0 && rng.random_bool(due.min(1.0)) {
-                due -= 1.0;
+            let mut expected_jobs = class.jobs_per_minute / 60.0 * size * rate_factor;
+            while expected_jobs > 0.0 && rng.random_bool(expected_jobs.min(1.0)) {
+                expected_jobs -= 1.0;
                 let mut body = class.body.clone();
-                body["uid"] = json!(format!("wk-{next:06}"));
+                body["uid"] = json!(format!("wk-{next_id:06}"));
                 body["jobclass"] = json!(class.name);
                 body["owner"] = json!(class.team);
-                next += 1;
-                let job = crew.submit(&body);
+                next_id += 1;
+                let job = harness.submit(&body);
                 let service = body["shape"] == "service";
-                // Portals close again after a while.
-                let until = if service { at + 60.0 } else { DAY_S + AFTER_S };
-                asked.push((
+                // Services are cancelled after 60 s.
+                let until = if service {
+                    at + 60.0
+                } else {
+                    SUBMISSION_S + COMPLETION_S
+                };
+                requested.push((
                     job,
                     RequestedJob {
                         id: job.to_string(),
@@ -140,67 +152,82 @@
                 ));
             }
         }
-        for (job, _) in asked.iter().filter(|(_, a)| a.service && a.until == at) {
-            crew.cancel(*job);
+        for (job, _) in requested.iter().filter(|(_, r)| r.service && r.until == at) {
+            harness.cancel(*job);
         }
-        let of = |part: &'static str| names.iter().filter(move |n| n.contains(part)).cloned();
-        match starves {
-            Starves::Cut if at == 40.0 => crew.unreachable.extend(of("b-")),
-            Starves::Cut if at == 80.0 => crew.unreachable.clear(),
-            Starves::Sick if at == 40.0 => crew.failing_workers.extend(of("-big-")),
-            Starves::Sick if at == 80.0 => crew.failing_workers.clear(),
-            Starves::Taken if at == 40.0 => {
-                let taken: Vec<String> = of("-small-").step_by(3).collect();
-                taken.iter().for_each(|name| crew.remove_worker(name));
+        let workers_with =
+            |part: &'static str| names.iter().filter(move |n| n.contains(part)).cloned();
+        match disruption {
+            Disruption::ZonePartition if at == 40.0 => {
+                harness.unreachable.extend(workers_with("b-"))
             }
-            Starves::Leaders if within(40.0, 85.0) && second % 3 == 0 => crew.fail_over(),
+            Disruption::ZonePartition if at == 80.0 => harness.unreachable.clear(),
+            Disruption::FailingWorkers if at == 40.0 => {
+                harness.failing_workers.extend(workers_with("-big-"))
+            }
+            Disruption::FailingWorkers if at == 80.0 => harness.failing_workers.clear(),
+            Disruption::LostWorkers if at == 40.0 => {
+                let lost: Vec<String> = workers_with("-small-").step_by(3).collect();
+                lost.iter().for_each(|name| harness.remove_worker(name));
+            }
+            Disruption::Failovers if within(40.0, 85.0) && second % 3 == 0 => harness.fail_over(),
             _ => {}
         }
-        crew.run(1.0);
+        harness.run(1.0);
     }
-    let asked: Vec<RequestedJob> = asked.into_iter().map(|(_, asked)| asked).collect();
-    assert!(asked.len() > 60, "{} jobs", asked.len());
-    let all = service_levels(&crew.history, &asked);
-    all.into_iter()
-        .map(|(name, s)| (name, s.min_share()))
+    let requested: Vec<RequestedJob> = requested.into_iter().map(|(_, job)| job).collect();
+    assert!(requested.len() > 60, "{} jobs", requested.len());
+    let levels = service_levels(&harness.history, &requested);
+    levels
+        .into_iter()
+        .map(|(name, level)| (name, level.min_share()))
         .collect()
 }
 
-fn everybody_gets_half(starves: Starves) {
+/// Runs a scenario on both sizes of the site, and checks that at least half of the requested work
+/// of every class and team was served.
+fn assert_half_served(disruption: Disruption) {
     for size in [1.0, 1.5] {
-        let all = day(starves, size, 7);
+        let shares = run_scenario(disruption, size, 7);
         assert_eq!(
-            all.len(),
+            shares.len(),
             11,
             "four classes, their largest jobs, three teams"
         );
-        let least = all.iter().min_by(|a, b| a.1.total_cmp(&b.1)).expect("some");
-        println!("{starves:?} x {size}: least {} {:.2}", least.0, least.1);
-        assert!(least.1 >= 0.5, "{starves:?} x {size}: {all:.2?}");
+        let least = shares
+            .iter()
+            .min_by(|a, b| a.1.total_cmp(&b.1))
+            .expect("there are shares");
+        println!("{disruption:?} x {size}: least {} {:.2}", least.0, least.1);
+        assert!(least.1 >= 0.5, "{disruption:?} x {size}: {shares:.2?}");
     }
 }
 
 #[test]
-fn a_burst_of_any_class_leaves_the_others_half() {
+fn a_burst_of_one_class_starves_no_class() {
     for class in classes() {
-        everybody_gets_half(Starves::Burst(class.name));
+        assert_half_served(Disruption::Burst(class.name));
     }
 }
 
 #[test]
-fn a_plain_day_and_rush_without_end() {
-    everybody_gets_half(Starves::Nobody);
-    everybody_gets_half(Starves::Rush);
+fn normal_load_and_rush_overload_starve_no_class() {
+    assert_half_served(Disruption::None);
+    assert_half_served(Disruption::RushOverload);
 }
 
 #[test]
-fn workers_that_are_cut_off_sick_or_taken() {
-    for starves in [Starves::Cut, Starves::Sick, Starves::Taken] {
-        everybody_gets_half(starves);
+fn partitioned_failing_and_lost_workers_starve_no_class() {
+    for disruption in [
+        Disruption::ZonePartition,
+        Disruption::FailingWorkers,
+        Disruption::LostWorkers,
+    ] {
+        assert_half_served(disruption);
     }
 }
 
 #[test]
-fn one_leader_after_another() {
-    everybody_gets_half(Starves::Leaders);
+fn repeated_failovers_starve_no_class() {
+    assert_half_served(Disruption::Failovers);
 }
--- a/tests/whole_nodes.rs
+++ b/tests/whole_nodes.rs
@@ -1,6 +1,9 @@
-//! The deployment: three controllers and stand-in nodes as real processes on loopback. Eight
-//! GPUs are free, two on each of four nodes; a job that wants four on one node runs within
-//! two minutes, and a checker over the whole history finds every task ended exactly once.
+//! End-to-end tests of defragmentation: three controller processes and simulated worker nodes,
+//! cloud and state service on loopback.
+//!
+//! Guards against large tasks that wait although enough resources are free. Two GPUs are free on
+//! each of four nodes, and a job that needs four GPUs on one node must start within a minute. The
+//! history of each run must show that every task completed exactly once.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -30,12 +33,14 @@
 }
 "#;
 
+/// Controller processes and the simulated site that they run against.
 struct Deployment {
     site: Loopback,
+    /// The settings file of each controller.
     settings: Vec<PathBuf>,
     controllers: Vec<Child>,
     client: Client,
-    /// Tasks that must end once.
+    /// Tasks that must complete exactly once.
     tasks: Vec<String>,
 }
 
@@ -48,21 +53,23 @@
     }
 }
 
-fn controller(settings: &PathBuf) -> Child {
+/// Starts a controller process.
+fn start_controller(settings: &PathBuf) -> Child {
     Command::new(env!("CARGO_BIN_EXE_copperfield"))
         .arg("--config")
         .arg(settings)
         .stdin(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
-        .expect("starts")
+        .expect("the controller starts")
 }
 
-fn job(id: u64, extra: Value) -> Value {
+/// Returns the body of a job: one task with a GPU, changed by the fields in `overrides`.
+fn job(id: u64, overrides: Value) -> Value {
     let mut body = json!({"uid": format!("wk-{id:06}"), "jobclass": "c", "owner": "team", "shape": "sweep",
         "rank": "normal", "shards": 1, "cpus": 3.0, "gpus": 1.0, "memory_gb": 4.0, "bundle": "img",
         "pull_gb": 0.0, "one_zone": false, "spread": false, "preemptibles": true, "runtime_s": 300.0, "snapshot_every_s": 10.0, "snapshot_s": 0.5});
-    for (k, v) in extra.as_object().expect("an object") {
+    for (k, v) in overrides.as_object().expect("an object") {
         body[k] = v.clone();
     }
     body
@@ -70,19 +77,19 @@
 
 impl Deployment {
     async fn start(name: &str) -> Self {
-        let mut site = Site::default();
-        site.types = serde_json::from_str(TYPES).expect("our own");
-        site.capacity = 4;
+        let mut simulated = Site::default();
+        simulated.types = serde_json::from_str(TYPES).expect("valid instance types");
+        simulated.capacity = 4;
         for zone in ["a", "a", "b", "b"] {
-            site.add_worker("gpu4", zone, false, 0.0);
+            simulated.add_worker("gpu4", zone, false, 0.0);
         }
-        let site = Loopback::new(site, |_, _| free_address());
-        let served = site.clone();
-        tokio::spawn(async move { served.run().await.expect("free addresses") });
+        let site = Loopback::new(simulated, |_, _| free_address());
+        let server = site.clone();
+        tokio::spawn(async move { server.run().await.expect("free addresses") });
         let folder =
             std::env::temp_dir().join(format!("copperfield-{}-{name}", std::process::id()));
         let settings = site.write_settings(&folder, Some(HCL)).expect("writable");
-        let controllers = settings.iter().map(controller).collect();
+        let controllers = settings.iter().map(start_controller).collect();
         let client = Client::new(site.public.clone(), KEY.replace(' ', "-"));
         Self {
             site,
@@ -93,6 +100,7 @@
         }
     }
 
+    /// Submits a job, and returns its id.
     async fn submit(&mut self, body: Value, runtime_s: f64) -> String {
         let id = body["uid"].as_str().expect("an id").to_string();
         for task in 0..body["shards"].as_u64().unwrap_or(1) {
@@ -104,32 +112,33 @@
         id
     }
 
-    /// Two tasks that stay and two that end on every node, filled one after another.
-    async fn fragment(&mut self, stay_s: f64) {
-        self.all_ready().await;
+    /// Leaves two GPUs free on each node: fills the nodes one after another with two long tasks and
+    /// two short ones each, and waits until the short ones have ended.
+    async fn fragment_site(&mut self, long_s: f64) {
+        self.wait_until_nodes_ready().await;
         let mut id = 10;
         for zone in ["a", "b"] {
             for _ in 0..2 {
                 for _ in 0..2 {
-                    let stays = job(id, json!({"region": zone, "runtime_s": stay_s}));
-                    self.submit(stays, stay_s).await;
-                    let ends = job(id + 100, json!({"region": zone, "runtime_s": 10.0}));
-                    self.submit(ends, 10.0).await;
+                    let long = job(id, json!({"region": zone, "runtime_s": long_s}));
+                    self.submit(long, long_s).await;
+                    let short = job(id + 100, json!({"region": zone, "runtime_s": 10.0}));
+                    self.submit(short, 10.0).await;
                     id += 1;
                 }
-                let all = 2 * (id as usize - 10);
-                let filled = |p: &Self| p.used().iter().sum::<usize>() == all;
-                self.until("the node is full", 20.0, filled).await;
+                let submitted = 2 * (id as usize - 10);
+                let filled = |d: &Self| d.gpus_in_use().iter().sum::<usize>() == submitted;
+                self.wait_until("the node is full", 20.0, filled).await;
             }
         }
-        self.until("eight GPUs are free, two on each node", 40.0, |p| {
-            p.used() == [2, 2, 2, 2]
+        self.wait_until("eight GPUs are free, two on each node", 40.0, |d| {
+            d.gpus_in_use() == [2, 2, 2, 2]
         })
         .await;
     }
 
-    /// The command as an operator gives it: its exit code and what it prints.
-    async fn command(&self, args: &[&str], key: &str) -> (Option<i32>, String) {
+    /// Runs the operators' command, and returns its exit code and output.
+    async fn run_command(&self, args: &[&str], key: &str) -> (Option<i32>, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_copperfield"));
         command
             .args(args)
@@ -137,16 +146,17 @@
             .arg(self.site.public[1].to_string())
             .env("COPPERFIELD_KEY", key.replace(' ', "-"))
             .stdin(Stdio::null());
-        let done = tokio::task::spawn_blocking(move || command.output()).await;
-        let out = done.expect("no panic").expect("starts");
-        let text = [out.stdout, out.stderr].concat();
+        let result = tokio::task::spawn_blocking(move || command.output()).await;
+        let output = result.expect("no panic").expect("the command starts");
+        let text = [output.stdout, output.stderr].concat();
         (
-            out.status.code(),
+            output.status.code(),
             String::from_utf8_lossy(&text).into_owned(),
         )
     }
 
-    async fn all_ready(&self) {
+    /// Waits until all four nodes are ready.
+    async fn wait_until_nodes_ready(&self) {
         for _ in 0..300 {
             let nodes = self.client.nodes().await.unwrap_or_default();
             let ready = nodes.iter().filter(|n| n.state == NodeState::Ready);
@@ -155,55 +165,69 @@
             }
             sleep(Duration::from_millis(100)).await;
         }
-        panic!("the nodes never came up");
+        panic!("not all nodes were ready in time");
     }
 
-    /// GPUs in use on each node.
-    fn used(&self) -> Vec<usize> {
-        let w = self.site.world();
-        let history = &w.site.history;
-        let mut on = std::collections::BTreeMap::<&str, i64>::new();
-        for e in history
+    /// Returns the number of GPUs in use on each node, not counting the jobs `wk-0009..`.
+    fn gpus_in_use(&self) -> Vec<usize> {
+        let world = self.site.world();
+        let history = &world.site.history;
+        let mut by_worker = std::collections::BTreeMap::<&str, i64>::new();
+        for event in history
             .events()
             .iter()
-            .filter(|e| !e.task.starts_with("wk-0009"))
+            .filter(|event| !event.task.starts_with("wk-0009"))
         {
-            *on.entry(&e.worker).or_default() += if e.kind == EventKind::Started { 1 } else { -1 };
+            let change = if event.kind == EventKind::Started {
+                1
+            } else {
+                -1
+            };
+            *by_worker.entry(&event.worker).or_default() += change;
         }
-        w.site
+        world
+            .site
             .workers
             .keys()
-            .map(|m| on.get(m.as_str()).map_or(0, |&n| n as usize))
+            .map(|name| by_worker.get(name.as_str()).map_or(0, |&n| n as usize))
             .collect()
     }
 
-    async fn until(&mut self, what: &str, seconds: f64, test: impl Fn(&Self) -> bool) -> f64 {
+    /// Waits until a condition holds, at most this long, and returns how many seconds it took.
+    async fn wait_until(
+        &mut self,
+        what: &str,
+        timeout_s: f64,
+        condition: impl Fn(&Self) -> bool,
+    ) -> f64 {
         let started = Instant::now();
-        while !test(self) {
+        while !condition(self) {
             let waited = started.elapsed().as_secs_f64();
             assert!(
-                waited < seconds,
-                "not within {seconds} s: {what}; in use {:?}",
-                self.used()
+                waited < timeout_s,
+                "timed out after {timeout_s} s waiting for: {what}; GPUs in use: {:?}",
+                self.gpus_in_use()
             );
             sleep(Duration::from_millis(50)).await;
         }
         started.elapsed().as_secs_f64()
     }
 
+    /// Returns whether a task has started on any node.
     fn started(&self, task: &str) -> bool {
         !self.site.world().site.history.workers_of(task).is_empty()
     }
 
-    /// All jobs end, and everything that happened is looked at.
-    async fn finish(mut self) {
+    /// Waits until all jobs have completed, and checks the history of the run for violations.
+    async fn finish_and_check(mut self) {
         let tasks = self.tasks.clone();
-        let all_done = |p: &Self| {
-            let w = p.site.world();
-            let done = w.site.history.completed();
-            tasks.iter().all(|t| done.contains(t.as_str()))
+        let all_completed = |d: &Self| {
+            let world = d.site.world();
+            let completed = world.site.history.completed();
+            tasks.iter().all(|t| completed.contains(t.as_str()))
         };
-        self.until("every task ends", 120.0, all_done).await;
+        self.wait_until("every task completes", 120.0, all_completed)
+            .await;
         let jobs: Vec<String> = tasks
             .iter()
             .filter_map(|t| Some(t.split_once('/')?.0.into()))
@@ -223,17 +247,18 @@
                 sleep(Duration::from_millis(200)).await;
             }
         }
-        let w = self.site.world();
-        let problems = w
+        let world = self.site.world();
+        let violations = world
             .site
             .history
             .violations(self.tasks.iter().map(String::as_str));
-        assert_eq!(problems, [""; 0]);
-        assert_eq!(w.site.violations, [""; 0]);
+        assert_eq!(violations, [""; 0]);
+        assert_eq!(world.site.violations, [""; 0]);
     }
 }
 
-fn whole() -> Value {
+/// Returns the body of a job that needs all four GPUs of a node.
+fn four_gpu_job() -> Value {
     job(
         900,
         json!({"shape": "group", "cpus": 8.0, "gpus": 4.0, "runtime_s": 6.0}),
@@ -243,20 +268,20 @@
 #[tokio::test]
 async fn a_four_gpu_job_runs_on_a_fragmented_site() {
     let mut deployment = Deployment::start("plain").await;
-    deployment.fragment(45.0).await;
-    let job = deployment.submit(whole(), 6.0).await + "/0";
+    deployment.fragment_site(45.0).await;
+    let job = deployment.submit(four_gpu_job(), 6.0).await + "/0";
     let took = deployment
-        .until("the four-GPU job runs", 30.0, |p| p.started(&job))
+        .wait_until("the four-GPU job runs", 30.0, |d| d.started(&job))
         .await;
     println!("whole node after {took:.1} s");
-    deployment.finish().await;
+    deployment.finish_and_check().await;
 }
 
 #[tokio::test]
 async fn a_four_gpu_job_runs_while_a_node_drains() {
     let mut deployment = Deployment::start("drain").await;
-    deployment.fragment(45.0).await;
-    let job = deployment.submit(whole(), 6.0).await + "/0";
+    deployment.fragment_site(45.0).await;
+    let job = deployment.submit(four_gpu_job(), 6.0).await + "/0";
     let node = deployment.client.nodes().await.expect("a leader")[3]
         .name
         .clone();
@@ -270,41 +295,47 @@
         NodeState::Draining | NodeState::Drained
     ));
     let took = deployment
-        .until("the four-GPU job runs", 60.0, |p| p.started(&job))
+        .wait_until("the four-GPU job runs", 60.0, |d| d.started(&job))
         .await;
     println!("whole node after {took:.1} s, beside a drain");
-    let off = |p: &Deployment| p.used()[3] == 0;
-    deployment.until("the node is empty", 60.0, off).await;
+    let empty = |d: &Deployment| d.gpus_in_use()[3] == 0;
+    deployment
+        .wait_until("the node is empty", 60.0, empty)
+        .await;
     deployment.client.undrain(&node).await.expect("stored");
-    deployment.finish().await;
+    deployment.finish_and_check().await;
 }
 
 #[tokio::test]
 async fn a_four_gpu_job_runs_after_the_leader_is_killed_between_stop_and_start() {
     let mut deployment = Deployment::start("killed").await;
-    deployment.fragment(45.0).await;
+    deployment.fragment_site(45.0).await;
     let before = deployment.site.world().site.history.events().len();
-    let job = deployment.submit(whole(), 6.0).await + "/0";
-    let stopped = |p: &Deployment| {
-        let w = p.site.world();
-        w.site.history.events()[before..]
+    let job = deployment.submit(four_gpu_job(), 6.0).await + "/0";
+    let stopped = |d: &Deployment| {
+        let world = d.site.world();
+        world.site.history.events()[before..]
             .iter()
-            .any(|e| e.kind == EventKind::Left)
+            .any(|event| event.kind == EventKind::Left)
     };
-    deployment.until("a task leaves", 30.0, stopped).await;
+    deployment.wait_until("a task leaves", 30.0, stopped).await;
     let leader = deployment.site.world().leader;
-    deployment.controllers[leader].kill().expect("kills");
-    deployment.controllers[leader].wait().expect("ends");
+    deployment.controllers[leader]
+        .kill()
+        .expect("the leader is killed");
+    deployment.controllers[leader]
+        .wait()
+        .expect("the leader has ended");
     let took = deployment
-        .until("the four-GPU job runs", 60.0, |p| p.started(&job))
+        .wait_until("the four-GPU job runs", 60.0, |d| d.started(&job))
         .await;
     println!("whole node after {took:.1} s, with the leader killed");
-    deployment.controllers[leader] = controller(&deployment.settings[leader]);
-    deployment.finish().await;
+    deployment.controllers[leader] = start_controller(&deployment.settings[leader]);
+    deployment.finish_and_check().await;
 }
 
-/// Replicas of the porting service sit on two of the nodes and are never touched; a drain
-/// that would disturb them must be confirmed, and nobody without the key can order one.
+/// Replicas of a protected service run on two of the nodes. Defragmentation must never move them, a
+/// drain that would disturb them needs confirmation, and requests without the right key fail.
 #[tokio::test]
 async fn a_four_gpu_job_runs_beside_a_protected_service_that_is_never_moved() {
     let mut deployment = Deployment::start("service").await;
@@ -312,82 +343,90 @@
         "spread": true, "runtime_s": 0.0, "jobclass": "porting", "movable": true});
     deployment.submit(job(990, replicas), f64::INFINITY).await;
     deployment
-        .until("the replicas run", 30.0, |p| {
-            p.started("wk-000990/0") && p.started("wk-000990/1")
+        .wait_until("the replicas run", 30.0, |d| {
+            d.started("wk-000990/0") && d.started("wk-000990/1")
         })
         .await;
-    deployment.fragment(45.0).await;
-    let job = deployment.submit(whole(), 6.0).await + "/0";
+    deployment.fragment_site(45.0).await;
+    let job = deployment.submit(four_gpu_job(), 6.0).await + "/0";
     let took = deployment
-        .until("the four-GPU job runs", 60.0, |p| p.started(&job))
+        .wait_until("the four-GPU job runs", 60.0, |d| d.started(&job))
         .await;
     println!("whole node after {took:.1} s, beside a service");
     let nodes = deployment.client.nodes().await.expect("a leader");
-    let served = nodes
+    let protected_node = nodes
         .iter()
         .find(|n| n.protected > 0)
-        .expect("a replica")
+        .expect("a node with a replica")
         .name
         .clone();
     let refused = deployment
         .client
-        .drain(&served, &DrainOrder::default())
+        .drain(&protected_node, &DrainOrder::default())
         .await;
     assert!(
         matches!(refused, Err(ClientError::Confirm(_))),
         "{refused:?}"
     );
-    let (code, out) = deployment.command(&["drain", &served], KEY).await;
+    let (code, out) = deployment
+        .run_command(&["drain", &protected_node], KEY)
+        .await;
     assert_eq!(code, Some(4), "{out}");
     assert!(out.contains("protected: wk-000990 (porting)"), "{out}");
-    let (code, out) = deployment.command(&["nodes", "--json"], KEY).await;
+    let (code, out) = deployment.run_command(&["nodes", "--json"], KEY).await;
     let listed: Value = serde_json::from_str(&out).expect("JSON");
     assert_eq!((code, listed.as_array().map(Vec::len)), (Some(0), Some(4)));
-    let (code, out) = deployment.command(&["moves"], KEY).await;
+    let (code, out) = deployment.run_command(&["moves"], KEY).await;
     assert_eq!(code, Some(0), "{out}");
     assert!(out.contains("wk-000900"), "{out}");
     for (args, code) in [
         (vec!["drain", "nowhere"], 3),
         (vec!["undrain", "no such node"], 3),
-        (vec!["drain", &served, "--deadline", "soon"], 2),
+        (vec!["drain", &protected_node, "--deadline", "soon"], 2),
     ] {
-        let (found, out) = deployment.command(&args, KEY).await;
+        let (found, out) = deployment.run_command(&args, KEY).await;
         assert_eq!(found, Some(code), "{args:?}: {out}");
     }
     assert_eq!(
         deployment
-            .command(&["nodes"], "another key, a wrong one")
+            .run_command(&["nodes"], "another key, a wrong one")
             .await
             .0,
         Some(6)
     );
-    let stranger = Client::new(
+    let unauthorized = Client::new(
         deployment.site.public.clone(),
         "another key, a wrong one".into(),
     );
     assert!(matches!(
-        stranger.nodes().await,
+        unauthorized.nodes().await,
         Err(ClientError::Unauthorized)
     ));
-    let none: Vec<SocketAddr> = vec![free_address()];
-    let nobody = Client::new(none, String::new()).moves().await;
-    assert!(matches!(nobody, Err(ClientError::Unreachable(_))));
+    let unused: Vec<SocketAddr> = vec![free_address()];
+    let unreachable = Client::new(unused, String::new()).moves().await;
+    assert!(matches!(unreachable, Err(ClientError::Unreachable(_))));
     assert_eq!(NODES, deployment.controllers.len());
-    let moved = {
-        let w = deployment.site.world();
-        let events = w.site.history.events().iter();
-        events.filter(|e| e.task.starts_with("wk-000990/")).count()
+    let replica_events = {
+        let world = deployment.site.world();
+        let events = world.site.history.events().iter();
+        events
+            .filter(|event| event.task.starts_with("wk-000990/"))
+            .count()
     };
-    assert_eq!(moved, 2, "each replica started, and nothing else");
-    deployment.finish().await;
+    assert_eq!(
+        replica_events, 2,
+        "each replica started once and never left"
+    );
+    deployment.finish_and_check().await;
 }
 
-/// More changes at once than one answer may hold, as after a leader's pause on a site of thousands
-/// of workers. The leader asked again from the same revision, and learned of no job any more.
+/// Guards against a leader that stops receiving changes. After a leader's pause on a site of
+/// thousands of workers, there are more changes than one response to a watch may hold. The leader
+/// then repeated the request from the same revision and never learned of another job.
 #[tokio::test]
-async fn a_job_is_learned_after_more_changes_than_one_answer_holds() {
+async fn a_job_runs_after_more_changes_than_one_watch_response_holds() {
     let mut deployment = Deployment::start("burst").await;
-    deployment.all_ready().await;
+    deployment.wait_until_nodes_ready().await;
     let flavors: Vec<String> = (0..32).map(|i| format!("{i:0>200}")).collect();
     let sets: Vec<Value> = (1000..2000)
         .map(|id| {
@@ -398,15 +437,15 @@
     let body = json!({"guards": [], "apply": sets}).to_string();
     assert!(body.len() > 5 * 1024 * 1024, "{}", body.len());
     {
-        let mut w = deployment.site.world();
-        let now = w.site.now;
-        let (status, _) = w.state.handle(now, "POST", "/multi", body.as_bytes());
+        let mut world = deployment.site.world();
+        let now = world.site.now;
+        let (status, _) = world.state.handle(now, "POST", "/multi", body.as_bytes());
         assert_eq!(status, 200);
     }
     let job = deployment.submit(job(900, json!({})), 1.0).await + "/0";
     let took = deployment
-        .until("the next job runs", 20.0, |p| p.started(&job))
+        .wait_until("the next job runs", 20.0, |d| d.started(&job))
         .await;
     println!("runs {took:.1} s after the burst");
-    deployment.finish().await;
+    deployment.finish_and_check().await;
 }
