--- a/src/coordination/demand_log.rs
+++ b/src/coordination/demand_log.rs
@@ -94,7 +94,7 @@
 
     /// Returns whether a worker may hold a task of a job that passes the test.
     fn holds_any(&self, worker: &Worker, test: fn(&Job) -> bool) -> bool {
-        let mut instances = worker.instances.iter().filter(|(_, i)| i.possible());
+        let mut instances = worker.instances.iter().filter(|(_, i)| i.may_exist());
         instances.any(|(id, _)| test(&self.jobs[id.job]))
     }
 }
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -25,7 +25,7 @@
         let job = &self.jobs[ix];
         let smallest_share = self
             .types
-            .known
+            .descriptions
             .iter()
             .enumerate()
             .filter(|(k, _)| job.types.as_ref().is_none_or(|l| l.contains(&(*k as u32))))
@@ -130,7 +130,7 @@
                         && self.worker_suits_profile(&self.large_task_profiles[profile as usize], m)
                         && !self.worker_holds_profile(profile, m)
                 })
-                .filter_map(|m| self.drained_in(&needs, m).map(|t| (t, m)))
+                .filter_map(|m| self.seconds_until_room(&needs, m).map(|t| (t, m)))
                 .collect();
             candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
             for (_, m) in candidates.into_iter().take(expected - reserved.len()) {
@@ -176,7 +176,7 @@
             // replicas without GPUs are kept off them.
             let max_gpus = self
                 .types
-                .known
+                .descriptions
                 .iter()
                 .flatten()
                 .map(|t| t.whole.gpus)
--- a/src/coordination/instances.rs
+++ b/src/coordination/instances.rs
@@ -1,4 +1,4 @@
-//! Task instances: where each may be, and the resources that they take.
+//! Task instances: the workers that may hold them, and the resources allocated to them.
 
 use crate::protocol::worker::{Command, Verb};
 
@@ -6,34 +6,34 @@
 use super::state::Core;
 
 impl Core {
-    /// Adds an instance to a worker, and to what its job and team use there.
+    /// Adds an instance to a worker and, if it may exist, allocates its resources.
     pub(super) fn add_instance(&mut self, m: u32, id: InstanceId, instance: TaskInstance) {
-        let possible = instance.possible();
+        let may_exist = instance.may_exist();
         let running = instance.is_running();
         let worker = &mut self.workers[m];
-        let before = worker.instances.insert(id, instance);
-        debug_assert!(before.is_none(), "an instance is added once");
+        let previous = worker.instances.insert(id, instance);
+        debug_assert!(previous.is_none(), "the instance is already on the worker");
         worker.idle_since = None;
         let job = &mut self.jobs[id.job];
-        job.entries += 1;
+        job.listed_instances += 1;
         job.running += u32::from(running);
-        if possible {
-            self.occupy(m, id);
+        if may_exist {
+            self.allocate_resources(m, id);
         }
     }
 
-    /// An instance counts from now on: it may be on the worker.
-    fn occupy(&mut self, m: u32, id: InstanceId) {
+    /// Counts an instance that may exist in the usage of its worker, team and job.
+    fn allocate_resources(&mut self, m: u32, id: InstanceId) {
         let job = &mut self.jobs[id.job];
         let needs = job.spec.needs;
         let worker = &mut self.workers[m];
         let zone = worker.zone as usize;
         worker.used.add(&needs);
         self.teams[job.team as usize].used.add(&needs);
-        if job.by_zone.len() <= zone {
-            job.by_zone.resize(zone + 1, 0);
+        if job.instances_by_zone.len() <= zone {
+            job.instances_by_zone.resize(zone + 1, 0);
         }
-        job.by_zone[zone] += 1;
+        job.instances_by_zone[zone] += 1;
         let task = &mut job.tasks[id.task as usize];
         task.instances += 1;
         if task.instances == 1 && !task.done {
@@ -41,15 +41,16 @@
         }
     }
 
-    /// An instance stops counting: it is surely not on the worker, now or later.
-    pub(super) fn release(&mut self, m: u32, id: InstanceId) {
+    /// Removes an instance from the usage of its worker, team and job, because it is certainly not
+    /// on the worker, now or later.
+    pub(super) fn release_resources(&mut self, m: u32, id: InstanceId) {
         let job = &mut self.jobs[id.job];
         let needs = job.spec.needs;
         let worker = &mut self.workers[m];
         let zone = worker.zone as usize;
         worker.used.sub(&needs);
         self.teams[job.team as usize].used.sub(&needs);
-        job.by_zone[zone] -= 1;
+        job.instances_by_zone[zone] -= 1;
         let task = &mut job.tasks[id.task as usize];
         task.instances -= 1;
         if task.instances > 0 {
@@ -57,8 +58,8 @@
         }
         if !task.done {
             job.active -= 1;
-            if id.task < job.fresh {
-                job.retry.push_back(id.task);
+            if id.task < job.first_unstarted {
+                job.retry_queue.push_back(id.task);
             }
         }
         if job.is_gang() && job.active == 0 {
@@ -66,34 +67,34 @@
         }
     }
 
-    /// Takes an instance off its worker's list, and with the last one of a job that has ended the
-    /// job itself.
+    /// Removes an instance from its worker. The job is removed as well if it has ended and this was
+    /// its last instance.
     pub(super) fn remove_instance(&mut self, m: u32, id: InstanceId) {
         let Some(instance) = self.workers[m].instances.remove(&id) else {
             return;
         };
         let job = &mut self.jobs[id.job];
-        job.entries -= 1;
+        job.listed_instances -= 1;
         job.running -= u32::from(instance.is_running());
-        if instance.possible() {
-            self.release(m, id);
+        if instance.may_exist() {
+            self.release_resources(m, id);
         }
-        self.free_if_ended(id.job);
+        self.remove_if_ended(id.job);
     }
 
-    /// Everything on a worker is gone.
+    /// Removes everything that a worker held, and its queued commands.
     pub(super) fn clear_worker(&mut self, m: u32) {
         let ids: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
         for id in ids {
             self.remove_instance(m, id);
-            self.gang_lost_task(id);
+            self.abort_gang_attempt(id);
         }
         let worker = &mut self.workers[m];
         worker.outbox.clear();
         worker.orphaned_tasks.clear();
     }
 
-    /// Orders an instance to stop. Repeated after each heartbeat until it has an effect.
+    /// Orders an instance to stop. The stop is repeated after heartbeats until it has an effect.
     pub(super) fn stop_instance(&mut self, m: u32, id: InstanceId, grace_s: f64) {
         let Some(instance) = self.workers[m].instances.get_mut(&id) else {
             return;
@@ -101,8 +102,8 @@
         if instance.exit().is_some() {
             return;
         }
-        if instance.sent == Sent::Queued {
-            self.unqueue(m, id);
+        if instance.start_delivery == StartDelivery::Queued {
+            self.cancel_queued_start(m, id);
             return;
         }
         if instance.stop.is_some_and(|stop| stop.grace_s <= grace_s) {
@@ -116,7 +117,7 @@
         self.workers[m].queue_missing(vec![command]);
     }
 
-    /// The message that orders this of an instance.
+    /// A command for an instance.
     pub(super) fn command(&self, id: InstanceId, verb: Verb) -> Command {
         Command {
             verb,
@@ -126,13 +127,13 @@
         }
     }
 
-    /// A number that no attempt of any leader has.
+    /// Returns an attempt number that no leader has used before.
     pub(super) fn new_attempt(&mut self) -> u64 {
-        self.next_attempt += 1;
-        self.next_attempt
+        self.last_attempt += 1;
+        self.last_attempt
     }
 
-    /// Decides a start. The caller has checked `may_start`.
+    /// Queues the start of a task on a worker. The caller has checked `may_start`.
     pub(super) fn start(&mut self, ix: u32, task: u32, m: u32, attempt: u64) {
         let id = InstanceId {
             job: ix,
@@ -144,7 +145,7 @@
             job = %job.spec.id,
             task,
             worker = self.workers[m].name,
-            waited_s = self.now - job.seen_at,
+            waited_s = self.now - job.accepted_at,
             class = job.spec.class,
             fetches = !self.workers[m].images.contains(&job.image),
             "start"
@@ -162,7 +163,7 @@
         worker.reservations.retain(|r| r.count > 0);
     }
 
-    /// The instances of a job on a worker.
+    /// The ids of all instances of a job on a worker.
     pub(super) fn instances_of(&self, m: u32, job: u32) -> Vec<InstanceId> {
         let from = InstanceId {
             job,
@@ -181,24 +182,24 @@
             .collect()
     }
 
-    /// A start that has not left for its worker does not leave any more.
-    pub(super) fn unqueue(&mut self, m: u32, id: InstanceId) {
+    /// Cancels a start that has not been sent yet, and removes its instance.
+    pub(super) fn cancel_queued_start(&mut self, m: u32, id: InstanceId) {
         let start = self.command(id, Verb::Start);
         self.workers[m].outbox.retain(|command| *command != start);
         self.remove_instance(m, id);
     }
 
-    /// No start that has not left for a worker leaves for it any more.
-    pub(super) fn unqueue_all(&mut self, m: u32) {
+    /// Cancels all starts for a worker that have not been sent yet.
+    pub(super) fn cancel_queued_starts(&mut self, m: u32) {
         let queued: Vec<InstanceId> = self.workers[m]
             .instances
             .iter()
-            .filter(|(_, instance)| instance.sent == Sent::Queued)
+            .filter(|(_, instance)| instance.start_delivery == StartDelivery::Queued)
             .map(|(id, _)| *id)
             .collect();
         for id in queued {
-            self.unqueue(m, id);
-            self.gang_lost_task(id);
+            self.cancel_queued_start(m, id);
+            self.abort_gang_attempt(id);
         }
     }
 }
--- a/src/coordination/migration/prospects.rs
+++ b/src/coordination/migration/prospects.rs
@@ -1,8 +1,8 @@
 //! What a stop of a task instance would cost, and whether it may be migrated now.
 
-use crate::coordination::gangs::grace_to_save;
+use crate::coordination::gangs::checkpoint_grace_s;
 use crate::coordination::model::*;
-use crate::coordination::state::{Core, SETTLED_S};
+use crate::coordination::state::{Core, MIN_RUN_BEFORE_MOVE_S};
 use crate::protocol::worker::TaskPhase;
 
 /// From an order to stop to the proof that it was carried out, beside the time to save: a heartbeat,
@@ -59,7 +59,7 @@
         let settings = &self.config.tuning.defragmentation;
         let saves = job.spec.checkpoint_s > 0.0;
         let running_since = instance.running_since;
-        let settled = running_since.is_some_and(|since| self.now - since > SETTLED_S);
+        let settled = running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
         let has_objective = !job.placement_deadlines_s.is_empty()
             && job.start_delay_tolerance_s < OBJECTIVE_TOLERANCE_S;
         let migrated_at = self.migrations.last_migrated_at(job.spec.id, id.task);
@@ -69,7 +69,7 @@
             // A waiting task of the job would take the target before this one comes there.
             && job.waiting() == 0
             && instance.phase == Some(TaskPhase::Running)
-            && instance.sent == Sent::Seen
+            && instance.start_delivery == StartDelivery::Reported
             && !instance.unacknowledged
             && instance.stop.is_none()
             && (draining || settled || !(has_objective || job.is_service()))
@@ -80,10 +80,10 @@
     /// From the order to stop a task of a job until it is surely gone.
     pub(super) fn stop_s(&self, ix: u32) -> f64 {
         let workers = &self.config.cluster.workers;
-        let grace_s = if self.is_whole_gang(ix) {
-            grace_to_save(self.jobs[ix].spec.save_s) + workers.gang_peer_s
+        let grace_s = if self.is_multi_task_gang(ix) {
+            checkpoint_grace_s(self.jobs[ix].spec.save_s) + workers.gang_peer_s
         } else {
-            self.grace_of(ix)
+            self.stop_grace_s(ix)
         };
         grace_s + workers.heartbeat_interval_s * HEARTBEAT_JITTER + PROOF_S
     }
--- a/src/coordination/placement/market.rs
+++ b/src/coordination/placement/market.rs
@@ -105,7 +105,7 @@
             .waiting()
             .min(MAX_TASKS_PER_JOB)
             .min(self.trial_start_limit(ix));
-        if demand == 0 || self.is_whole_gang(ix) {
+        if demand == 0 || self.is_multi_task_gang(ix) {
             return None;
         }
         let (cpu_slots, gpu_slots) =
@@ -155,7 +155,7 @@
         let job = &self.jobs[ix];
         (0..self.zones.len())
             .map(|zone| {
-                let here = job.by_zone.get(zone).copied().unwrap_or(0);
+                let here = job.instances_by_zone.get(zone).copied().unwrap_or(0);
                 job.zone_cap().saturating_sub(here)
             })
             .collect()
@@ -167,7 +167,10 @@
         if !job.spec.one_zone {
             return None;
         }
-        let zone = job.by_zone.iter().position(|&instances| instances > 0);
+        let zone = job
+            .instances_by_zone
+            .iter()
+            .position(|&instances| instances > 0);
         zone.map(|zone| zone as u32)
     }
 
--- a/src/coordination/provisioning/quarantine.rs
+++ b/src/coordination/provisioning/quarantine.rs
@@ -17,15 +17,15 @@
 const WARN_INTERVAL_S: Time = 30.0;
 /// A job is considered faulty once it has failed on this many workers and never run well.
 const FAULTY_AFTER_WORKERS: usize = 2;
-/// A job without a finished task is no longer considered proved after it has failed on this many
+/// A job without a finished task is no longer known to be good after it has failed on this many
 /// workers.
-const UNPROVED_AFTER_WORKERS: usize = 3;
-/// How many tasks of an unproved job that has failed may be active at once.
+const IN_DOUBT_AFTER_WORKERS: usize = 3;
+/// How many tasks may be active at once of a job that has failed and is not known to be good.
 const MAX_TRIAL_TASKS: u32 = 2;
 /// The length of a worker's first quarantine. Each further quarantine is twice as long.
 const FIRST_QUARANTINE_S: Time = 15.0;
 /// Number of quarantines after which their length stops doubling.
-const MAX_QUARANTINE_DOUBLINGS: u32 = 6;
+const QUARANTINES_TO_MAX_LENGTH: u32 = 6;
 
 impl Core {
     /// Handles a failed task. Either the worker or the job is at fault; the results of the job on
@@ -39,16 +39,18 @@
         if !job.failed_on.contains(&m) {
             job.failed_on.push(m);
         }
-        let unproved = job.failed_on.len() >= UNPROVED_AFTER_WORKERS && job.done == 0;
-        if unproved && !job.is_service() {
+        let in_doubt = job.failed_on.len() >= IN_DOUBT_AFTER_WORKERS && job.done == 0;
+        if in_doubt && !job.is_service() {
             // A task may run well for a while and still fail on every worker in the end.
-            job.proved = false;
+            job.known_good = false;
         }
         if self.is_faulty_job(id.job) {
             self.delay_faulty_job(id.job);
         }
-        self.workers[m].failed.insert(id.job, now + JOB_BACKOFF_S);
-        if self.jobs[id.job].proved {
+        self.workers[m]
+            .failed_jobs
+            .insert(id.job, now + JOB_BACKOFF_S);
+        if self.jobs[id.job].known_good {
             self.quarantine(m);
         }
     }
@@ -66,17 +68,17 @@
         }
     }
 
-    /// Marks a job as proved once a task has run well, and quarantines the workers on which it
-    /// failed lately. Failures of unproved jobs never quarantine a worker: several faulty jobs on
-    /// their first attempts look like several good jobs on a faulty worker, and new workers that
-    /// have run nothing else would be quarantined.
-    pub(crate) fn mark_job_proved(&mut self, ix: u32) {
-        if std::mem::replace(&mut self.jobs[ix].proved, true) {
+    /// Marks a job as known to be good once a task has run well, and quarantines the workers on
+    /// which it failed lately. Failures of other jobs never quarantine a worker: several faulty
+    /// jobs on their first attempts look like several good jobs on a faulty worker, and new workers
+    /// that have run nothing else would be quarantined.
+    pub(crate) fn mark_job_known_good(&mut self, ix: u32) {
+        if std::mem::replace(&mut self.jobs[ix].known_good, true) {
             return;
         }
         self.jobs[ix].failures = 0;
         for m in self.workers.indices() {
-            let backoff_until = self.workers[m].failed.get(&ix);
+            let backoff_until = self.workers[m].failed_jobs.get(&ix);
             if backoff_until.is_some_and(|&until| until > self.now) {
                 self.quarantine(m);
             }
@@ -89,8 +91,8 @@
         if worker.quarantined_until > now {
             return;
         }
-        worker.quarantines += 1;
-        let doublings = worker.quarantines.min(MAX_QUARANTINE_DOUBLINGS) as i32 - 1;
+        worker.quarantine_count += 1;
+        let doublings = worker.quarantine_count.min(QUARANTINES_TO_MAX_LENGTH) as i32 - 1;
         let pause = FIRST_QUARANTINE_S * 2.0f64.powi(doublings);
         worker.quarantined_until = now + pause;
         tracing::info!(worker = worker.name, pause, "quarantined");
@@ -100,24 +102,24 @@
     pub(crate) fn is_faulty_job(&self, ix: u32) -> bool {
         self.jobs
             .get(ix)
-            .is_some_and(|job| !job.proved && job.failed_on.len() >= FAULTY_AFTER_WORKERS)
+            .is_some_and(|job| !job.known_good && job.failed_on.len() >= FAULTY_AFTER_WORKERS)
     }
 
     /// Records that a task of the job has run well on this worker.
     pub(crate) fn record_task_success(&mut self, m: u32, ix: u32) {
         self.jobs[ix].failed_on.retain(|&failed| failed != m);
         let worker = &mut self.workers[m];
-        worker.failed.remove(&ix);
-        if worker.failed.is_empty() && worker.quarantined_until <= self.now {
-            worker.quarantines = 0;
+        worker.failed_jobs.remove(&ix);
+        if worker.failed_jobs.is_empty() && worker.quarantined_until <= self.now {
+            worker.quarantine_count = 0;
         }
     }
 
-    /// Returns how many more tasks of a job may be started now. The number is small for an unproved
-    /// job that has failed.
+    /// Returns how many more tasks of a job may be started now. The number is small for a job that
+    /// has failed and is not known to be good.
     pub(crate) fn trial_start_limit(&self, ix: u32) -> u32 {
         let job = &self.jobs[ix];
-        if job.proved || job.failed_on.is_empty() {
+        if job.known_good || job.failed_on.is_empty() {
             u32::MAX
         } else {
             MAX_TRIAL_TASKS.saturating_sub(job.active)
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -36,7 +36,7 @@
         log_scaled_in(&removed);
     }
 
-    /// Marks workers that are not needed or faulty as returning, and requests their return.
+    /// Marks workers that are idle or faulty for scale-in, and requests their return.
     pub(super) fn scale_in(&mut self) {
         let now = self.now;
         let is_live = |job: &Job| job.state == JobState::Live;
@@ -56,16 +56,16 @@
             }
             let idle = worker.idle_since.is_some_and(|t| now - t > idle_return_s);
             let unused = idle && !waiting && !worker.draining;
-            let faulty =
-                worker.quarantined_until > now && worker.quarantines >= QUARANTINES_BEFORE_RETURN;
+            let faulty = worker.quarantined_until > now
+                && worker.quarantine_count >= QUARANTINES_BEFORE_RETURN;
             if unused || faulty {
-                worker.returning = true;
+                worker.scaling_in = true;
             }
         }
         self.send_scale_in();
     }
 
-    /// Requests the return of workers that are marked as returning or did not boot, unless a
+    /// Requests the return of workers that are marked for scale-in or did not boot, unless a
     /// request is pending.
     pub(super) fn send_scale_in(&mut self) {
         if self.provisioning.scale_in_pending {
@@ -74,7 +74,7 @@
         let mut names: Vec<String> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.returning)
+            .filter(|(_, worker)| worker.scaling_in)
             .map(|(_, worker)| worker.name.clone())
             .take(MAX_WORKERS_PER_REQUEST)
             .collect();
--- a/src/coordination/provisioning/unresponsive.rs
+++ b/src/coordination/provisioning/unresponsive.rs
@@ -85,13 +85,13 @@
             };
             if release {
                 released.push(m);
-                self.workers[m].returning = true;
+                self.workers[m].scaling_in = true;
                 self.send_scale_in();
             } else if self.may_probe(m) {
-                let left = probes_left.get_or_insert_with(|| self.questions_left());
+                let left = probes_left.get_or_insert_with(|| self.remaining_probes());
                 if *left > 0 {
                     *left -= 1;
-                    self.ask_worker(m);
+                    self.send_probe(m);
                 }
             }
         }
@@ -120,13 +120,13 @@
         let unanswered_at = self.workers[late.index].unanswered_at;
         self.is_overdue(late)
             && unanswered_at.is_some_and(|t| t >= late_since)
-            && self.answers_no_controller(late.index)
+            && self.is_unreachable_by_all(late.index)
     }
 
     /// Returns whether a probe may be sent to a worker now.
     fn may_probe(&self, m: u32) -> bool {
         let worker = &self.workers[m];
-        worker.in_flight.is_none() && worker.next_probe <= self.now
+        worker.in_flight.is_none() && worker.next_message_at <= self.now
     }
 
     /// Returns which workers are late. A heartbeat comes up to a quarter of its interval early or
@@ -140,7 +140,7 @@
             let Some(last_heartbeat_at) = worker.last_heartbeat_at else {
                 continue;
             };
-            if worker.returning || !worker.may_be_alive() {
+            if worker.scaling_in || !worker.may_be_alive() {
                 continue;
             }
             if self.now - last_heartbeat_at < late_after_s {
@@ -160,7 +160,7 @@
         self.workers[m]
             .instances
             .iter()
-            .any(|(id, instance)| instance.possible() && self.jobs[id.job].is_service())
+            .any(|(id, instance)| instance.may_exist() && self.jobs[id.job].is_service())
     }
 
     /// Releases workers that have not answered a new leader although other workers of their zones
@@ -172,7 +172,7 @@
         self.release_one_way_partitioned_workers(unreconciled);
         let all = self.workers.iter().count();
         let many = unreconciled.len() > 1 + all / WORKERS_PER_EARLY_RELEASE;
-        let early = self.now - self.listening_since < THIRD_PROBE_AFTER_S;
+        let early = self.now - self.expecting_heartbeats_since < THIRD_PROBE_AFTER_S;
         if many
             && (early || exceeds_network_fault_ratio(unreconciled.len(), all - unreconciled.len()))
         {
@@ -187,10 +187,10 @@
             let probed_twice = worker
                 .unanswered_at
                 .is_some_and(|t| self.now - t > SECOND_PROBE_AFTER_S)
-                && self.answers_no_controller(m);
-            if probed_twice && !worker.returning && self.zone_is_reachable(&recent, m, since) {
+                && self.is_unreachable_by_all(m);
+            if probed_twice && !worker.scaling_in && self.zone_is_reachable(&recent, m, since) {
                 released.push(m);
-                self.workers[m].returning = true;
+                self.workers[m].scaling_in = true;
             }
         }
         self.log_released(ReleaseReason::Unreconciled, &released);
@@ -213,8 +213,8 @@
             let sends_heartbeats = worker
                 .last_heartbeat_at
                 .is_some_and(|t| t - expired_at > max_interval_s);
-            if sends_heartbeats && !worker.returning {
-                worker.returning = true;
+            if sends_heartbeats && !worker.scaling_in {
+                worker.scaling_in = true;
                 released.push(m);
             }
         }
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -7,7 +7,7 @@
 //! its downtime is about a second plus the time to fetch its image.
 
 use super::model::*;
-use super::state::{Core, SETTLED_S};
+use super::state::{Core, MIN_RUN_BEFORE_MOVE_S};
 
 /// The average share of all replicas that may be down for migrations at a time. Without this limit,
 /// eighty migrations in half a minute cost more replica time than the loss of a leader. Migrating
@@ -112,7 +112,7 @@
         let mut available = self.types.get(worker.kind)?.whole;
         let mut replicas = Vec::new();
         let instances = worker.instances.iter();
-        for (id, instance) in instances.filter(|(_, instance)| instance.possible()) {
+        for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
             let job = &self.jobs[id.job];
             if job.is_service() {
                 available.sub(&job.spec.needs);
@@ -135,7 +135,7 @@
 
     fn replica_may_migrate(&self, id: InstanceId, instance: &TaskInstance) -> bool {
         let running_since = instance.running_since;
-        let settled = running_since.is_some_and(|since| self.now - since > SETTLED_S);
+        let settled = running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
         instance.stop.is_none() && settled && !self.jobs[id.job].pinned
     }
 
--- a/src/coordination/sharding/relays.rs
+++ b/src/coordination/sharding/relays.rs
@@ -1,4 +1,4 @@
-//! Commands that other controllers relay to workers.
+//! Commands that other controllers relay to workers for the leader.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,9 @@
 
 use super::Sharding;
 
-/// A message that a relay accepted and reports no outcome of for so long is lost with the relay.
+/// A relayed message without an outcome after this time counts as lost with its relay.
 const RELAY_TIMEOUT_S: Time = 3.0;
-/// A worker that did not answer is probed again after so long, if no other controller can do so.
+/// Delay before a worker that did not answer is probed again, if no other controller can probe it.
 const PROBE_RETRY_S: Time = 1.0;
 
 struct RelayedMessage {
@@ -19,7 +19,7 @@
     sent_at: Time,
 }
 
-/// The messages that relays have and whose outcome is not known.
+/// Messages that were sent through relays and whose outcome is not known.
 #[derive(Default)]
 pub(super) struct RelayedMessages {
     by_id: BTreeMap<u64, RelayedMessage>,
@@ -31,7 +31,7 @@
         self.by_id.insert(message_id, message);
     }
 
-    /// Removes a message and returns the worker that it is for.
+    /// Removes a message and returns the worker it was sent to.
     pub(super) fn remove(&mut self, message_id: u64) -> Option<String> {
         Some(self.by_id.remove(&message_id)?.worker)
     }
@@ -44,46 +44,47 @@
 }
 
 impl Core {
-    /// The controller that relays messages to a worker, `None` if this one sends them itself.
+    /// The controller that relays messages to a worker, or `None` if the leader sends them itself.
     pub(in crate::coordination) fn relay_for(&self, m: u32) -> Option<u32> {
         let sharding = self.sharding.as_ref()?;
         let worker = &self.workers[m];
         let now = ceil_ms(self.now);
-        let owner = sharding.coordinator.owner_relay(worker.number, now);
-        match worker.missed() {
-            // A new leader probes the workers without a shard owner with the help of all others.
-            Unanswered {
+        let owner = sharding.coordinator.owner_relay(worker.shard_number, now);
+        match worker.unanswered_senders() {
+            // A new leader spreads the probes of workers without a shard owner over all controllers.
+            UnansweredSenders {
                 own: false,
                 relayed: false,
-            } if owner.is_none() && !worker.reconciled => {
-                sharding.coordinator.relay_or_leader(worker.number, now)
-            }
-            // The other way next, as either controller may reach what the other does not, and by
-            // turns from then on.
-            Unanswered { own, relayed } if own || relayed => {
-                let by_other = !relayed || (own && self.next_message_id.is_multiple_of(2));
-                by_other.then(|| sharding.coordinator.any_relay(worker.number, now))?
+            } if owner.is_none() && !worker.reconciled => sharding
+                .coordinator
+                .relay_or_leader(worker.shard_number, now),
+            // After a failure the other path is tried, since either controller may reach workers
+            // that the other does not. Once both have failed, they alternate.
+            UnansweredSenders { own, relayed } if own || relayed => {
+                let use_relay = !relayed || (own && self.next_message_id.is_multiple_of(2));
+                use_relay.then(|| sharding.coordinator.any_relay(worker.shard_number, now))?
             }
             _ => owner,
         }
     }
 
-    /// Whether a worker has answered neither this controller nor, if one can relay, another. A
-    /// leader that alone has lost its connections must not take good workers for lost.
-    pub(in crate::coordination) fn answers_no_controller(&self, m: u32) -> bool {
-        let Unanswered { own, relayed } = self.workers[m].missed();
+    /// Whether a worker has answered neither this controller nor, if another can relay, that one. A
+    /// leader that alone has lost its connections to the workers must not treat them as lost.
+    pub(in crate::coordination) fn is_unreachable_by_all(&self, m: u32) -> bool {
+        let UnansweredSenders { own, relayed } = self.workers[m].unanswered_senders();
         own && (relayed || !self.has_relay(m))
     }
 
     fn has_relay(&self, m: u32) -> bool {
         let now = ceil_ms(self.now);
-        let relay = |s: &Sharding| s.coordinator.any_relay(self.workers[m].number, now);
+        let relay = |s: &Sharding| s.coordinator.any_relay(self.workers[m].shard_number, now);
         self.sharding.as_ref().and_then(relay).is_some()
     }
 
-    /// When a worker that has not answered is probed next: at once, if by another controller.
+    /// When a worker that has not answered is probed next: at once if only one of the two paths, direct
+    /// and relayed, has failed and a relay is available.
     pub(in crate::coordination) fn next_probe_at(&self, m: u32) -> Time {
-        let Unanswered { own, relayed } = self.workers[m].missed();
+        let UnansweredSenders { own, relayed } = self.workers[m].unanswered_senders();
         if own != relayed && self.has_relay(m) {
             self.now
         } else {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Records that a message is sent through another controller.
+    /// Records that a message is sent through a relay.
     pub(in crate::coordination) fn record_relayed_message(&mut self, m: u32, message_id: u64) {
         if let Some(sharding) = &mut self.sharding {
             let worker = self.workers[m].name.clone();
@@ -99,17 +100,17 @@
         }
     }
 
-    /// Records whether a worker has answered a message.
+    /// Records whether a worker answered a command.
     pub(in crate::coordination) fn record_command_result(&mut self, m: u32, answered: bool) {
         if let Some(sharding) = &mut self.sharding {
-            let (now, number) = (ceil_ms(self.now), self.workers[m].number);
+            let (now, number) = (ceil_ms(self.now), self.workers[m].shard_number);
             sharding
                 .coordinator
                 .record_command_result(now, number, answered);
         }
     }
 
-    /// Handles messages that a relay did not accept, all with the same outcome.
+    /// Handles messages that a relay did not accept; all have the same outcome.
     pub(in crate::coordination) fn handle_relay_failure(
         &mut self,
         controller: u32,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Ends the messages whose relays have reported nothing for too long.
+    /// Ends messages without an outcome after [`RELAY_TIMEOUT_S`].
     pub(super) fn expire_relayed_messages(&mut self) {
         let Some(sharding) = &self.sharding else {
             return;
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Ends a message that a relay has lost, which does not count against the worker.
+    /// Ends a message that a relay lost. The worker does not count as having failed to answer.
     fn end_relayed_message(&mut self, message_id: u64, outcome: Outcome) {
         let sharding = self.sharding.as_mut();
         let Some(name) = sharding.and_then(|s| s.relayed.remove(message_id)) else {
@@ -145,13 +146,13 @@
             return;
         };
         let worker = &self.workers[m];
-        let (unanswered_at, missed) = (worker.unanswered_at, worker.missed);
+        let (unanswered_at, unanswered_senders) = (worker.unanswered_at, worker.unanswered_senders);
         let commands_unanswered = worker.commands_unanswered;
         self.handle_command_outcome(&name, message_id, outcome);
         let worker = &mut self.workers[m];
         worker.unanswered_at = unanswered_at;
-        worker.missed = missed;
+        worker.unanswered_senders = unanswered_senders;
         worker.commands_unanswered = commands_unanswered;
-        worker.next_probe = self.now;
+        worker.next_message_at = self.now;
     }
 }
