--- a/src/coordination/drains/admin.rs
+++ b/src/coordination/drains/admin.rs
@@ -14,7 +14,7 @@
 use crate::protocol::job::Resources;
 use crate::protocol::peer::AdminRequest;
 
-/// The maximum number of items of each list in one response, which keeps it well under 64 KiB.
+/// The maximum number of items of a list in one response, which keeps it well under 64 KiB.
 pub(super) const PAGE_SIZE: usize = 100;
 
 impl Core {
@@ -93,9 +93,9 @@
 
     fn node_view(&self, m: u32) -> views::Node {
         let worker = &self.workers[m];
-        let possible_instances = || {
-            let instances = worker.instances.iter();
-            instances.filter(|(_, instance)| instance.may_exist())
+        let instances = || {
+            let listed = worker.instances.iter();
+            listed.filter(|(_, instance)| instance.may_exist())
         };
         let capacity = self.types.get(worker.kind).map(|kind| kind.whole);
         let capacity = display_units(&capacity.unwrap_or_default());
@@ -114,8 +114,8 @@
             zone: self.zones.name(worker.zone).to_string(),
             spot: worker.spot,
             state: self.node_state(m),
-            tasks: possible_instances().count() as u32,
-            protected: possible_instances()
+            tasks: instances().count() as u32,
+            protected: instances()
                 .filter(|(id, _)| self.jobs[id.job].protected)
                 .count() as u32,
             leaving: self.leaving_tasks(&worker.name),
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -78,8 +78,8 @@
             .map(|(_, worker)| worker.name.clone())
             .take(MAX_WORKERS_PER_REQUEST)
             .collect();
-        let left = MAX_WORKERS_PER_REQUEST - names.len();
-        let unbooted: Vec<String> = self.unbooted_workers().take(left).cloned().collect();
+        let remaining = MAX_WORKERS_PER_REQUEST - names.len();
+        let unbooted: Vec<String> = self.unbooted_workers().take(remaining).cloned().collect();
         log_unbooted(&unbooted);
         names.extend(unbooted);
         if !names.is_empty() {
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -119,6 +119,7 @@
         }
     }
 
+    /// Requests no workers from a pool for this long.
     fn avoid_pool(&mut self, pool: CapacityPool, pause_s: Time) {
         let until = self.now + pause_s;
         self.provisioning.no_capacity_until.insert(pool, until);
@@ -169,6 +170,7 @@
         plan.wanted
     }
 
+    /// Returns the unresponsive zones and the replicas that need replacements because of them.
     fn scale_out_demand(&self) -> ScaleOutDemand {
         let zones = 0..self.zones.len() as u32;
         let zones_unresponsive: Vec<bool> = zones.map(|z| self.zone_is_unresponsive(z)).collect();
--- a/src/coordination/provisioning/unresponsive.rs
+++ b/src/coordination/provisioning/unresponsive.rs
@@ -72,7 +72,7 @@
         let survey = self.survey_heartbeats();
         let network_fault = self.is_network_fault(&survey);
         let mut recent = None;
-        let mut probes_left = None;
+        let mut probes_remaining = None;
         let mut released = Vec::new();
         for late in survey.late {
             let m = late.index;
@@ -88,9 +88,9 @@
                 self.workers[m].scaling_in = true;
                 self.send_scale_in();
             } else if self.may_probe(m) {
-                let left = probes_left.get_or_insert_with(|| self.remaining_probes());
-                if *left > 0 {
-                    *left -= 1;
+                let remaining = probes_remaining.get_or_insert_with(|| self.remaining_probes());
+                if *remaining > 0 {
+                    *remaining -= 1;
                     self.send_probe(m);
                 }
             }
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -133,10 +133,13 @@
         (!blocking.is_empty() && profile.needs.fits_in(&available)).then_some(blocking)
     }
 
+    /// Returns whether a replica may be migrated: it has run for a while, is not being stopped, and
+    /// its job is not pinned.
     fn replica_may_migrate(&self, id: InstanceId, instance: &TaskInstance) -> bool {
         let running_since = instance.running_since;
-        let settled = running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
-        instance.stop.is_none() && settled && !self.jobs[id.job].pinned
+        let ran_long_enough =
+            running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
+        instance.stop.is_none() && ran_long_enough && !self.jobs[id.job].pinned
     }
 
     /// Migrates either all replicas that block a worker or none, and returns whether it did.
@@ -196,6 +199,7 @@
             })
     }
 
+    /// Returns whether a job's replica on the worker `from` may run on another worker instead.
     fn can_host_replica(&self, ix: u32, from: u32, m: u32) -> bool {
         let zone = self.workers[m].zone;
         // Within its own zone the replica does not add to the zone's instances.
@@ -210,11 +214,11 @@
     /// tasks that belong to no gang.
     fn replica_target(&self, ix: u32, m: u32) -> Option<Target> {
         let preemption = self.victims(ix, m)?;
-        let breaks_gang = preemption
+        let preempts_gang = preemption
             .victims
             .iter()
             .any(|id| self.jobs[id.job].is_gang());
-        (!breaks_gang).then(|| Target {
+        (!preempts_gang).then(|| Target {
             m,
             fetch_s: self.fetch_s(ix, m),
             preemption_cost: preemption.cost,
--- a/tests/service_levels.rs
+++ b/tests/service_levels.rs
@@ -159,11 +159,11 @@
             |part: &'static str| names.iter().filter(move |n| n.contains(part)).cloned();
         match disruption {
             Disruption::ZonePartition if at == 40.0 => {
-                harness.unreachable.extend(workers_with("b-"))
+                harness.unreachable.extend(workers_with("b-"));
             }
             Disruption::ZonePartition if at == 80.0 => harness.unreachable.clear(),
             Disruption::FailingWorkers if at == 40.0 => {
-                harness.failing_workers.extend(workers_with("-big-"))
+                harness.failing_workers.extend(workers_with("-big-"));
             }
             Disruption::FailingWorkers if at == 80.0 => harness.failing_workers.clear(),
             Disruption::LostWorkers if at == 40.0 => {
