--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -213,7 +213,7 @@
     /// Returns a worker as a target if the replica fits on it, either at once or after preempting
     /// tasks that belong to no gang.
     fn replica_target(&self, ix: u32, m: u32) -> Option<Target> {
-        let preemption = self.victims(ix, m)?;
+        let preemption = self.select_victims(ix, m)?;
         let preempts_gang = preemption
             .victims
             .iter()
