--- a/src/coordination/model/images.rs
+++ b/src/coordination/model/images.rs
@@ -10,8 +10,8 @@
 }
 
 impl Images {
-    /// Returns the index of an image, adding the image if it is new. A positive `stated_gb` replaces
-    /// the known size.
+    /// Returns the index of an image, adding the image if it is new. A positive `stated_gb`
+    /// replaces the known size.
     pub fn intern(&mut self, name: &str, stated_gb: f64) -> u32 {
         let index = self.names.intern(name);
         if self.size_gb.len() <= index as usize {
--- a/src/coordination/model/instance.rs
+++ b/src/coordination/model/instance.rs
@@ -64,8 +64,9 @@
         }
     }
 
-    /// An instance that a worker has listed and that this leader did not know. `exited` is its phase
-    /// if it has exited; the phase of a live instance is applied afterwards like that of any other.
+    /// An instance that a worker has listed and that this leader did not know. `exited` is its
+    /// phase if it has exited; the phase of a live instance is applied afterwards like that of any
+    /// other.
     pub fn adopted(exited: Option<TaskPhase>) -> Self {
         Self {
             start_delivery: StartDelivery::Reported,
@@ -101,8 +102,8 @@
         matches!(self.phase, Some(TaskPhase::Running))
     }
 
-    /// Whether its start was sent in the direct message with this id and no heartbeat has listed the
-    /// instance since.
+    /// Whether its start was sent in the direct message with this id and no heartbeat has listed
+    /// the instance since.
     pub fn sent_directly_in(&self, message_id: u64) -> bool {
         self.start_delivery == (StartDelivery::Direct { message_id })
     }
--- a/src/coordination/model/instance_types.rs
+++ b/src/coordination/model/instance_types.rs
@@ -41,8 +41,8 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// The highest rate at which an allowed type fetches images, in GB/s; infinite if none of them is
-    /// described. `None` allows every type.
+    /// The highest rate at which an allowed type fetches images, in GB/s; infinite if none of them
+    /// is described. `None` allows every type.
     pub fn max_fetch_gb_per_s(&self, allowed: Option<&[u32]>) -> f64 {
         let rate = (0u32..)
             .zip(&self.descriptions)
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -169,7 +169,8 @@
         self.spec.tasks - self.done - self.active
     }
 
-    /// Whether the job is being cancelled or has ended, so that its remaining instances are stopped.
+    /// Whether the job is being cancelled or has ended, so that its remaining instances are
+    /// stopped.
     pub fn is_ending(&self) -> bool {
         matches!(self.state, JobState::Cancelling | JobState::Terminal(_))
     }
@@ -248,8 +249,8 @@
     pub memory_step: u32,
 }
 
-/// A kind of task that takes most of a worker. Such jobs arrive repeatedly, and small tasks must not
-/// fill the last empty worker before the next one arrives.
+/// A kind of task that takes most of a worker. Such jobs arrive repeatedly, and small tasks must
+/// not fill the last empty worker before the next one arrives.
 #[derive(Debug, Clone)]
 pub struct LargeTaskProfile {
     /// The resources of one task.
--- a/src/coordination/reconciliation/blocked_jobs.rs
+++ b/src/coordination/reconciliation/blocked_jobs.rs
@@ -5,8 +5,8 @@
 use crate::coordination::state::{Core, TeamUsage};
 
 impl Core {
-    /// Blocks the jobs of which an unreconciled worker may hold an instance: those stored before the
-    /// election that an earlier leader could have started there. Other jobs are not blocked;
+    /// Blocks the jobs of which an unreconciled worker may hold an instance: those stored before
+    /// the election that an earlier leader could have started there. Other jobs are not blocked;
     /// otherwise a single reclaimed spot worker would block every service for a whole lease.
     pub(crate) fn block_unreconciled_jobs(&mut self) {
         if self.reconciliation.is_complete() {
@@ -61,8 +61,8 @@
                     .any(|&m| self.constraints_allow_worker(ix, m)))
     }
 
-    /// Workers to which an earlier leader may have given tasks and that have not reported their tasks
-    /// to this leader.
+    /// Workers to which an earlier leader may have given tasks and that have not reported their
+    /// tasks to this leader.
     fn unreconciled_workers(&self) -> Vec<u32> {
         self.workers
             .iter()
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Applies the results of the starts in an executed message whose answer was overtaken by a newer
-    /// heartbeat. The newer heartbeat alone does not tell what became of these starts.
+    /// Applies the results of the starts in an executed message whose answer was overtaken by a
+    /// newer heartbeat. The newer heartbeat alone does not tell what became of these starts.
     fn resolve_executed_starts(
         &mut self,
         m: u32,
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of workers: which of them are answered, by which controller, and how they are applied.
+//! Heartbeats of workers: which of them are answered, by which controller, and how they are
+//! applied.
 
 use std::collections::BTreeSet;
 
@@ -133,8 +134,8 @@
         log.record_renewal(self.now, &renewal);
     }
 
-    /// The index of the worker that sent a heartbeat, which is added if it is new, or the reason why
-    /// the heartbeat is refused.
+    /// The index of the worker that sent a heartbeat, which is added if it is new, or the reason
+    /// why the heartbeat is refused.
     pub(crate) fn worker_of(&mut self, heartbeat: &Heartbeat) -> Result<u32, HeartbeatRefusal> {
         if heartbeat.token > self.token {
             self.effects.push(Effect::StepDown);
--- a/src/coordination/reconciliation/leases.rs
+++ b/src/coordination/reconciliation/leases.rs
@@ -12,8 +12,8 @@
 const ALL_UNRESPONSIVE_MARGIN_S: Time = 0.5;
 
 impl Core {
-    /// Whether no worker has sent a heartbeat for longer than the interval between the heartbeats of
-    /// any one worker. In that case this controller is partitioned, and another one should lead.
+    /// Whether no worker has sent a heartbeat for longer than the interval between the heartbeats
+    /// of any one worker. In that case this controller is partitioned, and another one should lead.
     pub fn has_lost_all_workers(&self) -> bool {
         let timeout_s = self.unresponsive_after_s() + ALL_UNRESPONSIVE_MARGIN_S;
         let last = self
@@ -27,13 +27,15 @@
             && self.now - last > timeout_s
     }
 
-    /// When a worker's lease will certainly have expired; infinite while a shard owner may renew it.
+    /// When a worker's lease will certainly have expired; infinite while a shard owner may renew
+    /// it.
     pub(super) fn lease_expires_at(&self, worker: &Worker) -> Time {
         let answered = self.latest_possible_answer(worker);
         answered.map_or(f64::INFINITY, |at| at + self.lease_upper_bound_s())
     }
 
-    /// The time after its last answered heartbeat by which a worker has certainly dropped its tasks.
+    /// The time after its last answered heartbeat by which a worker has certainly dropped its
+    /// tasks.
     pub(crate) fn lease_upper_bound_s(&self) -> f64 {
         self.config.cluster.workers.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
     }
--- a/src/coordination/reconciliation/mod.rs
+++ b/src/coordination/reconciliation/mod.rs
@@ -1,4 +1,5 @@
-//! Reconciliation: updates the leader's state from the heartbeats of workers, or from their absence.
+//! Reconciliation: updates the leader's state from the heartbeats of workers, or from their
+//! absence.
 //!
 //! A task instance counts as possibly running until it is proved gone. The proofs are a heartbeat
 //! that no longer lists it (`heartbeats`, `task_status`), the outcome of the direct message that
@@ -32,8 +33,8 @@
         self.complete
     }
 
-    /// Records that a page of the worker registry cannot be read. The workers on it are unknown, and
-    /// they may hold tasks of any job.
+    /// Records that a page of the worker registry cannot be read. The workers on it are unknown,
+    /// and they may hold tasks of any job.
     pub(super) fn record_unknown_workers(&mut self) {
         self.unknown_workers = true;
     }
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Queues the stops of a worker's orphaned tasks, and orders it to forget those that have exited.
+    /// Queues the stops of a worker's orphaned tasks, and orders it to forget those that have
+    /// exited.
     pub(super) fn queue_orphan_commands(&mut self, m: u32) {
         let orphaned = self.workers[m].orphaned_tasks.iter();
         let commands = orphaned.map(orphan_command).collect();
--- a/src/coordination/reconciliation/worker_commands.rs
+++ b/src/coordination/reconciliation/worker_commands.rs
@@ -25,13 +25,13 @@
         commands
     }
 
-    /// The stops that are due on a worker: those of orphaned tasks, of tasks whose jobs have ended or
-    /// are being cancelled, and those in the outbox. At most [`MAX_COMMANDS`].
+    /// The stops that are due on a worker: those of orphaned tasks, of tasks whose jobs have ended
+    /// or are being cancelled, and those in the outbox. At most [`MAX_COMMANDS`].
     ///
     /// Every answer to a heartbeat renews the lease, so every answer carries these stops. They are
-    /// included even if they were sent before or a direct message in flight carries them: a stop may
-    /// be repeated, and a message may be lost. If the stops were only sent from the outbox, they
-    /// would wait while a direct message is in flight, and leases would be renewed repeatedly
+    /// included even if they were sent before or a direct message in flight carries them: a stop
+    /// may be repeated, and a message may be lost. If the stops were only sent from the outbox,
+    /// they would wait while a direct message is in flight, and leases would be renewed repeatedly
     /// without them (docs/incidents/cancelled-task-ran-on.md).
     pub(super) fn due_stops(&self, m: u32) -> Vec<Command> {
         let worker = &self.workers[m];
@@ -92,7 +92,8 @@
             (None, Some(stop)) if self.stop_is_overdue(stop, instance) => FollowUp::Stop {
                 grace_s: stop.grace_s,
             },
-            // The repeated start has the same attempt, so it has no effect if the first one arrived.
+            // The repeated start has the same attempt, so it has no effect if the first one
+            // arrived.
             (None, None) if may_arrive_late => FollowUp::Start,
             (None, _) => FollowUp::Nothing,
         }
--- a/src/coordination/start_conditions.rs
+++ b/src/coordination/start_conditions.rs
@@ -80,7 +80,8 @@
                 .is_none_or(|list| list.contains(&worker.kind))
     }
 
-    /// The time without a heartbeat after which a worker is unresponsive and nothing new is sent to it.
+    /// The time without a heartbeat after which a worker is unresponsive and nothing new is sent to
+    /// it.
     pub(super) fn unresponsive_after_s(&self) -> f64 {
         self.config.cluster.workers.heartbeat_interval_s * LATEST_HEARTBEAT_FACTOR
             + UNRESPONSIVE_MARGIN_S
--- a/tests/cancelled_tasks.rs
+++ b/tests/cancelled_tasks.rs
@@ -1,6 +1,7 @@
-//! A worker's lease is renewed only together with the stop of each cancelled task that it may run:
-//! docs/notes/cancellation.md. The core is stepped message by message where the order of messages
-//! decides; the days below play the same with whole controllers.
+//! Every answer that renews a worker's lease carries the stops of the cancelled tasks that the
+//! worker may run (docs/notes/cancellation.md). Guards against a cancelled task that runs on
+//! because its worker's lease is renewed while the stop waits. Tests that depend on the order of
+//! messages step the core message by message; the simulated days use whole controllers.
 
 mod bare_core;
 mod simulated_cluster;
@@ -22,38 +23,38 @@
 
 const WORKER: &str = "vm-000001";
 const JOB: JobId = JobId(1);
-/// A job that the leader has never read, because it ended under an earlier one.
+/// A job that the leader has never read, because it ended under an earlier leader.
 const UNKNOWN_JOB: JobId = JobId(9);
 const ATTEMPT: u64 = 7;
 const STEP_S: f64 = 0.05;
-/// How long a probe without an answer is out.
-const PROBE_S: f64 = 0.5;
+/// How long a message without an answer stays in flight.
+const PROBE_TIMEOUT_S: f64 = 0.5;
 
-/// A new leader, and one worker that an earlier leader has given a task.
+/// A new leader with one worker, to which an earlier leader has given a task.
 struct Leader {
     core: Core,
     now: f64,
     inputs: Vec<Input>,
-    /// The direct message that is out, and whether it carries commands.
+    /// The direct message in flight, and whether it carries commands.
     message: Option<(u64, bool)>,
-    /// Answers to heartbeats: the orders in each.
+    /// The commands in each answer to a heartbeat.
     answers: Vec<Vec<Value>>,
     /// Whether writes are acknowledged.
-    stores: bool,
-    unwritten: Vec<Input>,
+    acknowledge_writes: bool,
+    pending_results: Vec<Input>,
     ticket: u64,
 }
 
-/// Whose task the worker runs.
+/// The job of the task that the worker runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum TaskOf {
-    /// The leader has read the job, and its user cancels it.
+enum TaskJob {
+    /// The leader has read the job, and a user cancels it.
     KnownJob,
     /// The job ended before the election, so the leader has not read it.
     UnknownJob,
 }
 
-impl TaskOf {
+impl TaskJob {
     fn job(self) -> JobId {
         match self {
             Self::KnownJob => JOB,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The heartbeat of the worker that runs the task.
+    /// A heartbeat of the worker that runs the task.
     fn heartbeat(self, counter: u64, token: u64) -> Heartbeat {
         Heartbeat {
             token,
@@ -85,7 +86,7 @@
         let jobs: Vec<StoredJob> = vec![stored(&body, TOKEN - 1)];
         let workers = [(WORKER.to_string(), "a".to_string())];
         let mut core = elected_leader(&["a"], json!({"name": "team"}), workers, jobs);
-        // Without a bound on clocks nothing is put on the fencing record.
+        // Without a bound on clock errors no worker is added to the fencing record.
         core.config.cluster.clock_error_ms = 25.0;
         Self {
             core,
@@ -93,8 +94,8 @@
             inputs: Vec::new(),
             message: None,
             answers: Vec::new(),
-            stores: true,
-            unwritten: Vec::new(),
+            acknowledge_writes: true,
+            pending_results: Vec::new(),
             ticket: 0,
         }
     }
@@ -117,27 +118,27 @@
                     let version = TOKEN + self.ticket;
                     let stored = |write| (write, Written::Stored { version });
                     let written = Input::Written(batch.into_iter().map(stored).collect());
-                    self.unwritten.push(written);
+                    self.pending_results.push(written);
                 }
                 _ => {}
             }
         }
-        if self.stores {
-            self.inputs.append(&mut self.unwritten);
+        if self.acknowledge_writes {
+            self.inputs.append(&mut self.pending_results);
         }
     }
 
-    /// Lets time pass. Direct messages get no answer.
+    /// Runs the leader for this long while direct messages get no answer.
     fn run_unreachable(&mut self, seconds: f64) {
         let until = self.now + seconds;
-        let mut out_since = self.now;
+        let mut in_flight_since = self.now;
         while self.now < until {
             let before = self.message;
             self.step();
             if self.message != before {
-                out_since = self.now;
+                in_flight_since = self.now;
             }
-            if self.now - out_since >= PROBE_S {
+            if self.now - in_flight_since >= PROBE_TIMEOUT_S {
                 self.end_message(|commands| match commands {
                     true => Outcome::Unknown,
                     false => Outcome::Unsent,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// The direct message that is out has ended.
+    /// Ends the direct message in flight with this outcome.
     fn end_message(&mut self, outcome: impl Fn(bool) -> Outcome) {
         if let Some((message_id, commands)) = self.message.take() {
             self.inputs.push(Input::DirectMessageEnded {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Until a direct message is out whose outcome is not known.
+    /// Runs the leader until a direct message is in flight.
     fn await_message(&mut self) {
         for _ in 0..100 {
             if self.message.is_some() {
@@ -174,7 +175,7 @@
         self.inputs.push(Input::Heartbeat { ticket, heartbeat });
     }
 
-    /// A user cancels the job, which is stored and answered at once.
+    /// Cancels the job for a user; the cancellation is stored and confirmed at once.
     fn cancel(&mut self) {
         let ticket = 1_000_000;
         self.inputs
@@ -188,8 +189,8 @@
         self.step();
     }
 
-    /// The worker has reported before the cancellation, and cannot be reached from then on.
-    fn cancel_out_of_reach(&mut self, of: TaskOf) {
+    /// Cancels the job after a heartbeat of the worker, which is unreachable from then on.
+    fn cancel_while_unreachable(&mut self, of: TaskJob) {
         self.receive(of.heartbeat(10, TOKEN - 1));
         self.step();
         self.cancel();
@@ -198,48 +199,52 @@
     }
 }
 
-fn orders_stop(orders: &[Value], of: TaskOf) -> bool {
+fn contains_stop(orders: &[Value], of: TaskJob) -> bool {
     let task = format!("{}/0", of.job());
     orders
         .iter()
         .any(|order| order["verb"] == "halt" && order["shard"] == task && order["try"] == ATTEMPT)
 }
 
-const BOTH: [TaskOf; 2] = [TaskOf::KnownJob, TaskOf::UnknownJob];
+const ALL_TASK_JOBS: [TaskJob; 2] = [TaskJob::KnownJob, TaskJob::UnknownJob];
 
-/// The incident: a probe or a message is out to a worker nearly all the time while it does not
-/// answer directly, and the stop waited for its end. Meanwhile each answer renewed the lease.
+/// Guards against the fault of the incident: while a worker does not answer direct messages, one is
+/// in flight to it nearly all the time. The stop waited for that message to end, while each answer
+/// to a heartbeat renewed the lease.
 #[test]
-fn an_answer_carries_the_stop_while_a_direct_message_is_out() {
-    for of in BOTH {
+fn answer_carries_the_stop_while_a_direct_message_is_in_flight() {
+    for of in ALL_TASK_JOBS {
         let mut leader = Leader::elected();
-        leader.cancel_out_of_reach(of);
+        leader.cancel_while_unreachable(of);
         for counter in 20..24 {
             leader.await_message();
             leader.receive(of.heartbeat(counter, TOKEN - 1));
             leader.step();
             let orders = leader.answers.pop().expect("the heartbeat is answered");
-            assert!(orders_stop(&orders, of), "{of:?}, {counter}: {orders:?}");
+            assert!(contains_stop(&orders, of), "{of:?}, {counter}: {orders:?}");
             leader.run_unreachable(1.0);
         }
     }
 }
 
-/// The worker answers a probe while its heartbeat is on its way, or waits at the leader: the direct
-/// answer is the newer message, but it is the heartbeat whose answer renews the lease.
+/// The worker answers a probe while an older heartbeat is in the network or waits at the leader.
+/// The direct answer is the newer message, but only the answer to the heartbeat renews the lease.
 #[test]
-fn the_answer_to_a_heartbeat_that_a_direct_answer_overtook_carries_the_stop() {
-    for of in BOTH {
-        for orders in [overtaken(of), deferred_and_overtaken(of)] {
-            assert!(orders_stop(&orders, of), "{of:?}: {orders:?}");
+fn answer_to_a_heartbeat_overtaken_by_a_direct_answer_carries_the_stop() {
+    for of in ALL_TASK_JOBS {
+        for orders in [
+            answer_to_overtaken(of),
+            answer_to_deferred_and_overtaken(of),
+        ] {
+            assert!(contains_stop(&orders, of), "{of:?}: {orders:?}");
         }
     }
 }
 
-/// What answers a heartbeat that arrives after the answer to a probe that was sent later.
-fn overtaken(of: TaskOf) -> Vec<Value> {
+/// The commands in the answer to a heartbeat that arrives after a newer direct answer.
+fn answer_to_overtaken(of: TaskJob) -> Vec<Value> {
     let mut leader = Leader::elected();
-    leader.cancel_out_of_reach(of);
+    leader.cancel_while_unreachable(of);
     leader.await_message();
     leader.end_message(|_| Outcome::Executed(of.heartbeat(21, TOKEN)));
     leader.receive(of.heartbeat(20, TOKEN - 1));
@@ -247,46 +252,50 @@
     leader.answers.pop().expect("the heartbeat is answered")
 }
 
-/// The same where the heartbeat was there first and its worker is fenced: the answer waits until
-/// the worker's removal from the fencing record is stored.
-fn deferred_and_overtaken(of: TaskOf) -> Vec<Value> {
+/// The commands in the answer to a heartbeat that arrives before a newer direct answer but is
+/// answered after it: the worker is fenced, so the answer waits until the worker's removal from the
+/// fencing record is stored.
+fn answer_to_deferred_and_overtaken(of: TaskJob) -> Vec<Value> {
     let mut leader = Leader::elected();
-    leader.cancel_out_of_reach(of);
-    // Long enough to be put on the fencing record.
+    leader.cancel_while_unreachable(of);
+    // Long enough for the worker to be added to the fencing record.
     leader.run_unreachable(12.0);
-    leader.stores = false;
+    leader.acknowledge_writes = false;
     leader.receive(of.heartbeat(20, TOKEN - 1));
     leader.step();
     assert!(leader.answers.is_empty(), "the worker is fenced");
     leader.await_message();
     leader.end_message(|_| Outcome::Executed(of.heartbeat(21, TOKEN)));
     leader.step();
-    leader.stores = true;
+    leader.acknowledge_writes = true;
     leader.step();
     leader.step();
     leader.answers.pop().expect("the heartbeat is answered")
 }
 
-/// When the leader ends, and when the workers are out of reach.
+/// When the leader is restarted. The workers become unreachable soon after.
 const FAULT_AT_S: f64 = 10.0;
+/// When users cancel their jobs.
 const CANCEL_AT_S: f64 = FAULT_AT_S + 3.0;
 const JOBS: usize = 4;
 
-/// What else happens on a day of the incident.
+/// Faults on a simulated day in addition to those of the incident.
 #[derive(Clone, Copy, Debug)]
-struct Beside {
-    /// Share of direct messages that are late from the cancellation on.
+struct ExtraFaults {
+    /// The share of direct messages that are late from the cancellation on.
     late_commands: f64,
-    /// The workers hang soon after they have come back, for as long as their leases last.
+    /// Whether the workers hang soon after they are reachable again, for nearly as long as a lease.
     workers_hang: bool,
 }
 
-/// From when the workers are back until they hang: each has sent a heartbeat or two by then.
-const BACK_S: f64 = 0.9;
+/// The time from when the workers are reachable again until they hang. Each has sent a heartbeat or
+/// two by then.
+const REACHABLE_BEFORE_HANG_S: f64 = 0.9;
 
-/// The incident as a day: the leader ends, no worker can be reached for nearly a lease, users
-/// cancel meanwhile, and the workers come back just before their leases end. Which rules broke.
-fn day_of_the_incident(seed: u64, away_s: f64, beside: Beside) -> Vec<String> {
+/// Simulates the incident: the leader is restarted, no worker is reachable for nearly a lease,
+/// users cancel their jobs meanwhile, and the workers are reachable again just before their leases
+/// end. Returns the violated rules.
+fn simulate_incident(seed: u64, unreachable_s: f64, extra: ExtraFaults) -> Vec<String> {
     simulate(async move {
         let world = long_lease_site(seed);
         tokio::spawn(workers(world.clone()));
@@ -300,17 +309,17 @@
                 call_off(world, id).await;
             });
         }
-        let cut_at = FAULT_AT_S + 0.3;
+        let cut_at_s = FAULT_AT_S + 0.3;
         let mut faults = vec![(FAULT_AT_S, Fault::RestartLeaders(1, 3.0))];
         for worker in 1..=6 {
-            faults.push((cut_at, Fault::CutWorker(worker, away_s)));
-            if beside.workers_hang {
+            faults.push((cut_at_s, Fault::CutWorker(worker, unreachable_s)));
+            if extra.workers_hang {
                 let hang = Fault::Hang(worker, LONG_LEASE_S - 1.0);
-                faults.push((cut_at + away_s + BACK_S, hang));
+                faults.push((cut_at_s + unreachable_s + REACHABLE_BEFORE_HANG_S, hang));
             }
         }
-        if beside.late_commands > 0.0 {
-            let late = Fault::LateCommands(beside.late_commands, 2.0 * LONG_LEASE_S);
+        if extra.late_commands > 0.0 {
+            let late = Fault::LateCommands(extra.late_commands, 2.0 * LONG_LEASE_S);
             faults.push((CANCEL_AT_S, late));
         }
         for (at, fault) in faults {
@@ -322,24 +331,25 @@
     })
 }
 
-/// How many days of each kind are played; `DAYS=500` for more.
-const DAYS: u64 = 24;
+/// The number of simulated days of each kind. The environment variable `DAYS` overrides it.
+const DEFAULT_DAYS: u64 = 24;
 
-/// On each day the workers come back at another time: their leases would end within a second or so.
+/// On each day the workers are reachable again at a different time, at which their leases would end
+/// within about a second.
 #[test]
-fn workers_that_come_back_just_within_their_leases_are_told_to_stop() {
-    let wanted = std::env::var("DAYS").ok().and_then(|n| n.parse().ok());
+fn workers_reachable_again_just_within_their_leases_stop_cancelled_tasks() {
+    let requested_days = std::env::var("DAYS").ok().and_then(|n| n.parse().ok());
     let mut broken = Vec::new();
     for (late_commands, workers_hang) in [(0.0, false), (0.8, false), (0.8, true)] {
-        let beside = Beside {
+        let extra = ExtraFaults {
             late_commands,
             workers_hang,
         };
-        for seed in 0..wanted.unwrap_or(DAYS) {
-            let away_s = LONG_LEASE_S - 1.25 + 0.025 * (seed % DAYS) as f64;
-            let rules = day_of_the_incident(seed, away_s, beside);
+        for seed in 0..requested_days.unwrap_or(DEFAULT_DAYS) {
+            let unreachable_s = LONG_LEASE_S - 1.25 + 0.025 * (seed % DEFAULT_DAYS) as f64;
+            let rules = simulate_incident(seed, unreachable_s, extra);
             if !rules.is_empty() {
-                broken.push((beside, seed, rules));
+                broken.push((extra, seed, rules));
             }
         }
     }
--- a/tests/command_list.rs
+++ b/tests/command_list.rs
@@ -1,5 +1,6 @@
-//! A start and its stop leave for a worker together and in this order, however they came to be
-//! queued.
+//! Command lists keep the stop of an attempt directly after its start, in whatever order the two
+//! were queued. Guards against a start that follows the stop of its attempt: the worker would then
+//! run a task that was ordered to stop.
 
 use copperfield::coordination::model::append_missing;
 use copperfield::protocol::JobId;
@@ -16,23 +17,23 @@
     }
 }
 
-/// What a list of the first commands holds after the second ones were added.
+/// The contents of `list` after `commands` were appended.
 fn appended(list: &[(Verb, u32)], commands: &[(Verb, u32)]) -> Vec<(Verb, u32)> {
-    let of = |commands: &[(Verb, u32)]| -> Vec<Command> {
+    let to_commands = |commands: &[(Verb, u32)]| -> Vec<Command> {
         commands
             .iter()
             .map(|(verb, task)| command(verb.clone(), *task))
             .collect()
     };
-    let mut list = of(list);
-    append_missing(&mut list, of(commands));
+    let mut list = to_commands(list);
+    append_missing(&mut list, to_commands(commands));
     list.into_iter().map(|c| (c.verb, c.task)).collect()
 }
 
-/// A stop was ordered and waits; then the worker reports without the task, whose start may still
-/// arrive, so that both are to be sent again. The start was put behind the waiting stop.
+/// A stop is queued, and then a heartbeat does not list the task, whose start may still arrive.
+/// Start and stop are therefore sent again. A fault put this start behind the queued stop.
 #[test]
-fn a_start_is_put_before_the_stop_that_waits() {
+fn start_is_placed_before_a_queued_stop() {
     let queued = [(STOP, 0), (Verb::Forget, 1)];
     let pair = [(Verb::Start, 0), (STOP, 0)];
     assert_eq!(
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn a_stop_follows_its_start_at_once() {
+fn stop_directly_follows_its_start() {
     let queued = [(Verb::Start, 0), (Verb::Start, 1)];
     assert_eq!(
         appended(&queued, &[(STOP, 0)]),
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn nothing_is_listed_twice() {
+fn duplicate_commands_are_not_added() {
     let pair = [(Verb::Start, 0), (STOP, 0), (STOP, 1)];
     assert_eq!(appended(&pair, &pair), pair);
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,6 +1,7 @@
-//! Which worker a leader writes to first when it cannot write to all. Guards against what was seen
-//! on 3,000 workers: with everything sent at once, probes timed out before their answers were read
-//! and were sent again, and the renewal of the leader's lease waited behind them.
+//! The order in which a leader sends direct messages when it cannot send all at once. Guards
+//! against a failure seen with 3,000 workers: when all messages were sent at once, probes timed out
+//! before their answers were read and were sent again, and the renewal of the leader's lease was
+//! delayed.
 
 mod bare_core;
 
@@ -13,13 +14,13 @@
 
 use bare_core::{TOKEN, elected_leader};
 
-const WINDOW: usize = 256;
+const MAX_RECENT_IN_FLIGHT: usize = 256;
 
-/// A new leader of so many workers in each of two zones, a and b.
-fn leader(each: usize, jobs: &[Value]) -> Core {
+/// A new leader with `per_zone` workers in each of two zones, a and b.
+fn new_leader(per_zone: usize, jobs: &[Value]) -> Core {
     let workers = ["b", "a"]
         .iter()
-        .flat_map(|zone| (0..each).map(move |i| (format!("{zone}-{i:04}"), zone.to_string())));
+        .flat_map(|zone| (0..per_zone).map(move |i| (format!("{zone}-{i:04}"), zone.to_string())));
     let jobs = jobs.iter().map(|job| stored(job, TOKEN - 1)).collect();
     elected_leader(&["a", "b"], json!({"name": "team"}), workers, jobs)
 }
@@ -28,19 +29,19 @@
     bare_core::heartbeat(name, &name[..1], 1, Vec::new())
 }
 
-/// Probes of the workers of zone b time out. Seconds until all of zone a have been probed, and the
-/// most probes that were in flight and younger than 150 ms.
-fn probe_all(each: usize) -> (f64, usize) {
-    let mut core = leader(each, &[]);
+/// Probes of all workers of zone b time out. Returns the seconds until all workers of zone a have
+/// been probed, and the maximum number of probes in flight that were younger than 140 ms.
+fn probe_both_zones(per_zone: usize) -> (f64, usize) {
+    let mut core = new_leader(per_zone, &[]);
     let (mut probed, mut in_flight) = (BTreeSet::new(), Vec::<(f64, String, u64)>::new());
-    let (mut now, mut limit) = (0.0, 0);
-    while probed.len() < each {
+    let (mut now, mut max_recent) = (0.0, 0);
+    while probed.len() < per_zone {
         now += 0.01;
         assert!(now < 10.0, "{} of zone a probed", probed.len());
-        let deadline = |name: &str| if name.starts_with('a') { 0.02 } else { 0.5 };
+        let outcome_after_s = |name: &str| if name.starts_with('a') { 0.02 } else { 0.5 };
         let (due, rest) = in_flight
             .into_iter()
-            .partition(|(since, name, _)| now - since >= deadline(name));
+            .partition(|(since, name, _)| now - since >= outcome_after_s(name));
         in_flight = rest;
         let answer = |(_, worker, message_id): (f64, String, u64)| Input::DirectMessageEnded {
             outcome: if worker.starts_with('a') {
@@ -52,9 +53,9 @@
             message_id,
         };
         for effect in core.step(now, due.into_iter().map(answer).collect()) {
-            let again = matches!(&effect, Effect::SendCommands { .. });
+            let sends_commands = matches!(&effect, Effect::SendCommands { .. });
             assert!(
-                !again,
+                !sends_commands,
                 "the probe has carried the fencing token: {effect:?}"
             );
             if let Effect::RequestHeartbeat {
@@ -71,17 +72,18 @@
             .iter()
             .filter(|(since, ..)| now - since < 0.14)
             .count();
-        limit = limit.max(recent);
+        max_recent = max_recent.max(recent);
     }
-    (now, limit)
+    (now, max_recent)
 }
 
-/// A third of a second for 1,000 workers that answer in 20 ms each, though as many never do.
+/// Probing 1,000 workers that answer within 20 ms takes about a third of a second, although another
+/// 1,000 workers never answer.
 #[test]
 fn unresponsive_zone_does_not_delay_probes_of_the_others() {
-    let (seconds, limit) = probe_all(1000);
+    let (seconds, max_recent) = probe_both_zones(1000);
     assert!(seconds < 0.75, "{seconds} s");
-    assert!(limit <= WINDOW, "{limit} at once");
+    assert!(max_recent <= MAX_RECENT_IN_FLIGHT, "{max_recent} at once");
 }
 
 #[test]
@@ -92,7 +94,7 @@
         json!({"uid": "wk-000003", "shape": "service", "rank": "production", "shards": 100,
             "cpus": 2.0, "runtime_s": 0.0, "spread": true}),
     ];
-    let mut core = leader(200, &jobs);
+    let mut core = new_leader(200, &jobs);
     let names = ["a", "b"].map(|z| (0..200).map(move |i| format!("{z}-{i:04}")));
     let heartbeats = names.into_iter().flatten().enumerate();
     let heartbeats = heartbeats.map(|(ticket, name)| Input::Heartbeat {
@@ -100,7 +102,7 @@
         heartbeat: heartbeat(&name),
     });
     let mut inputs: Vec<Input> = heartbeats.collect();
-    let (mut urgency, mut at_once) = (Vec::new(), 0);
+    let (mut sent_jobs, mut max_at_once) = (Vec::new(), 0);
     for step in 0..100 {
         let effects = core.step(f64::from(step) * 0.05, std::mem::take(&mut inputs));
         let sent = effects.iter().filter_map(|e| match e {
@@ -108,11 +110,14 @@
             _ => None,
         });
         let sent: Vec<u64> = sent.collect();
-        at_once = at_once.max(sent.len());
-        urgency.extend(sent);
+        max_at_once = max_at_once.max(sent.len());
+        sent_jobs.extend(sent);
     }
-    let of = |job: u64| urgency.iter().filter(|&&j| j == job).count();
-    assert!(of(1) > 0 && of(2) > 0 && of(3) > 0, "{urgency:?}");
-    assert!(urgency.is_sorted_by(|a, b| a >= b), "{urgency:?}");
-    assert_eq!(at_once, WINDOW, "a full window");
+    let starts_of = |job: u64| sent_jobs.iter().filter(|&&j| j == job).count();
+    assert!(
+        starts_of(1) > 0 && starts_of(2) > 0 && starts_of(3) > 0,
+        "{sent_jobs:?}"
+    );
+    assert!(sent_jobs.is_sorted_by(|a, b| a >= b), "{sent_jobs:?}");
+    assert_eq!(max_at_once, MAX_RECENT_IN_FLIGHT, "a full window");
 }
--- a/tests/task_bitmap.rs
+++ b/tests/task_bitmap.rs
@@ -1,4 +1,5 @@
-//! Bitmaps of done tasks: their size in the state service, and what cannot be read.
+//! Bitmaps of done tasks: stored chunks must fit the value limit of the state service and read back
+//! unchanged, and invalid records must be rejected.
 
 use copperfield::storage::RecordError;
 use copperfield::storage::bitmap::{TaskBitmap, tasks_per_chunk};
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn a_bitmap_contains_the_inserted_tasks_and_none_beyond_its_end() {
+fn bitmap_contains_only_the_inserted_tasks_and_none_beyond_its_end() {
     let mut bitmap = TaskBitmap::new(10);
     bitmap.insert(0);
     bitmap.insert(9);
