--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -642,16 +642,16 @@
                 let body = serde_json::from_slice(&body).expect("JSON");
                 self.admin_responses.insert(ticket, (status, body));
             }
-            Effect::AnswerCancel { begin, .. } => {
+            Effect::AnswerCancel { decision, .. } => {
                 // Stored at once: these users wait as long as it takes.
-                if let CancelDecision::Go { done } = begin
+                if let CancelDecision::Go { done } = decision
                     && let Some(job) = self.cancelling.pop_front()
                 {
                     self.finished.insert(job);
                     let phase = Phase::Cancelled;
                     let end = Some(JobOutcome { phase, done });
                     self.scheduled_inputs
-                        .push((now + 0.05, Input::CancelSettled { job, end }));
+                        .push((now + 0.05, Input::CancelSettled { job, outcome: end }));
                 } else {
                     self.cancelling.pop_front();
                 }
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -76,14 +76,14 @@
     /// What is known of the job, if there is nothing to cancel here.
     async fn begin_cancellation(&self, id: JobId) -> Result<CancellationInProgress, Lookup> {
         loop {
-            let begin = self
+            let begun = self
                 .handle
                 .ask(|reply| Command::BeginCancellation { job: id, reply })
                 .await;
-            let Some(BegunCancellation { begin, token }) = begin.flatten() else {
+            let Some(BegunCancellation { decision, token }) = begun.flatten() else {
                 return Err(Lookup::NotLeader);
             };
-            match begin {
+            match decision {
                 CancelDecision::Terminal(outcome) => return Err(Lookup::Terminal(outcome)),
                 CancelDecision::Busy => sleep(BEGIN_RETRY).await,
                 CancelDecision::Go { done } => {
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct BegunCancellation {
     /// What the core answered.
-    pub begin: CancelDecision,
+    pub decision: CancelDecision,
     /// The fencing token under which the cancellation is to be stored.
     pub token: u64,
 }
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -346,7 +346,7 @@
             self.outcomes.insert(job, outcome);
         }
         if let Role::Leading(_) = self.role {
-            inputs.push(Input::CancelSettled { job, end: outcome });
+            inputs.push(Input::CancelSettled { job, outcome });
         }
     }
 
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -100,8 +100,8 @@
             Effect::AnswerHeartbeat { ticket, body } => {
                 self.replies.accept_heartbeat(ticket, body);
             }
-            Effect::RefuseHeartbeat { ticket, why } => {
-                let response = Outgoing::error(503, &why.to_string());
+            Effect::RefuseHeartbeat { ticket, reason } => {
+                let response = Outgoing::error(503, &reason.to_string());
                 self.replies.answer_heartbeat(ticket, response);
             }
             Effect::RedirectWorker { ticket, controller } => {
@@ -113,9 +113,9 @@
             Effect::AnswerShardStatus { ticket, update } => {
                 self.replies.answer_shard_status(ticket, update);
             }
-            Effect::AnswerCancel { ticket, begin } => {
+            Effect::AnswerCancel { ticket, decision } => {
                 let token = self.core.token;
-                let begun = BegunCancellation { begin, token };
+                let begun = BegunCancellation { decision, token };
                 self.replies.answer_cancellation(ticket, begun);
             }
             Effect::AnswerAdmin {
--- a/src/coordination/cancellation.rs
+++ b/src/coordination/cancellation.rs
@@ -36,7 +36,7 @@
 
     /// Ends or resumes a job once the stored result of its cancellation is known.
     pub(super) fn finish_cancellation(&mut self, id: JobId, outcome: Option<JobOutcome>) {
-        self.jobs.forget_early_cancellation(id);
+        self.jobs.remove_early_cancellation(id);
         if let Some(outcome) = outcome {
             return self.end_job(id, outcome);
         }
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -246,10 +246,10 @@
             } => self.handle_relay_failure(controller, message_ids, &outcome),
             Input::Job(job) => self.add_job(job),
             Input::CancelRequested { ticket, job } => {
-                let begin = self.begin_cancellation(job);
-                self.effects.push(Effect::AnswerCancel { ticket, begin });
+                let decision = self.begin_cancellation(job);
+                self.effects.push(Effect::AnswerCancel { ticket, decision });
             }
-            Input::CancelSettled { job, end } => self.finish_cancellation(job, end),
+            Input::CancelSettled { job, outcome } => self.finish_cancellation(job, outcome),
             Input::Admin {
                 ticket,
                 request,
--- a/src/coordination/election/key_removal.rs
+++ b/src/coordination/election/key_removal.rs
@@ -33,7 +33,7 @@
 /// Removes the leader key of a token whose leader no longer leads and will not lead again. Once it is
 /// removed, no vote granted before is binding.
 pub(super) async fn remove_leader_key(context: &ControllerContext, token: u64) -> bool {
-    let removal = records::removal(token);
+    let removal = records::removal_transaction(token);
     context.leadership.begin_no_leader_confirmation();
     let result = context
         .store
--- a/src/coordination/election/records.rs
+++ b/src/coordination/election/records.rs
@@ -60,7 +60,7 @@
 }
 
 /// Writes the leader key, if it does not exist, and an unconfirmed term marker.
-pub(super) fn election(member: &str, nonce: u64, lease: u64) -> Transaction {
+pub(super) fn election_transaction(member: &str, nonce: u64, lease: u64) -> Transaction {
     Transaction {
         conditions: vec![Condition::at_version(LEADER, NO_VERSION)],
         changes: vec![
@@ -75,7 +75,7 @@
 }
 
 /// Confirms the term of this token, if its leader key still exists.
-pub(super) fn confirmation(token: u64) -> Transaction {
+pub(super) fn confirmation_transaction(token: u64) -> Transaction {
     Transaction {
         conditions: vec![Condition::at_version(LEADER, token)],
         changes: vec![put(FOUNDED.to_string(), json!({ CONFIRMED_TOKEN: token }))],
@@ -83,7 +83,7 @@
 }
 
 /// Removes the leader key of this token.
-pub(super) fn removal(token: u64) -> Transaction {
+pub(super) fn removal_transaction(token: u64) -> Transaction {
     Transaction {
         conditions: vec![Condition::at_version(LEADER, token)],
         changes: vec![Change::Delete {
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -59,7 +59,7 @@
 /// vote. Later processes of this controller rely on this. Returns once the record is stored or the
 /// term has ended.
 async fn confirm_term(context: Arc<ControllerContext>, token: u64) {
-    let confirmation = records::confirmation(token);
+    let confirmation = records::confirmation_transaction(token);
     while context.leadership.leads(token) {
         let result = context
             .store
--- a/src/coordination/fencing/mod.rs
+++ b/src/coordination/fencing/mod.rs
@@ -154,8 +154,9 @@
         let log = &mut self.reconciliation.lease_log;
         log.record_deferral(self.now, &heartbeat.worker);
         if let Some(DeferredHeartbeat { ticket, .. }) = self.fencing.defer(ticket, heartbeat) {
-            let why = HeartbeatRefusal::Overtaken;
-            self.effects.push(Effect::RefuseHeartbeat { ticket, why });
+            let reason = HeartbeatRefusal::Overtaken;
+            self.effects
+                .push(Effect::RefuseHeartbeat { ticket, reason });
         }
     }
 
--- a/src/coordination/job_table.rs
+++ b/src/coordination/job_table.rs
@@ -70,12 +70,12 @@
     }
 
     /// Removes an early cancellation once its result is known.
-    pub(super) fn forget_early_cancellation(&mut self, id: JobId) {
+    pub(super) fn remove_early_cancellation(&mut self, id: JobId) {
         self.early_cancellations.remove(&id);
     }
 
     /// Whether the cancellation of a job was requested before the job was known.
-    pub(super) fn is_cancelled_early(&self, id: JobId) -> bool {
+    pub(super) fn has_early_cancellation(&self, id: JobId) -> bool {
         self.early_cancellations.contains(&id)
     }
 }
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -55,7 +55,7 @@
         let objective_settings = &self.config.cluster.objectives;
         let tuning = &self.config.tuning;
         let mut job = Job::new(spec, team, image);
-        if self.jobs.is_cancelled_early(id) {
+        if self.jobs.has_early_cancellation(id) {
             job.begin_cancelling(self.now);
         }
         job.version = stored.version;
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -39,8 +39,11 @@
     Job(StoredJob),
     /// A user asks to cancel a job.
     CancelRequested { ticket: u64, job: JobId },
-    /// The result of a cancellation is known; `end` is the stored outcome of the job, if any.
-    CancelSettled { job: JobId, end: Option<JobOutcome> },
+    /// The result of a cancellation is known; `outcome` is the stored outcome of the job, if any.
+    CancelSettled {
+        job: JobId,
+        outcome: Option<JobOutcome>,
+    },
     /// An operator sent a request.
     Admin {
         ticket: u64,
@@ -96,7 +99,10 @@
     /// Answer a heartbeat with status 200 and commands.
     AnswerHeartbeat { ticket: u64, body: Vec<u8> },
     /// Refuse a heartbeat, without renewing the worker's lease.
-    RefuseHeartbeat { ticket: u64, why: HeartbeatRefusal },
+    RefuseHeartbeat {
+        ticket: u64,
+        reason: HeartbeatRefusal,
+    },
     /// Redirect a worker to `controller`, without renewing its lease.
     RedirectWorker { ticket: u64, controller: u32 },
     /// Answer a shard owner's status. `update` is `None` if the sender is not a peer or a newer status
@@ -143,7 +149,10 @@
     ReadMachineTypes,
     /// Report the decision on a cancellation to the request handler, which stores the cancellation if
     /// the decision is [`CancelDecision::Go`], and then answers the user.
-    AnswerCancel { ticket: u64, begin: CancelDecision },
+    AnswerCancel {
+        ticket: u64,
+        decision: CancelDecision,
+    },
     /// Answer an operator.
     AnswerAdmin {
         ticket: u64,
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -49,7 +49,10 @@
     fn refuse(&mut self, ticket: u64, heartbeat: &Heartbeat, why: HeartbeatRefusal) {
         let log = &mut self.reconciliation.lease_log;
         log.record_refusal(self.now, &heartbeat.worker, why);
-        self.effects.push(Effect::RefuseHeartbeat { ticket, why });
+        self.effects.push(Effect::RefuseHeartbeat {
+            ticket,
+            reason: why,
+        });
     }
 
     /// Whether a newer heartbeat of the worker has been received, or the same one by another
--- a/src/coordination/registry/pages.rs
+++ b/src/coordination/registry/pages.rs
@@ -20,13 +20,13 @@
     /// When the page must be written; `None` if the stored copy is up to date.
     due: Option<Time>,
     /// Whether a write of the page is in flight.
-    writing: bool,
+    write_in_flight: bool,
     /// Whether the stored value does not parse. Such a page is never overwritten.
     unreadable: bool,
 }
 
 impl Page {
-    fn due_by(&mut self, at: Time) {
+    fn schedule_by(&mut self, at: Time) {
         self.due = Some(self.due.map_or(at, |due| due.min(at)));
     }
 }
@@ -57,17 +57,17 @@
 
     /// Restores a page that an earlier leader stored, without its workers.
     pub fn restore_page(&mut self, number: u32, version: u64) {
-        self.page(number).version = version;
+        self.page_mut(number).version = version;
     }
 
     /// Marks a page whose stored value does not parse.
     pub fn mark_unreadable(&mut self, number: u32) {
-        self.page(number).unreadable = true;
+        self.page_mut(number).unreadable = true;
     }
 
     /// Restores a worker that a stored page names.
     pub fn restore_worker(&mut self, number: u32, worker: u32) {
-        self.page(number).workers.push(worker);
+        self.page_mut(number).workers.push(worker);
     }
 
     /// Adds a worker to the first page with room, to be written by `due`. Returns the page's number.
@@ -76,28 +76,28 @@
         let has_room = |page: &Page| !page.unreadable && page.workers.len() < limit;
         let free = self.pages.iter().position(has_room);
         let number = free.unwrap_or(self.pages.len()) as u32;
-        let page = self.page(number);
+        let page = self.page_mut(number);
         page.workers.push(worker);
-        page.due_by(due);
+        page.schedule_by(due);
         number
     }
 
     /// Removes a worker from its page, to be written by `due`.
     pub fn remove(&mut self, number: u32, worker: u32, due: Time) {
-        let page = self.page(number);
+        let page = self.page_mut(number);
         page.workers.retain(|&other| other != worker);
-        page.due_by(due);
+        page.schedule_by(due);
     }
 
     /// Schedules a page to be written by `due`.
     pub fn schedule_write(&mut self, number: u32, due: Time) {
-        self.page(number).due_by(due);
+        self.page_mut(number).schedule_by(due);
     }
 
     /// The numbers of the pages that are due to be written.
     pub fn due_pages(&self, now: Time) -> Vec<u32> {
         let is_due = |page: &Page| {
-            page.due.is_some_and(|due| due <= now) && !page.writing && !page.unreadable
+            page.due.is_some_and(|due| due <= now) && !page.write_in_flight && !page.unreadable
         };
         (0..)
             .zip(&self.pages)
@@ -114,23 +114,23 @@
 
     /// Begins a write of a page. Returns the version that the write must be conditional on.
     pub fn begin_write(&mut self, number: u32) -> u64 {
-        let page = self.page(number);
+        let page = self.page_mut(number);
         page.due = None;
-        page.writing = true;
+        page.write_in_flight = true;
         page.version
     }
 
     /// Marks the write of a page as ended.
     pub fn end_write(&mut self, number: u32) {
-        self.page(number).writing = false;
+        self.page_mut(number).write_in_flight = false;
     }
 
     /// Sets the version of the stored page.
     pub fn set_version(&mut self, number: u32, version: u64) {
-        self.page(number).version = version;
+        self.page_mut(number).version = version;
     }
 
-    fn page(&mut self, number: u32) -> &mut Page {
+    fn page_mut(&mut self, number: u32) -> &mut Page {
         let index = number as usize;
         if self.pages.len() <= index {
             self.pages.resize_with(index + 1, Page::default);
--- a/tests/cancelled_tasks.rs
+++ b/tests/cancelled_tasks.rs
@@ -185,7 +185,10 @@
             phase: Phase::Cancelled,
             done: 0,
         });
-        self.inputs.push(Input::CancelSettled { job: JOB, end });
+        self.inputs.push(Input::CancelSettled {
+            job: JOB,
+            outcome: end,
+        });
         self.step();
     }
 
--- a/tests/shard_owners.rs
+++ b/tests/shard_owners.rs
@@ -167,17 +167,20 @@
                         };
                         self.outcomes.push((self.now + 0.5, input));
                     }
-                    Effect::AnswerCancel { begin, .. } => {
-                        assert!(matches!(begin, CancelDecision::Go { .. }), "{begin:?}");
+                    Effect::AnswerCancel { decision, .. } => {
+                        assert!(
+                            matches!(decision, CancelDecision::Go { .. }),
+                            "{decision:?}"
+                        );
                         if !self.acknowledges_cancellation {
                             continue;
                         }
-                        let end = Some(JobOutcome {
+                        let outcome = Some(JobOutcome {
                             phase: Phase::Cancelled,
                             done: 0,
                         });
                         let job = JobId(1);
-                        inputs.push(Input::CancelSettled { job, end });
+                        inputs.push(Input::CancelSettled { job, outcome });
                     }
                     _ => {}
                 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -104,7 +104,7 @@
                 Effect::AnswerHeartbeat { body, .. } => {
                     format!("answer {}", String::from_utf8_lossy(body))
                 }
-                Effect::RefuseHeartbeat { why, .. } => format!("refuse: {why}"),
+                Effect::RefuseHeartbeat { reason, .. } => format!("refuse: {reason}"),
                 Effect::SendCommands {
                     worker,
                     incarnation,
@@ -147,7 +147,7 @@
                     format!("store {}", names.join(", "))
                 }
                 Effect::ScaleIn(names) => format!("return {}", names.join(", ")),
-                Effect::AnswerCancel { begin, .. } => format!("cancel: {begin:?}"),
+                Effect::AnswerCancel { decision, .. } => format!("cancel: {decision:?}"),
                 Effect::AnswerAdmin { status, body, .. } => {
                     format!("operator: {status} {}", String::from_utf8_lossy(body))
                 }
@@ -276,7 +276,7 @@
         "cancelled, stored",
         vec![Input::CancelSettled {
             job: JobId(1),
-            end: Some(JobOutcome {
+            outcome: Some(JobOutcome {
                 phase: Phase::Cancelled,
                 done: 0,
             }),
