--- a/src/coordination/demand_log.rs
+++ b/src/coordination/demand_log.rs
@@ -78,7 +78,7 @@
     fn supply(&self) -> BTreeMap<(u32, u32, bool), Supply> {
         let mut pools: BTreeMap<(u32, u32, bool), Supply> = BTreeMap::new();
         for (m, worker) in self.workers.iter() {
-            let pool = (worker.kind, worker.zone, worker.spot);
+            let pool = (worker.instance_type, worker.zone, worker.spot);
             let supply = pools.entry(pool).or_default();
             let usable = self.worker_usable(m);
             supply.all += 1;
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -108,7 +108,7 @@
         }
         self.workers[m].in_flight = Some(InFlightMessage {
             id: message_id,
-            since: self.now,
+            sent_at: self.now,
             starts,
             has_commands,
             relayed: via.is_some(),
@@ -196,7 +196,7 @@
                 .is_some_and(|at| self.now - at > late_s);
             let unresponsive = worker.fenced || worker.commands_unanswered || late;
             load.to_unresponsive += usize::from(unresponsive);
-            if self.now - message.since < RECENT_S {
+            if self.now - message.sent_at < RECENT_S {
                 load.recent += window_cost(message);
             } else {
                 load.old_by_zone[worker.zone as usize] += 1;
--- a/src/coordination/drains/admin.rs
+++ b/src/coordination/drains/admin.rs
@@ -97,7 +97,7 @@
             let listed = worker.instances.iter();
             listed.filter(|(_, instance)| instance.may_exist())
         };
-        let capacity = self.types.get(worker.kind).map(|kind| kind.whole);
+        let capacity = self.types.get(worker.instance_type).map(|kind| kind.whole);
         let capacity = display_units(&capacity.unwrap_or_default());
         let used = display_units(&worker.used);
         let usage = |resource: usize| views::ResourceUsage {
@@ -110,7 +110,7 @@
             .and_then(|drain| drain.deadline);
         views::Node {
             name: worker.name.clone(),
-            machine_type: self.types.names.name(worker.kind).to_string(),
+            machine_type: self.types.names.name(worker.instance_type).to_string(),
             zone: self.zones.name(worker.zone).to_string(),
             spot: worker.spot,
             state: self.node_state(m),
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -69,12 +69,12 @@
         profile
             .types
             .as_ref()
-            .is_none_or(|l| l.contains(&worker.kind))
+            .is_none_or(|l| l.contains(&worker.instance_type))
             && profile.zone.is_none_or(|z| z == worker.zone)
             && (!worker.spot || profile.spot)
             && self
                 .types
-                .get(worker.kind)
+                .get(worker.instance_type)
                 .is_some_and(|t| profile.needs.fits_in(&t.whole))
     }
 
@@ -163,7 +163,7 @@
         if job.large_task_profile.is_some() {
             return false;
         }
-        let Some(kind) = self.types.get(self.workers[m].kind) else {
+        let Some(kind) = self.types.get(self.workers[m].instance_type) else {
             return false;
         };
         if !self
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -149,7 +149,7 @@
         let mut work_of_job: BTreeMap<u32, u32> = BTreeMap::new();
         let mut avoided_by_job: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
         for (m, worker) in self.workers.iter() {
-            let Some(kind) = self.types.get(worker.kind) else {
+            let Some(kind) = self.types.get(worker.instance_type) else {
                 continue;
             };
             let at = view.workers.len() as u32;
@@ -211,7 +211,7 @@
         };
         defrag::Worker {
             zone: worker.zone,
-            kind: worker.kind,
+            kind: worker.instance_type,
             spot: worker.spot,
             receives: usable,
             frees: usable && available && (reserved_for_job || reserved_for.is_none()),
--- a/src/coordination/model/worker.rs
+++ b/src/coordination/model/worker.rs
@@ -15,7 +15,7 @@
     /// Unique within this leader.
     pub id: u64,
     /// When it was sent.
-    pub since: Time,
+    pub sent_at: Time,
     /// The starts in it.
     pub starts: Vec<InstanceId>,
     /// Whether it carries commands. A message without commands is a probe for a heartbeat.
@@ -74,7 +74,7 @@
     /// The address for direct messages.
     pub address: String,
     /// The index of its instance type.
-    pub kind: u32,
+    pub instance_type: u32,
     /// The index of its zone.
     pub zone: u32,
     /// It is a spot worker, which the cloud may reclaim.
@@ -160,11 +160,11 @@
 
 impl Worker {
     /// A worker that has not reported anything yet.
-    pub fn new(name: &str, address: &str, kind: u32, zone: u32, spot: bool) -> Self {
+    pub fn new(name: &str, address: &str, instance_type: u32, zone: u32, spot: bool) -> Self {
         Self {
             name: name.to_string(),
             address: address.to_string(),
-            kind,
+            instance_type,
             zone,
             spot,
             incarnation: 0,
--- a/src/coordination/placement/value.rs
+++ b/src/coordination/placement/value.rs
@@ -28,7 +28,7 @@
     /// over cost, multiplied by the headroom gate and by a factor that decreases with the time to
     /// fetch the image.
     pub(in crate::coordination) fn value(&self, ix: u32, m: u32) -> f64 {
-        let Some(instance_type) = self.types.get(self.workers[m].kind) else {
+        let Some(instance_type) = self.types.get(self.workers[m].instance_type) else {
             return 0.0;
         };
         let job = &self.jobs[ix];
@@ -151,7 +151,7 @@
         }
         let gb_per_s = self
             .types
-            .get(worker.kind)
+            .get(worker.instance_type)
             .map_or(DEFAULT_FETCH_GB_PER_S, |instance_type| {
                 instance_type.fetch_gb_per_s
             });
--- a/src/coordination/preemption/single_tasks.rs
+++ b/src/coordination/preemption/single_tasks.rs
@@ -137,7 +137,7 @@
             .filter(|&m| self.reservable(ix, m))
             .filter(|&m| self.workers[m].reservations.is_empty())
             .filter(|&m| {
-                let instance_type = self.types.get(self.workers[m].kind);
+                let instance_type = self.types.get(self.workers[m].instance_type);
                 instance_type.is_some_and(|t| needs.share_of(&t.whole) > DRAIN_MIN_SHARE)
             })
             .filter_map(|m| self.seconds_until_room(&needs, m).map(|in_s| (m, in_s)))
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -303,7 +303,7 @@
                     && worker.reservations.is_empty()
             })
             .map(|(m, worker)| AvailableWorker {
-                kind: worker.kind,
+                kind: worker.instance_type,
                 spot: worker.spot,
                 free: self.free_resources(m),
             })
--- a/src/coordination/reconciliation/blocked_jobs.rs
+++ b/src/coordination/reconciliation/blocked_jobs.rs
@@ -93,7 +93,7 @@
         let mut unknown = Resources::default();
         let mut unbounded = unknown_workers;
         for m in unreconciled.iter().copied().chain(with_orphans) {
-            unbounded |= self.types.get(self.workers[m].kind).is_none();
+            unbounded |= self.types.get(self.workers[m].instance_type).is_none();
             let free = self.free_resources(m);
             unknown.cpus += free.cpus.max(0);
             unknown.gpus += free.gpus.max(0);
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -19,11 +19,11 @@
         &mut self,
         name: &str,
         address: &str,
-        kind: u32,
+        instance_type: u32,
         zone: u32,
         spot: bool,
     ) -> u32 {
-        let mut worker = Worker::new(name, address, kind, zone, spot);
+        let mut worker = Worker::new(name, address, instance_type, zone, spot);
         worker.fenced = self.fencing.is_fenced(name);
         worker.draining = self.drains.contains_key(name);
         let index = self.workers.insert(worker);
@@ -156,14 +156,14 @@
     }
 
     fn add_booted_worker(&mut self, heartbeat: &Heartbeat) -> u32 {
-        let kind = self.types.intern(&heartbeat.machine_type);
+        let instance_type = self.types.intern(&heartbeat.machine_type);
         let zone = self.zones.intern(&heartbeat.zone);
         tracing::info!(worker = heartbeat.worker, "worker joined");
         self.handle_worker_boot(&heartbeat.worker);
         self.add_worker(
             &heartbeat.worker,
             &heartbeat.address,
-            kind,
+            instance_type,
             zone,
             heartbeat.spot,
         )
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -88,7 +88,7 @@
     /// Records that the image of a job is the most recently used one in a worker's cache.
     pub(crate) fn record_image(&mut self, m: u32, job: u32) {
         let image = self.jobs[job].image;
-        let instance_type = self.types.get(self.workers[m].kind);
+        let instance_type = self.types.get(self.workers[m].instance_type);
         let cache_gb = instance_type.map_or(f64::INFINITY, |t| t.cache_gb);
         let worker = &mut self.workers[m];
         let known = worker.images.contains(&image);
--- a/src/coordination/registry/mod.rs
+++ b/src/coordination/registry/mod.rs
@@ -121,7 +121,7 @@
         let worker = &self.workers[m];
         let mut record = WorkerRecord {
             address: worker.address.clone(),
-            machine_type: self.types.names.name(worker.kind).to_string(),
+            machine_type: self.types.names.name(worker.instance_type).to_string(),
             zone: self.zones.name(worker.zone).to_string(),
             spot: worker.spot,
             images: Vec::new(),
--- a/src/coordination/start_conditions.rs
+++ b/src/coordination/start_conditions.rs
@@ -77,7 +77,7 @@
             && job
                 .types
                 .as_ref()
-                .is_none_or(|list| list.contains(&worker.kind))
+                .is_none_or(|list| list.contains(&worker.instance_type))
     }
 
     /// The time without a heartbeat after which a worker is unresponsive and nothing new is sent to
@@ -126,7 +126,7 @@
     /// instance type is not described.
     pub(super) fn free_resources(&self, m: u32) -> Resources {
         let worker = &self.workers[m];
-        let Some(instance_type) = self.types.get(worker.kind) else {
+        let Some(instance_type) = self.types.get(worker.instance_type) else {
             return Resources::default();
         };
         let mut free = instance_type.whole;
