--- a/crates/defrag/src/fleet.rs
+++ b/crates/defrag/src/fleet.rs
@@ -1,77 +1,77 @@
-//! What a plan is made from.
+//! The input of the planner.
 
 use copperfield_protocol::job::Resources;
 
-/// One worker, as far as a plan cares.
+/// A worker as the planner sees it.
 #[derive(Debug, Clone)]
 pub struct Worker {
     /// Index of its zone.
     pub zone: u32,
-    /// Index of its type.
+    /// Index of its instance type.
     pub kind: u32,
     /// The cloud may reclaim it.
     pub spot: bool,
-    /// May be given work: its heartbeats are in time, and it is not draining, about to be
+    /// May be given tasks: its heartbeats are in time, and it is not draining, about to be
     /// reclaimed, quarantined or unreconciled.
-    pub receives: bool,
-    /// May be freed: as `receives`, and no other job has a claim on it.
-    pub frees: bool,
-    /// All of it.
-    pub whole: Resources,
-    /// What is free of it now, less what is claimed for others.
+    pub usable: bool,
+    /// May be freed for the waiting job: it is usable and not reserved for another job.
+    pub freeable: bool,
+    /// All its resources.
+    pub capacity: Resources,
+    /// Its free resources, less what is reserved for other jobs.
     pub room: Resources,
     /// Money per second for the whole worker.
     pub price: f64,
-    /// Gigabytes of images per second.
+    /// Gigabytes of images that it fetches per second.
     pub fetch_gb_per_s: f64,
-    /// Images it has.
+    /// Indices of the images that it has.
     pub images: Vec<u32>,
-    /// What on it gives way to higher work, the cheapest first.
-    pub yields: Vec<Yield>,
+    /// Tasks on it that work of higher priority may preempt, the cheapest first.
+    pub preemptible: Vec<Preemptible>,
 }
 
-/// A task that is stopped where work of a higher rank wants its room.
+/// A running task that work of higher priority may preempt.
 #[derive(Debug, Clone, Copy)]
-pub struct Yield {
-    /// Work of a higher rank may have it stopped.
-    pub rank: u8,
-    /// What it takes.
+pub struct Preemptible {
+    /// Only work of a higher priority may preempt it.
+    pub priority: u8,
+    /// The resources that it uses.
     pub needs: Resources,
-    /// What stopping it costs, in money.
+    /// What preempting it costs, in money.
     pub cost: f64,
 }
 
 /// A job with tasks on workers.
 #[derive(Debug, Clone)]
-pub struct Work {
-    /// What each task takes.
+pub struct Job {
+    /// The resources that each task uses.
     pub needs: Resources,
-    /// Work of a higher rank may have it stopped; never of the same.
-    pub rank: u8,
-    /// How much a second of it counts beside other work (the auction's π·w).
+    /// Work of a higher priority may preempt it, work of the same priority never.
+    pub priority: u8,
+    /// The value of a second of its work relative to other jobs (π·w in the auction).
     pub weight: f64,
-    /// Types its tasks may run on; `None`: any.
+    /// Instance types that its tasks may run on; `None` allows any.
     pub kinds: Option<Vec<u32>>,
-    /// The only zone it may run in.
+    /// The only zone that it may run in; `None` allows any.
     pub zone: Option<u32>,
     /// May run on spot workers.
     pub spot: bool,
     /// All its tasks must be in one zone.
     pub one_zone: bool,
-    /// Most tasks in one zone (`spread`).
+    /// Maximum number of tasks in one zone (`spread`).
     pub zone_cap: u32,
-    /// Tasks that may be in each zone now.
+    /// Number of its tasks in each zone now.
     pub by_zone: Vec<u32>,
     /// Index of its image.
     pub image: u32,
-    /// Size of its image.
+    /// Size of its image in gigabytes.
     pub image_gb: f64,
-    /// All its tasks move together or none does.
+    /// Either all its tasks migrate together or none does.
     pub gang: bool,
-    /// How many of its tasks may still be taken away now.
-    pub may_leave: u32,
-    /// Workers it must keep off, as it failed there.
-    pub avoid: Vec<u32>,
+    /// How many more of its tasks may migrate now.
+    pub migration_budget: u32,
+    /// Workers that it must not run on because it failed there.
+    pub avoided_workers: Vec<u32>,
 }
 
 /// One task on one worker.
@@ -79,76 +79,77 @@
 pub struct TaskInstance {
     /// Index into [`Fleet::workers`].
     pub worker: u32,
-    /// Index into [`Fleet::works`].
-    pub work: u32,
-    /// May be moved at all: by its marks, its class, and when it last moved.
+    /// Index into [`Fleet::jobs`].
+    pub job: u32,
+    /// May be migrated, according to its job, its class, and the time of its last migration.
     pub movable: bool,
     /// Seconds until it ends by itself, infinite for a service.
     pub ends_in_s: f64,
-    /// Seconds of its work that a move loses: since the last save, or the time to save.
+    /// Seconds of its work that a migration loses: those since it started if it does not save
+    /// checkpoints, else the time that saving one takes.
     pub lost_s: f64,
 }
 
-/// All workers and what runs on them.
+/// All workers and the tasks that run on them.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
     /// All workers.
     pub workers: Vec<Worker>,
     /// The jobs of all task instances.
-    pub works: Vec<Work>,
-    /// The tasks that run on workers.
+    pub jobs: Vec<Job>,
+    /// All tasks that run on workers.
     pub instances: Vec<TaskInstance>,
 }
 
-/// Who waits for workers.
+/// A job whose tasks wait for workers to be freed.
 #[derive(Debug, Clone)]
-pub struct Want {
-    /// What each of its tasks takes of its worker.
+pub struct WaitingJob {
+    /// The resources that each of its tasks uses on its worker.
     pub needs: Resources,
-    /// What is of a lower rank on a worker gives way to it, unless it is a gang.
-    pub rank: u8,
-    /// Tasks that wait for a place at once.
+    /// Tasks of lower priority are preempted for it, except those of gangs.
+    pub priority: u8,
+    /// Number of tasks that wait for a place.
     pub tasks: u32,
     /// All places must be in one zone.
     pub one_zone: bool,
-    /// Most tasks in one zone (`spread`).
+    /// Maximum number of tasks in one zone (`spread`).
     pub zone_cap: u32,
-    /// Tasks of it that are placed already, by zone.
+    /// Number of its tasks that already have a place, by zone.
     pub by_zone: Vec<u32>,
-    /// Types its tasks may run on; `None`: any.
+    /// Instance types that its tasks may run on; `None` allows any.
     pub kinds: Option<Vec<u32>>,
-    /// The only zone it may run in.
+    /// The only zone that it may run in; `None` allows any.
     pub zone: Option<u32>,
     /// May run on spot workers.
     pub spot: bool,
-    /// Places are wanted all at once; else fewer are better than none.
-    pub whole: bool,
-    /// What a place is worth, in the money that moves cost.
-    pub worth: f64,
+    /// Its tasks need all places at once. If false, a plan may provide fewer places.
+    pub whole_gang: bool,
+    /// The value of one place, in the same money as the cost of migrations.
+    pub place_value: f64,
 }
 
-/// How far a plan may go.
+/// The limits of a plan.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Moves that may be added to those in flight.
-    pub moves: usize,
-    /// What ends by itself within so many seconds is not moved.
-    pub soon_s: f64,
-    /// Seconds a move takes beside saving and fetching.
-    pub move_s: f64,
+    /// Maximum number of migrations that the plan may start.
+    pub max_migrations: usize,
+    /// A task that ends by itself within this many seconds is not migrated.
+    pub ends_soon_s: f64,
+    /// Seconds that a migration takes in addition to saving and fetching.
+    pub migration_overhead_s: f64,
 }
 
-impl Work {
-    /// Whether a task of it may run on the worker, whatever else runs there.
+impl Job {
+    /// Whether the job may run on a worker, regardless of the room there.
     pub fn suits(&self, m: u32, worker: &Worker) -> bool {
-        suits(&self.kinds, self.zone, self.spot, worker) && !self.avoid.contains(&m)
+        suits(&self.kinds, self.zone, self.spot, worker) && !self.avoided_workers.contains(&m)
     }
 }
 
-impl Want {
-    /// Whether a task of it may run on the worker once it is free.
+impl WaitingJob {
+    /// Whether a task of the job may run on a worker and fits on it once it is empty.
     pub fn suits(&self, worker: &Worker) -> bool {
-        suits(&self.kinds, self.zone, self.spot, worker) && self.needs.fits_in(&worker.whole)
+        suits(&self.kinds, self.zone, self.spot, worker) && self.needs.fits_in(&worker.capacity)
     }
 }
 
@@ -159,61 +160,62 @@
 }
 
 impl Fleet {
-    /// Seconds until a worker has the image of a job, 0 if it has it.
-    pub fn fetch_s(&self, work: &Work, m: u32) -> f64 {
+    /// Seconds that a worker needs to fetch the image of a job, 0 if it has the image.
+    pub fn fetch_s(&self, job: &Job, m: u32) -> f64 {
         let worker = &self.workers[m as usize];
-        if work.image_gb <= 0.0 || worker.images.contains(&work.image) {
+        if job.image_gb <= 0.0 || worker.images.contains(&job.image) {
             0.0
         } else {
-            work.image_gb / worker.fetch_gb_per_s.max(1e-3)
+            job.image_gb / worker.fetch_gb_per_s.max(1e-3)
         }
     }
 
-    /// Money that a second of a task instance's work is worth where it runs.
-    fn rate(&self, instance: &TaskInstance) -> f64 {
-        let work = &self.works[instance.work as usize];
+    /// The value in money of one second of a task instance's work on its current worker.
+    fn value_per_s(&self, instance: &TaskInstance) -> f64 {
+        let job = &self.jobs[instance.job as usize];
         let worker = &self.workers[instance.worker as usize];
-        work.weight * worker.price * work.needs.share_of(&worker.whole)
+        job.weight * worker.price * job.needs.share_of(&worker.capacity)
     }
 
-    /// What a move costs before the fetch at its target is known.
-    pub fn cost(&self, c: u32, limits: &Limits) -> f64 {
-        let instance = &self.instances[c as usize];
-        self.rate(instance) * (instance.lost_s + limits.move_s)
+    /// The cost of a migration without what depends on its target: the fetch and preemptions.
+    pub fn cost(&self, id: u32, limits: &Limits) -> f64 {
+        let instance = &self.instances[id as usize];
+        self.value_per_s(instance) * (instance.lost_s + limits.migration_overhead_s)
     }
 
-    /// What a move costs in all.
-    pub fn cost_to(&self, c: u32, to: u32, limits: &Limits) -> f64 {
-        let instance = &self.instances[c as usize];
-        let work = &self.works[instance.work as usize];
-        let stops = self.stops(work, to).unwrap_or(f64::INFINITY);
-        self.cost(c, limits) + self.rate(instance) * self.fetch_s(work, to) + stops
+    /// The total cost of a migration to a target.
+    pub fn cost_to(&self, id: u32, to: u32, limits: &Limits) -> f64 {
+        let instance = &self.instances[id as usize];
+        let job = &self.jobs[instance.job as usize];
+        let preemption = self.preemption_cost(job, to).unwrap_or(f64::INFINITY);
+        self.cost(id, limits) + self.value_per_s(instance) * self.fetch_s(job, to) + preemption
     }
 
-    /// What has to be stopped on a worker so that a task fits, in money; 0 where there
-    /// is room, `None` if it cannot.
-    pub(crate) fn stops(&self, work: &Work, m: u32) -> Option<f64> {
+    /// The cost of the preemptions that make room for a task on a worker: 0 if there is room
+    /// already, `None` if preemptions cannot make enough.
+    pub(crate) fn preemption_cost(&self, job: &Job, m: u32) -> Option<f64> {
         let worker = &self.workers[m as usize];
         let mut room = worker.room;
         let mut cost = 0.0;
-        for y in &worker.yields {
-            if work.needs.fits_in(&room) {
+        for victim in &worker.preemptible {
+            if job.needs.fits_in(&room) {
                 break;
             }
-            if y.rank < work.rank {
-                room.add(&y.needs);
-                cost += y.cost;
+            if victim.priority < job.priority {
+                room.add(&victim.needs);
+                cost += victim.cost;
             }
         }
-        work.needs.fits_in(&room).then_some(cost)
+        job.needs.fits_in(&room).then_some(cost)
     }
 
-    /// Room of a worker for work of a rank, what gives way to it included.
-    pub(crate) fn room_for(&self, rank: u8, m: u32) -> Resources {
+    /// The room on a worker for work of a priority, with all that it may preempt there.
+    pub(crate) fn room_with_preemption(&self, priority: u8, m: u32) -> Resources {
         let worker = &self.workers[m as usize];
         let mut room = worker.room;
-        for y in worker.yields.iter().filter(|y| y.rank < rank) {
-            room.add(&y.needs);
+        let victims = worker.preemptible.iter();
+        for victim in victims.filter(|victim| victim.priority < priority) {
+            room.add(&victim.needs);
         }
         room
     }
--- a/crates/defrag/src/lib.rs
+++ b/crates/defrag/src/lib.rs
@@ -1,21 +1,22 @@
-//! Which running tasks to move so that whole workers come free.
+//! Plans which running tasks to migrate so that whole workers come free.
 //!
-//! A task that takes most of a worker waits while capacity lies about in
-//! pieces. [`free`] finds the moves that make room for it with the least work
-//! lost, and only if what they free is worth more than they cost; [`empty`]
-//! finds places for what runs on a worker that drains.
+//! A task that takes most of a worker can wait although the cluster has enough
+//! free capacity, because that capacity is spread over many workers.
+//! [`free_workers`] finds the migrations that make room for such tasks at the
+//! lowest cost, and only if the room is worth more than the migrations cost.
+//! [`drain_worker`] finds targets for the tasks on a draining worker.
 //!
-//! Everything is in the controllers' own terms: amounts in thousandths, times
-//! in seconds, costs in money (price per second × seconds × the weight of the
-//! work), indices where there are names elsewhere. There is no I/O, no clock
-//! and no randomness, so the same fleet gives the same plan.
+//! Resources are in thousandths, times in seconds, and costs in money (price per
+//! second × seconds × the weight of the job). Workers, jobs, zones, types and
+//! images are indices. There is no I/O, no clock and no randomness, so the same
+//! fleet always gives the same plan.
 //!
-//! | module | what |
+//! | module | contents |
 //! | --- | --- |
-//! | [`fleet`] | what goes in: workers, work, task instances, a want |
-//! | `choose` | the cheapest task instances to take off one worker |
-//! | `place` | where each of them goes |
-//! | `plan` | which workers to free, and for how much |
+//! | [`fleet`] | the input: workers, jobs, task instances, and the waiting job |
+//! | `choose` | the cheapest task instances to migrate off one worker |
+//! | `place` | the target of each migration |
+//! | `plan` | which workers to free, and whether it is worth the cost |
 
 #![warn(missing_docs)]
 
@@ -24,5 +25,5 @@
 mod place;
 mod plan;
 
-pub use fleet::{Fleet, Limits, TaskInstance, Want, Work, Worker, Yield};
-pub use plan::{Move, Plan, Reason, empty, free};
+pub use fleet::{Fleet, Job, Limits, Preemptible, TaskInstance, WaitingJob, Worker};
+pub use plan::{Migration, Plan, PlanError, drain_worker, free_workers};
--- a/crates/defrag/src/plan.rs
+++ b/crates/defrag/src/plan.rs
@@ -1,8 +1,10 @@
-//! Which workers to free, and whether it is worth it.
+//! Chooses the workers to free, and decides whether freeing them is worth its cost.
 //!
-//! For each zone workers are taken cheapest first until all places are there;
-//! a worker whose tasks find no target is left out and the next one is
-//! looked at. The zone that costs the least in all is the plan.
+//! A place is room on one worker for one task of the waiting job. In each zone,
+//! workers are chosen in the order of their cost until there are enough places. If
+//! a task finds no target, the choice is repeated without migrating it. If all
+//! places must be in one zone, the plan with the most places is used, and among
+//! those the cheapest.
 
 use std::cell::RefCell;
 use std::cmp::{Ordering, Reverse};
@@ -10,118 +12,125 @@
 
 use thiserror::Error;
 
-use crate::choose::{Choice, Index, at_least, cheapest};
-use crate::fleet::{Fleet, Limits, Want};
-use crate::place::{Spoken, place};
+use crate::choose::{Choice, Index, cheapest_choice, cost_lower_bound};
+use crate::fleet::{Fleet, Limits, WaitingJob};
+use crate::place::{Assignments, place};
 
-/// So often a task that finds no target is left where it is and the next best is tried,
-/// before a zone is given up.
-const IN_VAIN: usize = 12;
-/// Workers of a plan that are each tried to do without.
-const LOOK_AHEAD: usize = 2;
+/// How many choices of workers are tried in a zone. After each one that fails because a task has
+/// no target, the next one leaves that task where it is.
+const MAX_ATTEMPTS: usize = 12;
+/// For this many workers of a plan, an alternative plan without the worker is tried.
+const MAX_ALTERNATIVES: usize = 2;
 
-/// One task that goes to another worker.
+/// The migration of one task to another worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Move {
+pub struct Migration {
     /// Index into [`Fleet::instances`].
     pub instance: u32,
     /// Index into [`Fleet::workers`].
     pub to: u32,
 }
 
-/// Moves that belong together.
+/// Migrations that together free the places for a waiting job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// The tasks to move, and where to.
-    pub moves: Vec<Move>,
-    /// Workers on which a place comes free by these moves, one place each.
-    pub frees: Vec<u32>,
-    /// Places that are there without a move, or come by themselves within
-    /// [`Limits::soon_s`]: a worker for each place.
-    pub free_already: Vec<u32>,
-    /// What the moves cost, in money.
+    /// The tasks to migrate, and their targets.
+    pub migrations: Vec<Migration>,
+    /// Workers on which the migrations free one place each.
+    pub freed_workers: Vec<u32>,
+    /// The worker of each place that needs no migration, because it is free or comes
+    /// free by itself within [`Limits::ends_soon_s`].
+    pub already_free: Vec<u32>,
+    /// The cost of the migrations, in money.
     pub cost: f64,
-    /// Seconds of work that the moves lose, fetches not counted.
+    /// Seconds of work that the migrations lose, without the fetches.
     pub lost_s: f64,
 }
 
-/// Why there is no plan.
+/// Why there is no plan. The texts call a migration a move and a worker a node, as the operators'
+/// command does.
 #[derive(Debug, Clone, PartialEq, Error)]
-pub enum Reason {
-    /// No worker is of a type and in a zone that it may run on.
-    #[error("no machine suits it")]
-    NoWorker,
-    /// Nothing need be moved.
-    #[error("the places are there, or come free by themselves")]
+pub enum PlanError {
+    /// No worker that may be freed has a type, zone and capacity that the job can use.
+    #[error("no node that may be freed can run a task of this job")]
+    NoSuitableWorker,
+    /// No migration is needed.
+    #[error("no move is needed: room for this job is free or comes free by itself")]
     ComesFree,
-    /// What runs there must not be moved.
-    #[error("work that may not move is in the way")]
-    InTheWay,
-    /// There is no room elsewhere.
-    #[error("what would have to move finds no other place")]
+    /// Tasks that may not be migrated take room that the job needs.
+    #[error("cannot free enough nodes for this job: tasks on them may not be moved")]
+    ImmovableTasks,
+    /// A task that has to migrate has no target with room for it.
+    #[error("cannot move tasks off the nodes to free: no other node has room for them")]
     NoTarget,
-    /// [`Limits::moves`] does not suffice.
-    #[error("it would take more moves than may be under way")]
-    TooMany,
-    /// The moves cost more than they bring.
-    #[error("the moves would cost {cost:.3}, the places are worth {worth:.3}")]
-    NotWorth {
-        /// What the moves cost, in money.
+    /// The plan needs more migrations than [`Limits::max_migrations`].
+    #[error("cannot free nodes for this job: that takes more moves than may be under way")]
+    TooManyMigrations,
+    /// The migrations cost at least as much as the places are worth.
+    #[error("not worth moving tasks for this job: cost {cost:.3}, value of the room {value:.3}")]
+    NotWorthwhile {
+        /// The cost of the migrations, in money.
         cost: f64,
-        /// What the places are worth, in money.
-        worth: f64,
+        /// The value of the places, in money.
+        value: f64,
     },
 }
 
-/// Frees the places that a job waits for.
+/// Plans the migrations that free the places a job waits for.
 ///
 /// # Errors
-/// The reason why nothing is to be moved, of the zone that came closest.
-pub fn free(fleet: &Fleet, want: &Want, limits: &Limits) -> Result<Plan, Reason> {
+/// Why nothing is to be migrated. With several zones, the error of the zone that came closest to a
+/// plan.
+pub fn free_workers(
+    fleet: &Fleet,
+    waiting_job: &WaitingJob,
+    limits: &Limits,
+) -> Result<Plan, PlanError> {
     let index = Index::new(fleet, limits);
-    let zones: Vec<Option<u32>> = if want.one_zone {
-        match want.by_zone.iter().position(|&n| n > 0) {
-            Some(bound) => vec![Some(bound as u32)],
-            None => (0..want.by_zone.len() as u32).map(Some).collect(),
+    let zones: Vec<Option<u32>> = if waiting_job.one_zone {
+        match waiting_job.by_zone.iter().position(|&n| n > 0) {
+            Some(current) => vec![Some(current as u32)],
+            None => (0..waiting_job.by_zone.len() as u32).map(Some).collect(),
         }
     } else {
         vec![None]
     };
     let mut best: Option<Plan> = None;
-    let mut why = Reason::NoWorker;
+    let mut error = PlanError::NoSuitableWorker;
     for zone in zones {
-        match free_in(fleet, &index, want, limits, zone) {
+        match plan_zone(fleet, &index, waiting_job, limits, zone) {
             Ok(plan) => {
-                if best.as_ref().is_none_or(|b| better(&plan, b)) {
+                if best.as_ref().is_none_or(|b| is_better(&plan, b)) {
                     best = Some(plan);
                 }
             }
-            Err(Reason::ComesFree) => return Err(Reason::ComesFree),
-            Err(reason) => why = nearer(why, reason),
+            Err(PlanError::ComesFree) => return Err(PlanError::ComesFree),
+            Err(zone_error) => error = closer_to_plan(error, zone_error),
         }
     }
-    best.ok_or(why)
+    best.ok_or(error)
 }
 
-/// More places, and then for less.
-fn better(a: &Plan, b: &Plan) -> bool {
-    let places = |p: &Plan| p.frees.len() + p.free_already.len();
+/// Whether plan `a` has more places than `b`, or as many for less.
+fn is_better(a: &Plan, b: &Plan) -> bool {
+    let places = |p: &Plan| p.freed_workers.len() + p.already_free.len();
     places(a).cmp(&places(b)).then(b.cost.total_cmp(&a.cost)) == Ordering::Greater
 }
 
-fn nearer(a: Reason, b: Reason) -> Reason {
-    let rank = |r: &Reason| match r {
-        Reason::NoWorker => 0,
-        Reason::InTheWay => 1,
-        Reason::NoTarget => 2,
-        Reason::TooMany => 3,
-        Reason::NotWorth { .. } => 4,
-        Reason::ComesFree => 5,
+/// The error of the attempt that came closer to a plan, the later one (`b`) if they are equal.
+fn closer_to_plan(a: PlanError, b: PlanError) -> PlanError {
+    let progress = |error: &PlanError| match error {
+        PlanError::NoSuitableWorker => 0,
+        PlanError::ImmovableTasks => 1,
+        PlanError::NoTarget => 2,
+        PlanError::TooManyMigrations => 3,
+        PlanError::NotWorthwhile { .. } => 4,
+        PlanError::ComesFree => 5,
     };
-    if rank(&b) >= rank(&a) { b } else { a }
+    if progress(&b) >= progress(&a) { b } else { a }
 }
 
-/// A worker that may be freed, by what that costs.
+/// A worker that may be freed, ordered by the cost of that.
 #[derive(PartialEq)]
 struct Candidate(f64, u32);
 
@@ -139,49 +148,53 @@
     }
 }
 
-/// What one zone (or all of them) has to give.
-struct Offer<'a> {
+/// The workers of one zone, or of all zones, that can provide places for the waiting job.
+struct ZonePlanner<'a> {
     fleet: &'a Fleet,
     index: &'a Index,
-    want: &'a Want,
+    waiting_job: &'a WaitingJob,
     limits: &'a Limits,
-    /// A worker for each place that is there without a move.
-    free_already: Vec<u32>,
-    /// The rest that suit, with what freeing them costs at least.
+    /// The worker of each place that needs no migration.
+    already_free: Vec<u32>,
+    /// The other suitable workers, with a lower bound of the cost of freeing each.
     candidates: Vec<(f64, u32)>,
-    /// Places taken in each zone, those above included.
-    zones: Zones,
-    /// What is best to take off a worker, as long as nothing else has been moved.
-    known: RefCell<BTreeMap<u32, Option<Choice>>>,
+    /// Places used in each zone, those of `already_free` included.
+    zones: ZoneCounts,
+    /// The cheapest choice of each worker while no task on it is migrating or unplaceable.
+    cached_choices: RefCell<BTreeMap<u32, Option<Choice>>>,
 }
 
-/// A worker to free, and what must leave it that no worker before it moves already.
-type Picked = (u32, Vec<u32>);
+/// A worker to free, and the task instances on it that no other chosen worker migrates already.
+type ChosenWorker = (u32, Vec<u32>);
 
-impl Offer<'_> {
-    /// The cheapest workers for the places that are missing. `stuck` are copies that
-    /// found no target, `without` a worker to do without.
-    fn pick(&self, stuck: &BTreeSet<u32>, without: Option<u32>) -> Result<Vec<Picked>, Reason> {
-        let missing = self.want.tasks as usize - self.free_already.len();
+impl ZonePlanner<'_> {
+    /// Chooses the cheapest workers for the missing places, except the worker `without`. Task
+    /// instances in `unplaceable` found no target and stay where they are.
+    fn choose_workers(
+        &self,
+        unplaceable: &BTreeSet<u32>,
+        without: Option<u32>,
+    ) -> Result<Vec<ChosenWorker>, PlanError> {
+        let missing = self.waiting_job.tasks as usize - self.already_free.len();
         let mut zones = self.zones.clone();
-        let mut gone = BTreeSet::new();
-        let mut picked: Vec<Picked> = Vec::new();
+        let mut migrating = BTreeSet::new();
+        let mut chosen: Vec<ChosenWorker> = Vec::new();
         let mut cost = 0.0;
         let mut heap: BinaryHeap<_> = self
             .candidates
             .iter()
             .map(|&(cost, m)| Reverse(Candidate(cost, m)))
             .collect();
-        while picked.len() < missing
-            && let Some(Reverse(Candidate(guess, m))) = heap.pop()
+        while chosen.len() < missing
+            && let Some(Reverse(Candidate(bound, m))) = heap.pop()
         {
-            if Some(m) == without || picked.iter().any(|p| p.0 == m) {
+            if Some(m) == without || chosen.iter().any(|c| c.0 == m) {
                 continue;
             }
-            let Some(choice) = self.choose(m, &gone, stuck) else {
+            let Some(choice) = self.choose_instances(m, &migrating, unplaceable) else {
                 continue;
             };
-            if choice.cost > guess {
+            if choice.cost > bound {
                 heap.push(Reverse(Candidate(choice.cost, m)));
                 continue;
             }
@@ -189,160 +202,178 @@
                 continue;
             }
             cost += choice.cost;
-            let places = self.free_already.len() + picked.len() + 1;
-            let worth = self.want.worth_of(places);
-            if cost >= worth {
-                return match picked.is_empty() || self.want.whole {
-                    true => Err(Reason::NotWorth { cost, worth }),
-                    false => Ok(picked),
+            let places = self.already_free.len() + chosen.len() + 1;
+            let value = self.waiting_job.value_of(places);
+            if cost >= value {
+                return match chosen.is_empty() || self.waiting_job.whole_gang {
+                    true => Err(PlanError::NotWorthwhile { cost, value }),
+                    false => Ok(chosen),
                 };
             }
-            for &c in &choice.instances {
-                for c in self.index.with_gang(self.fleet, c) {
-                    gone.insert(c);
-                    // What a gang leaves behind elsewhere may now be the cheapest.
-                    let from = self.fleet.instances[c as usize].worker;
-                    if from != m && self.candidates.iter().any(|&(_, o)| o == from) {
+            for &id in &choice.instances {
+                for id in self.index.with_gang(self.fleet, id) {
+                    migrating.insert(id);
+                    // The rest of the gang leaves other workers, which may now be the cheapest.
+                    let from = self.fleet.instances[id as usize].worker;
+                    if from != m && self.candidates.iter().any(|&(_, other)| other == from) {
                         heap.push(Reverse(Candidate(0.0, from)));
                     }
                 }
             }
-            picked.push((m, choice.instances));
+            chosen.push((m, choice.instances));
         }
-        if picked.is_empty() || (self.want.whole && picked.len() < missing) {
-            return Err(Reason::InTheWay);
+        if chosen.is_empty() || (self.waiting_job.whole_gang && chosen.len() < missing) {
+            return Err(PlanError::ImmovableTasks);
         }
-        Ok(picked)
+        Ok(chosen)
     }
 
-    /// The same workers come up again and again while nothing on them has changed.
-    fn choose(&self, m: u32, gone: &BTreeSet<u32>, stuck: &BTreeSet<u32>) -> Option<Choice> {
+    /// The cheapest task instances to migrate off a worker. The result is cached as long as none
+    /// of them is migrating or unplaceable, since the same workers are asked for many times.
+    fn choose_instances(
+        &self,
+        m: u32,
+        migrating: &BTreeSet<u32>,
+        unplaceable: &BTreeSet<u32>,
+    ) -> Option<Choice> {
         let instances = &self.index.by_worker[m as usize];
-        let same = !instances
+        let unchanged = !instances
             .iter()
-            .any(|c| gone.contains(c) || stuck.contains(c));
-        if same && let Some(known) = self.known.borrow().get(&m) {
-            return known.clone();
+            .any(|id| migrating.contains(id) || unplaceable.contains(id));
+        if unchanged && let Some(cached) = self.cached_choices.borrow().get(&m) {
+            return cached.clone();
         }
-        let choice = cheapest(
+        let choice = cheapest_choice(
             self.fleet,
             self.index,
             m,
-            self.want,
+            self.waiting_job,
             self.limits,
-            gone,
-            stuck,
+            migrating,
+            unplaceable,
         );
-        if same {
-            self.known.borrow_mut().insert(m, choice.clone());
+        if unchanged {
+            self.cached_choices.borrow_mut().insert(m, choice.clone());
         }
         choice
     }
 
-    /// Targets for all that must leave the workers picked.
-    fn settle(&self, picked: &[Picked]) -> Result<Plan, (Option<u32>, Reason)> {
-        let frees: Vec<u32> = picked.iter().map(|p| p.0).collect();
-        let mut kept: BTreeSet<u32> = frees.iter().copied().collect();
-        kept.extend(&self.free_already);
-        let instances = picked.iter().flat_map(|p| p.1.iter().copied()).collect();
-        let (cost, moves) = move_off(self.fleet, self.index, instances, &kept, self.limits)?;
-        let lost = |mv: &Move| self.fleet.instances[mv.instance as usize].lost_s;
+    /// Finds targets for all task instances that must leave the chosen workers.
+    fn place_instances(&self, chosen: &[ChosenWorker]) -> Result<Plan, (Option<u32>, PlanError)> {
+        let freed_workers: Vec<u32> = chosen.iter().map(|c| c.0).collect();
+        let mut excluded: BTreeSet<u32> = freed_workers.iter().copied().collect();
+        excluded.extend(&self.already_free);
+        let instances = chosen.iter().flat_map(|c| c.1.iter().copied()).collect();
+        let (cost, migrations) =
+            assign_targets(self.fleet, self.index, instances, &excluded, self.limits)?;
+        let lost = |migration: &Migration| self.fleet.instances[migration.instance as usize].lost_s;
         Ok(Plan {
-            lost_s: moves.iter().map(lost).sum(),
-            moves,
-            frees,
-            free_already: self.free_already.clone(),
+            lost_s: migrations.iter().map(lost).sum(),
+            migrations,
+            freed_workers,
+            already_free: self.already_free.clone(),
             cost,
         })
     }
 
-    /// The cheapest workers that can be freed: where something finds no target, the
-    /// next best is tried without it.
-    fn plan(&self, without: Option<u32>) -> Result<Plan, Reason> {
-        let mut stuck = BTreeSet::new();
-        let mut why = Reason::InTheWay;
-        for _ in 0..IN_VAIN {
-            let picked = self
-                .pick(&stuck, without)
-                .map_err(|r| nearer(why.clone(), r))?;
-            match self.settle(&picked) {
+    /// Plans with the cheapest workers, except the worker `without`. While a task instance finds no
+    /// target, the choice of workers is repeated without migrating it.
+    fn plan(&self, without: Option<u32>) -> Result<Plan, PlanError> {
+        let mut unplaceable = BTreeSet::new();
+        let mut error = PlanError::ImmovableTasks;
+        for _ in 0..MAX_ATTEMPTS {
+            let chosen = self
+                .choose_workers(&unplaceable, without)
+                .map_err(|e| closer_to_plan(error.clone(), e))?;
+            match self.place_instances(&chosen) {
                 Ok(plan) => {
-                    let worth = self.want.worth_of(plan.places());
-                    if plan.cost < worth {
+                    let value = self.waiting_job.value_of(plan.place_count());
+                    if plan.cost < value {
                         return Ok(plan);
                     }
                     let cost = plan.cost;
-                    return Err(nearer(why, Reason::NotWorth { cost, worth }));
+                    return Err(closer_to_plan(
+                        error,
+                        PlanError::NotWorthwhile { cost, value },
+                    ));
                 }
-                Err((instance, reason)) => {
-                    why = nearer(why, reason);
+                Err((instance, place_error)) => {
+                    error = closer_to_plan(error, place_error);
                     let Some(instance) = instance else { break };
-                    stuck.insert(instance);
+                    unplaceable.insert(instance);
                 }
             }
         }
-        Err(why)
+        Err(error)
     }
 }
 
-fn free_in(
+/// Plans in one zone, or in all zones together if `zone` is `None`.
+fn plan_zone(
     fleet: &Fleet,
     index: &Index,
-    want: &Want,
+    waiting_job: &WaitingJob,
     limits: &Limits,
     zone: Option<u32>,
-) -> Result<Plan, Reason> {
-    let mut offer = Offer {
+) -> Result<Plan, PlanError> {
+    let mut planner = ZonePlanner {
         fleet,
         index,
-        want,
+        waiting_job,
         limits,
-        free_already: Vec::new(),
+        already_free: Vec::new(),
         candidates: Vec::new(),
-        zones: Zones {
-            taken: want.by_zone.clone(),
-            cap: want.zone_cap,
+        zones: ZoneCounts {
+            taken: waiting_job.by_zone.clone(),
+            cap: waiting_job.zone_cap,
         },
-        known: RefCell::default(),
+        cached_choices: RefCell::default(),
     };
     let mut suitable = false;
     for (m, worker) in (0u32..).zip(&fleet.workers) {
-        if zone.is_some_and(|z| z != worker.zone) || !worker.frees || !want.suits(worker) {
+        if zone.is_some_and(|z| z != worker.zone) || !worker.freeable || !waiting_job.suits(worker)
+        {
             continue;
         }
         suitable = true;
-        let Some(bound) = at_least(fleet, index, m, want, limits) else {
+        let Some(bound) = cost_lower_bound(fleet, index, m, waiting_job, limits) else {
             continue;
         };
         if bound > 0.0 {
-            offer.candidates.push((bound, m));
+            planner.candidates.push((bound, m));
             continue;
         }
-        // It may have room for more than one.
-        let mut room = fleet.room_for(want.rank, m);
+        // The worker may have room for several tasks.
+        let mut room = fleet.room_with_preemption(waiting_job.priority, m);
         loop {
-            offer.free_already.push(m);
-            room.sub(&want.needs);
-            if !offer.zones.take(worker.zone) {
-                offer.free_already.pop();
+            planner.already_free.push(m);
+            room.sub(&waiting_job.needs);
+            if !planner.zones.take(worker.zone) {
+                planner.already_free.pop();
                 break;
             }
-            if offer.free_already.len() >= want.tasks as usize {
-                return Err(Reason::ComesFree);
+            if planner.already_free.len() >= waiting_job.tasks as usize {
+                return Err(PlanError::ComesFree);
             }
-            if !want.needs.fits_in(&room) {
+            if !waiting_job.needs.fits_in(&room) {
                 break;
             }
         }
     }
     if !suitable {
-        return Err(Reason::NoWorker);
+        return Err(PlanError::NoSuitableWorker);
     }
-    let mut best = offer.plan(None)?;
-    // Looking ahead: what was cheapest before its targets were known may not be.
-    for m in best.frees.clone().into_iter().take(LOOK_AHEAD) {
-        if let Ok(other) = offer.plan(Some(m))
-            && better(&other, &best)
+    let mut best = planner.plan(None)?;
+    // Workers are chosen before the targets of their tasks are known, so a plan without one of
+    // the chosen workers may turn out cheaper.
+    for m in best
+        .freed_workers
+        .clone()
+        .into_iter()
+        .take(MAX_ALTERNATIVES)
+    {
+        if let Ok(other) = planner.plan(Some(m))
+            && is_better(&other, &best)
         {
             best = other;
         }
@@ -350,14 +381,15 @@
     Ok(best)
 }
 
-/// Places that a job has and may yet have, by zone.
+/// The number of places of a job in each zone, and the maximum per zone.
 #[derive(Clone)]
-struct Zones {
+struct ZoneCounts {
     taken: Vec<u32>,
     cap: u32,
 }
 
-impl Zones {
+impl ZoneCounts {
+    /// Counts one more place in a zone; returns false if the zone is at its maximum.
     fn take(&mut self, zone: u32) -> bool {
         let z = zone as usize;
         if self.taken.len() <= z {
@@ -369,84 +401,87 @@
     }
 }
 
-impl Want {
-    fn worth_of(&self, places: usize) -> f64 {
-        let places = if self.whole {
+impl WaitingJob {
+    /// The value of so many places. A whole gang counts all its tasks, as fewer places are no use
+    /// to it.
+    fn value_of(&self, places: usize) -> f64 {
+        let places = if self.whole_gang {
             self.tasks as usize
         } else {
             places
         };
-        self.worth * places as f64
+        self.place_value * places as f64
     }
 }
 
 impl Plan {
-    fn places(&self) -> usize {
-        self.frees.len() + self.free_already.len()
+    fn place_count(&self) -> usize {
+        self.freed_workers.len() + self.already_free.len()
     }
 }
 
-/// Targets for copies, and for all that must move with them. The error names the copy
-/// that found none, if it was one.
-fn move_off(
+/// Finds targets for task instances and for all that must migrate with them. The error names the
+/// instance that found no target, if that is the cause.
+fn assign_targets(
     fleet: &Fleet,
     index: &Index,
     mut instances: Vec<u32>,
-    kept: &BTreeSet<u32>,
+    excluded: &BTreeSet<u32>,
     limits: &Limits,
-) -> Result<(f64, Vec<Move>), (Option<u32>, Reason)> {
-    let mut spoken = Spoken::default();
-    let mut moves: Vec<Move> = Vec::new();
-    // The largest first: they find the fewest places.
-    instances.sort_by_key(|&c| {
-        let needs = &fleet.works[fleet.instances[c as usize].work as usize].needs;
-        (Reverse((needs.gpus, needs.cpus, needs.memory)), c)
+) -> Result<(f64, Vec<Migration>), (Option<u32>, PlanError)> {
+    let mut assigned = Assignments::default();
+    let mut migrations: Vec<Migration> = Vec::new();
+    // The largest tasks come first, as the fewest workers have room for them.
+    instances.sort_by_key(|&id| {
+        let needs = &fleet.jobs[fleet.instances[id as usize].job as usize].needs;
+        (Reverse((needs.gpus, needs.cpus, needs.memory)), id)
     });
-    for c in instances {
-        if moves.iter().any(|mv| mv.instance == c) {
+    for id in instances {
+        if migrations.iter().any(|migration| migration.instance == id) {
             continue;
         }
-        let unit = index.with_gang(fleet, c);
-        if moves.len() + unit.len() > limits.moves {
-            return Err((None, Reason::TooMany));
+        let unit = index.with_gang(fleet, id);
+        if migrations.len() + unit.len() > limits.max_migrations {
+            return Err((None, PlanError::TooManyMigrations));
         }
-        let Some((after, targets)) = place(fleet, &index.targets, &unit, kept, limits, &spoken)
+        let Some((with_unit, targets)) =
+            place(fleet, &index.targets, &unit, excluded, limits, &assigned)
         else {
-            return Err((Some(c), Reason::NoTarget));
+            return Err((Some(id), PlanError::NoTarget));
         };
-        spoken = after;
-        moves.extend(
+        assigned = with_unit;
+        migrations.extend(
             targets
                 .into_iter()
-                .map(|(instance, to)| Move { instance, to }),
+                .map(|(instance, to)| Migration { instance, to }),
         );
     }
-    Ok((spoken.cost, moves))
+    Ok((assigned.cost, migrations))
 }
 
-/// Moves that take off a worker what may move, as far as there are places for it.
-/// What stays behind runs on; a worker that must be empty by some time is a matter
-/// for whoever set it.
-pub fn empty(fleet: &Fleet, worker: u32, limits: &Limits) -> Vec<Move> {
+/// Plans migrations off a draining worker, for as many of its tasks as have a target.
+///
+/// The other tasks run on. The caller must stop them if the worker has to be empty by a deadline.
+pub fn drain_worker(fleet: &Fleet, worker: u32, limits: &Limits) -> Vec<Migration> {
     let index = Index::new(fleet, limits);
-    let kept = BTreeSet::from([worker]);
+    let excluded = BTreeSet::from([worker]);
     let mut instances = index.by_worker[worker as usize].clone();
-    instances.retain(|&c| index.moves(fleet, c, limits));
-    // What loses the least first, as not all may be allowed at once.
+    instances.retain(|&id| index.is_movable(fleet, id, limits));
+    // The cheapest come first, as the limits may not allow all of them at once.
     instances.sort_by(|&a, &b| {
-        let cost = |c| fleet.cost(c, limits);
+        let cost = |id| fleet.cost(id, limits);
         cost(a).total_cmp(&cost(b)).then(a.cmp(&b))
     });
     let mut taken: Vec<u32> = Vec::new();
-    let mut moves = Vec::new();
-    for c in instances {
-        taken.push(c);
-        match move_off(fleet, &index, taken.clone(), &kept, limits) {
-            Ok((_, all)) => moves = all,
+    let mut migrations = Vec::new();
+    for id in instances {
+        taken.push(id);
+        match assign_targets(fleet, &index, taken.clone(), &excluded, limits) {
+            Ok((_, all)) => migrations = all,
             Err(_) => {
                 taken.pop();
             }
         }
     }
-    moves
+    migrations
 }
--- a/crates/defrag/tests/quality.rs
+++ b/crates/defrag/tests/quality.rs
@@ -1,42 +1,46 @@
-//! What every plan must keep, and how far plans are from the best there are.
+//! The rules that every plan must follow, and how close plans come to the optimum.
+//!
+//! Guards against plans that move tasks which must stay, use a target without room, or cost more
+//! than they bring, and against a planner that misses plans or finds much too expensive ones.
 
 use copperfield_defrag::{
-    Fleet, Limits, Reason, TaskInstance, Want, Work, Worker, Yield, empty, free,
+    Fleet, Job, Limits, PlanError, Preemptible, TaskInstance, WaitingJob, Worker, drain_worker,
+    free_workers,
 };
 use copperfield_protocol::job::Resources;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 const LIMITS: Limits = Limits {
-    moves: 16,
-    soon_s: 5.0,
-    move_s: 1.0,
+    max_migrations: 16,
+    ends_soon_s: 5.0,
+    migration_overhead_s: 1.0,
 };
 
 fn gpus(n: i64) -> Resources {
     Resources::new(n as f64, n as f64, 4.0 * n as f64)
 }
 
-fn worker(zone: u32, whole: i64) -> Worker {
+fn worker(zone: u32, capacity: i64) -> Worker {
     Worker {
         zone,
         kind: 0,
         spot: false,
-        receives: true,
-        frees: true,
-        whole: gpus(whole),
-        room: gpus(whole),
+        usable: true,
+        freeable: true,
+        capacity: gpus(capacity),
+        room: gpus(capacity),
         price: 1.0,
         fetch_gb_per_s: 1.0,
         images: vec![0],
-        yields: Vec::new(),
+        preemptible: Vec::new(),
     }
 }
 
-fn work(needs: i64) -> Work {
-    Work {
+fn job(needs: i64) -> Job {
+    Job {
         needs: gpus(needs),
-        rank: 1,
+        priority: 1,
         weight: 1.0,
         kinds: None,
         zone: None,
@@ -47,15 +51,15 @@
         image: 0,
         image_gb: 0.0,
         gang: false,
-        may_leave: u32::MAX,
-        avoid: Vec::new(),
+        migration_budget: u32::MAX,
+        avoided_workers: Vec::new(),
     }
 }
 
-fn want(tasks: u32, needs: i64) -> Want {
-    Want {
+fn waiting_job(tasks: u32, needs: i64) -> WaitingJob {
+    WaitingJob {
         needs: gpus(needs),
-        rank: 1,
+        priority: 1,
         tasks,
         one_zone: true,
         zone_cap: u32::MAX,
@@ -63,20 +67,21 @@
         kinds: None,
         zone: None,
         spot: true,
-        whole: true,
-        worth: 1e9,
+        whole_gang: true,
+        place_value: 1e9,
     }
 }
 
-impl Site {
-    fn put(&mut self, worker: u32, w: usize, lost_s: f64) -> u32 {
+impl TestFleet {
+    /// Adds a task of a job on a worker. Returns the index of its instance.
+    fn add_task(&mut self, worker: u32, job: usize, lost_s: f64) -> u32 {
         let zone = self.0.workers[worker as usize].zone as usize;
-        let needs = self.0.works[w].needs;
-        self.0.works[w].by_zone[zone] += 1;
+        let needs = self.0.jobs[job].needs;
+        self.0.jobs[job].by_zone[zone] += 1;
         self.0.workers[worker as usize].room.sub(&needs);
         self.0.instances.push(TaskInstance {
             worker,
-            work: w as u32,
+            job: job as u32,
             movable: true,
             ends_in_s: 100.0,
             lost_s,
@@ -85,250 +90,302 @@
     }
 }
 
-struct Site(Fleet);
+struct TestFleet(Fleet);
 
-/// Two zones of two workers with four GPUs each; every worker holds one task of two.
-fn scattered() -> Site {
-    let mut site = Site(Fleet {
+/// Two zones with two workers of four GPUs each. Every worker holds one task that uses two GPUs.
+fn fragmented_fleet() -> TestFleet {
+    let mut fleet = TestFleet(Fleet {
         workers: (0..4).map(|m| worker(m / 2, 4)).collect(),
-        works: vec![work(2)],
+        jobs: vec![job(2)],
         instances: Vec::new(),
     });
     for m in 0..4 {
-        site.put(m, 0, 1.0 + f64::from(m));
+        fleet.add_task(m, 0, 1.0 + f64::from(m));
     }
-    site
+    fleet
 }
 
 #[test]
-fn one_whole_worker_costs_the_cheapest_move() {
-    let plan = free(&scattered().0, &want(1, 4), &LIMITS).expect("a plan");
-    assert_eq!(plan.frees, [0]);
-    assert_eq!(plan.moves.len(), 1);
+fn freeing_one_worker_takes_the_cheapest_migration() {
+    let plan = free_workers(&fragmented_fleet().0, &waiting_job(1, 4), &LIMITS).expect("a plan");
+    assert_eq!(plan.freed_workers, [0]);
+    assert_eq!(plan.migrations.len(), 1);
     assert_eq!(plan.lost_s, 1.0);
 }
 
 #[test]
-fn a_gang_gets_its_workers_in_one_zone() {
-    let plan = free(&scattered().0, &want(2, 4), &LIMITS).expect("a plan");
-    assert_eq!(plan.frees, [0, 1]);
+fn workers_for_a_one_zone_gang_are_freed_in_one_zone() {
+    let plan = free_workers(&fragmented_fleet().0, &waiting_job(2, 4), &LIMITS).expect("a plan");
+    assert_eq!(plan.freed_workers, [0, 1]);
     let zone = |m: u32| m / 2;
-    assert!(plan.moves.iter().all(|mv| zone(mv.to) == 1), "{plan:?}");
+    assert!(
+        plan.migrations
+            .iter()
+            .all(|migration| zone(migration.to) == 1),
+        "{plan:?}"
+    );
 }
 
 #[test]
-fn what_may_not_move_is_in_the_way() {
-    let mut site = scattered();
-    site.0.instances.iter_mut().for_each(|c| c.movable = false);
-    assert_eq!(free(&site.0, &want(1, 4), &LIMITS), Err(Reason::InTheWay));
+fn immovable_tasks_prevent_a_plan() {
+    let mut fleet = fragmented_fleet();
+    fleet
+        .0
+        .instances
+        .iter_mut()
+        .for_each(|instance| instance.movable = false);
+    assert_eq!(
+        free_workers(&fleet.0, &waiting_job(1, 4), &LIMITS),
+        Err(PlanError::ImmovableTasks)
+    );
 }
 
 #[test]
-fn what_ends_soon_is_waited_for() {
-    let mut site = scattered();
-    site.0.instances[3].ends_in_s = 4.0;
-    assert_eq!(free(&site.0, &want(1, 4), &LIMITS), Err(Reason::ComesFree));
+fn no_migration_is_planned_if_a_task_ends_soon() {
+    let mut fleet = fragmented_fleet();
+    fleet.0.instances[3].ends_in_s = 4.0;
+    assert_eq!(
+        free_workers(&fleet.0, &waiting_job(1, 4), &LIMITS),
+        Err(PlanError::ComesFree)
+    );
 }
 
 #[test]
-fn nothing_goes_to_a_worker_that_takes_no_work_or_that_is_being_freed() {
-    let mut site = scattered();
+fn unusable_workers_and_workers_being_freed_are_no_targets() {
+    let mut fleet = fragmented_fleet();
     for m in 1..4 {
-        site.0.workers[m].receives = false;
+        fleet.0.workers[m].usable = false;
     }
-    // Only worker 0 takes anything, so it cannot be the one that is freed.
-    let plan = free(&site.0, &want(1, 4), &LIMITS).expect("a plan");
+    // Worker 0 is the only target, so it cannot be the one that is freed.
+    let plan = free_workers(&fleet.0, &waiting_job(1, 4), &LIMITS).expect("a plan");
     assert!(
-        plan.moves.iter().all(|mv| mv.to == 0) && plan.frees == [1],
+        plan.migrations.iter().all(|migration| migration.to == 0) && plan.freed_workers == [1],
         "{plan:?}"
     );
-    site.0.workers[0].receives = false;
-    assert_eq!(free(&site.0, &want(1, 4), &LIMITS), Err(Reason::NoTarget));
+    fleet.0.workers[0].usable = false;
+    assert_eq!(
+        free_workers(&fleet.0, &waiting_job(1, 4), &LIMITS),
+        Err(PlanError::NoTarget)
+    );
 }
 
 #[test]
-fn a_gang_moves_whole_or_not_at_all() {
-    let mut site = scattered();
-    site.0.works[0].gang = true;
+fn a_gang_migrates_as_a_whole_or_not_at_all() {
+    let mut fleet = fragmented_fleet();
+    fleet.0.jobs[0].gang = true;
     let mut limits = LIMITS;
-    // All four would have to move, and there is no room for that beside what is freed.
-    assert_eq!(free(&site.0, &want(1, 4), &limits), Err(Reason::NoTarget));
-    limits.moves = 3;
-    assert_eq!(free(&site.0, &want(1, 4), &limits), Err(Reason::InTheWay));
+    // All four tasks would have to migrate, and the workers that stay have no room for them.
+    assert_eq!(
+        free_workers(&fleet.0, &waiting_job(1, 4), &limits),
+        Err(PlanError::NoTarget)
+    );
+    limits.max_migrations = 3;
+    assert_eq!(
+        free_workers(&fleet.0, &waiting_job(1, 4), &limits),
+        Err(PlanError::ImmovableTasks)
+    );
 }
 
 #[test]
-fn a_service_keeps_its_spread_and_its_share_at_work() {
-    let mut site = scattered();
-    site.0.works[0].zone_cap = 2;
-    let plan = free(&site.0, &want(1, 4), &LIMITS).expect("a plan");
-    assert_eq!(plan.moves[0].to, 1, "within its own zone");
-    assert_eq!(free(&site.0, &want(2, 4), &LIMITS), Err(Reason::NoTarget));
-    site.0.works[0].may_leave = 0;
-    assert_eq!(free(&site.0, &want(1, 4), &LIMITS), Err(Reason::InTheWay));
+fn a_service_keeps_its_spread_and_its_migration_budget() {
+    let mut fleet = fragmented_fleet();
+    fleet.0.jobs[0].zone_cap = 2;
+    let plan = free_workers(&fleet.0, &waiting_job(1, 4), &LIMITS).expect("a plan");
+    assert_eq!(plan.migrations[0].to, 1, "the target is in the same zone");
+    assert_eq!(
+        free_workers(&fleet.0, &waiting_job(2, 4), &LIMITS),
+        Err(PlanError::NoTarget)
+    );
+    fleet.0.jobs[0].migration_budget = 0;
+    assert_eq!(
+        free_workers(&fleet.0, &waiting_job(1, 4), &LIMITS),
+        Err(PlanError::ImmovableTasks)
+    );
 }
 
-/// Guests fill what is left of every worker: they give way to what moves, for a price,
-/// and to the job that waits.
+/// Tasks of priority 0 fill the rest of every worker. A migrating task may preempt one of them on
+/// its target, which adds to the cost, and the waiting job preempts them on the freed worker.
 #[test]
-fn lower_work_gives_way_to_what_moves_and_to_what_waits() {
-    let mut site = scattered();
+fn lower_priority_tasks_are_preempted_for_migrations_and_for_the_waiting_job() {
+    let mut fleet = fragmented_fleet();
     for m in 0..4 {
-        site.0.works.push(work(2));
-        let guest = site.0.works.len() - 1;
-        site.0.works[guest].rank = 0;
-        site.put(m, guest, 5.0);
+        fleet.0.jobs.push(job(2));
+        let low_priority = fleet.0.jobs.len() - 1;
+        fleet.0.jobs[low_priority].priority = 0;
+        fleet.add_task(m, low_priority, 5.0);
         let cost = 10.0 - f64::from(m);
         let needs = gpus(2);
-        site.0.workers[m as usize].yields = vec![Yield {
-            rank: 0,
+        fleet.0.workers[m as usize].preemptible = vec![Preemptible {
+            priority: 0,
             needs,
             cost,
         }];
     }
-    let plan = free(&site.0, &want(1, 4), &LIMITS).expect("a plan");
-    assert_eq!(plan.moves.len(), 1, "guests are not moved: {plan:?}");
-    let to = plan.moves[0].to;
-    assert_eq!((plan.frees[0], to), (0, 3), "the cheapest guest gives way");
+    let plan = free_workers(&fleet.0, &waiting_job(1, 4), &LIMITS).expect("a plan");
+    assert_eq!(
+        plan.migrations.len(),
+        1,
+        "tasks of low priority are not migrated: {plan:?}"
+    );
+    let to = plan.migrations[0].to;
+    assert_eq!(
+        (plan.freed_workers[0], to),
+        (0, 3),
+        "the cheapest task of low priority is preempted"
+    );
     assert_eq!(plan.cost, 0.5 * (1.0 + 1.0) + 7.0);
-    site.0.works[0].rank = 0;
-    assert_eq!(free(&site.0, &want(1, 4), &LIMITS), Err(Reason::ComesFree));
+    fleet.0.jobs[0].priority = 0;
+    assert_eq!(
+        free_workers(&fleet.0, &waiting_job(1, 4), &LIMITS),
+        Err(PlanError::ComesFree)
+    );
 }
 
 #[test]
-fn a_move_happens_only_if_what_it_frees_is_worth_more() {
-    let mut cheap = want(1, 4);
-    cheap.worth = 0.5;
+fn nothing_is_migrated_for_a_place_worth_less_than_the_cost() {
+    let mut cheap = waiting_job(1, 4);
+    cheap.place_value = 0.5;
     assert!(matches!(
-        free(&scattered().0, &cheap, &LIMITS),
-        Err(Reason::NotWorth { .. })
+        free_workers(&fragmented_fleet().0, &cheap, &LIMITS),
+        Err(PlanError::NotWorthwhile { .. })
     ));
 }
 
 #[test]
-fn a_worker_that_drains_gives_away_what_finds_a_place() {
-    let mut site = scattered();
-    site.0.workers[0].receives = false;
-    site.0.works.push(work(3));
-    site.0.workers[1].room = gpus(4);
-    site.0.instances.remove(1);
-    site.0.workers[0].room = gpus(4);
-    site.0.instances.remove(0);
-    site.put(0, 1, 1.0);
-    site.put(0, 0, 1.0);
-    let moves = empty(&site.0, 0, &LIMITS);
-    assert_eq!(moves.len(), 2, "{moves:?}");
-    let one = Limits { moves: 1, ..LIMITS };
-    assert_eq!(empty(&site.0, 0, &one).len(), 1);
+fn tasks_migrate_off_a_draining_worker_as_far_as_limits_allow() {
+    let mut fleet = fragmented_fleet();
+    fleet.0.workers[0].usable = false;
+    fleet.0.jobs.push(job(3));
+    fleet.0.workers[1].room = gpus(4);
+    fleet.0.instances.remove(1);
+    fleet.0.workers[0].room = gpus(4);
+    fleet.0.instances.remove(0);
+    fleet.add_task(0, 1, 1.0);
+    fleet.add_task(0, 0, 1.0);
+    let migrations = drain_worker(&fleet.0, 0, &LIMITS);
+    assert_eq!(migrations.len(), 2, "{migrations:?}");
+    let one = Limits {
+        max_migrations: 1,
+        ..LIMITS
+    };
+    assert_eq!(drain_worker(&fleet.0, 0, &one).len(), 1);
 }
 
-/// Every way to move copies, tried one after another: the cheapest that frees all places.
-fn exhaustive(fleet: &Fleet, want: &Want) -> Option<f64> {
-    fn go(fleet: &Fleet, want: &Want, c: usize, to: &mut Vec<Option<u32>>, best: &mut Option<f64>) {
-        if c == fleet.instances.len() {
-            if let Some(cost) = cost(fleet, want, to)
+/// Tries every way to migrate task instances. Returns the cost of the cheapest that frees all
+/// places.
+fn exhaustive_search(fleet: &Fleet, waiting_job: &WaitingJob) -> Option<f64> {
+    fn search(
+        fleet: &Fleet,
+        waiting_job: &WaitingJob,
+        id: usize,
+        targets: &mut Vec<Option<u32>>,
+        best: &mut Option<f64>,
+    ) {
+        if id == fleet.instances.len() {
+            if let Some(cost) = cost(fleet, waiting_job, targets)
                 && best.is_none_or(|b| cost < b)
             {
                 *best = Some(cost);
             }
             return;
         }
-        for t in std::iter::once(None).chain((0..fleet.workers.len() as u32).map(Some)) {
-            if t != Some(fleet.instances[c].worker) {
-                to.push(t);
-                go(fleet, want, c + 1, to, best);
-                to.pop();
+        for target in std::iter::once(None).chain((0..fleet.workers.len() as u32).map(Some)) {
+            if target != Some(fleet.instances[id].worker) {
+                targets.push(target);
+                search(fleet, waiting_job, id + 1, targets, best);
+                targets.pop();
             }
         }
     }
-    fn cost(fleet: &Fleet, want: &Want, to: &[Option<u32>]) -> Option<f64> {
+    fn cost(fleet: &Fleet, waiting_job: &WaitingJob, targets: &[Option<u32>]) -> Option<f64> {
         let mut reserved = vec![Resources::default(); fleet.workers.len()];
         let mut freed = reserved.clone();
         let mut cost = 0.0;
-        for (c, t) in (0u32..).zip(to) {
-            let instance = &fleet.instances[c as usize];
-            let needs = &fleet.works[instance.work as usize].needs;
-            if let Some(t) = t {
-                reserved[*t as usize].add(needs);
+        for (id, target) in (0u32..).zip(targets) {
+            let instance = &fleet.instances[id as usize];
+            let needs = &fleet.jobs[instance.job as usize].needs;
+            if let Some(target) = target {
+                reserved[*target as usize].add(needs);
                 freed[instance.worker as usize].add(needs);
-                cost += fleet.cost_to(c, *t, &LIMITS);
+                cost += fleet.cost_to(id, *target, &LIMITS);
             }
         }
-        let fits = |(m, t): (&Worker, &Resources)| t.fits_in(&m.room);
+        let fits = |(worker, reserved): (&Worker, &Resources)| reserved.fits_in(&worker.room);
         if !fleet.workers.iter().zip(&reserved).all(fits) {
             return None;
         }
         let mut places = [0; 2];
-        for (i, m) in fleet.workers.iter().enumerate() {
-            let mut room = m.room;
+        for (i, worker) in fleet.workers.iter().enumerate() {
+            let mut room = worker.room;
             room.add(&freed[i]);
             room.sub(&reserved[i]);
-            if want.needs.fits_in(&room) {
-                places[m.zone as usize] += 1;
+            if waiting_job.needs.fits_in(&room) {
+                places[worker.zone as usize] += 1;
             }
         }
-        (places.iter().any(|&p| p >= want.tasks)).then_some(cost)
+        (places.iter().any(|&p| p >= waiting_job.tasks)).then_some(cost)
     }
     let mut best = None;
-    go(fleet, want, 0, &mut Vec::new(), &mut best);
+    search(fleet, waiting_job, 0, &mut Vec::new(), &mut best);
     best
 }
 
-/// Small fleets, each seed another: how much more work the planner moves than the best
-/// plan there is, and how often it finds none though there is one.
+/// Compares plans for small random fleets, one per seed, with the optimum: how much more they cost,
+/// and how often the planner finds none although there is one.
 #[test]
-fn plans_are_near_the_best_that_exhaustive_search_finds() {
+fn plans_are_close_to_the_optimum_of_an_exhaustive_search() {
     let mut ratios = Vec::new();
     let mut missed = 0;
     for seed in 0..2000 {
         let mut rng = StdRng::seed_from_u64(seed);
         let workers = rng.random_range(3..=5);
-        let mut site = Site(Fleet {
+        let mut fleet = TestFleet(Fleet {
             workers: (0..workers).map(|m| worker(m % 2, 4)).collect(),
-            works: (1..=3).map(work).collect(),
+            jobs: (1..=3).map(job).collect(),
             instances: Vec::new(),
         });
-        for w in &mut site.0.works {
-            w.weight = rng.random_range(1..=3).into();
-            w.image = 1;
-            w.image_gb = 2.0;
+        for job in &mut fleet.0.jobs {
+            job.weight = rng.random_range(1..=3).into();
+            job.image = 1;
+            job.image_gb = 2.0;
         }
         for _ in 0..rng.random_range(2..=6) {
-            let (m, w) = (rng.random_range(0..workers), rng.random_range(0..3));
-            if site.0.works[w]
+            let (m, ix) = (rng.random_range(0..workers), rng.random_range(0..3));
+            if fleet.0.jobs[ix]
                 .needs
-                .fits_in(&site.0.workers[m as usize].room)
+                .fits_in(&fleet.0.workers[m as usize].room)
             {
-                site.put(m, w, rng.random_range(1..30).into());
+                fleet.add_task(m, ix, rng.random_range(1..30).into());
             }
-            site.0.workers[m as usize]
+            fleet.0.workers[m as usize]
                 .images
                 .push(rng.random_range(0..2));
         }
-        let want = want(rng.random_range(1..=2), rng.random_range(3..=4));
-        let best = exhaustive(&site.0, &want);
-        match (free(&site.0, &want, &LIMITS), best) {
+        let waiting_job = waiting_job(rng.random_range(1..=2), rng.random_range(3..=4));
+        let best = exhaustive_search(&fleet.0, &waiting_job);
+        match (free_workers(&fleet.0, &waiting_job, &LIMITS), best) {
             (Ok(plan), Some(best)) => {
                 assert!(
                     plan.cost >= best - 1e-9,
-                    "seed {seed}: better than the best"
+                    "seed {seed}: cheaper than the optimum"
                 );
                 ratios.push(plan.cost / best);
             }
-            (Err(Reason::ComesFree), Some(best)) => assert_eq!(best, 0.0, "seed {seed}"),
+            (Err(PlanError::ComesFree), Some(best)) => assert_eq!(best, 0.0, "seed {seed}"),
             (Err(_), None) => {}
             (Err(_), Some(_)) => missed += 1,
-            (Ok(plan), None) => panic!("seed {seed}: {plan:?} cannot be"),
+            (Ok(plan), None) => panic!("seed {seed}: {plan:?} is not possible"),
         }
     }
     let mean = ratios.iter().sum::<f64>() / ratios.len() as f64;
     let worst = ratios.iter().copied().fold(0.0, f64::max);
     let exact = ratios.iter().filter(|&&r| r < 1.0 + 1e-9).count();
     println!(
-        "{} plans: mean {mean:.3}, worst {worst:.2} of the best; {exact} the best; {missed} missed",
+        "{} plans: cost relative to the optimum: mean {mean:.3}, worst {worst:.2}; \
+         {exact} optimal; {missed} missed",
         ratios.len()
     );
-    assert!(ratios.len() > 100, "the instances are worth something");
+    assert!(ratios.len() > 100, "too few plans to compare");
     assert!(mean < 1.1 && worst < 3.0, "mean {mean}, worst {worst}");
     assert!(missed * 20 < ratios.len(), "{missed} missed");
 }
--- a/src/coordination/migration/prospects.rs
+++ b/src/coordination/migration/estimates.rs
@@ -1,53 +1,60 @@
-//! What a stop of a task instance would cost, and whether it may be migrated now.
+//! Estimates what stopping a task instance would lose, and decides whether it may be migrated now.
 
 use crate::coordination::gangs::grace_to_save;
 use crate::coordination::model::*;
 use crate::coordination::state::{Core, SETTLED_S};
 use crate::protocol::worker::TaskPhase;
 
-/// From an order to stop to the proof that it was carried out, beside the time to save: a heartbeat,
-/// and a message that is sent again.
-const PROOF_S: f64 = 4.0;
-/// Of a heartbeat interval: the longest time between two heartbeats that are on time.
+/// The time from an order to stop until the leader has proof that the instance is gone, in addition
+/// to the grace period and the wait for a heartbeat. It covers one message that is sent again.
+const STOP_CONFIRMATION_S: f64 = 4.0;
+/// The longest time between two heartbeats that are in time, in heartbeat intervals.
 const HEARTBEAT_JITTER: f64 = 1.25;
-/// Of the expected work: what is left at least of a task that runs for longer than expected.
+/// The share of its expected runtime that a task is assumed to have left at least, even if it has
+/// already run for longer than expected.
 const MIN_LEFT_SHARE: f64 = 0.1;
-/// A job of less patience has an objective for its start, which only counts once it has run a while.
+/// A job with less patience than this has an objective for its start. The objective counts as met
+/// only once the job has run for a while, so until then its tasks are not migrated.
 const OBJECTIVE_PATIENCE_S: f64 = 120.0;
 
-/// What is expected of a task instance.
-pub(super) struct Prospects {
-    /// In how many seconds it ends by itself.
+/// What is expected of a task instance if it runs on, and if it is stopped.
+pub(super) struct InstanceEstimate {
+    /// The number of seconds until it ends by itself; infinite for a service.
     pub(super) ends_in_s: f64,
-    /// How many seconds of its work a stop would lose.
+    /// The number of seconds of its work that a stop would lose.
     pub(super) lost_s: f64,
 }
 
 impl Core {
-    pub(super) fn prospects(&self, id: &InstanceId, instance: &TaskInstance) -> Prospects {
+    pub(super) fn estimate_instance(
+        &self,
+        id: &InstanceId,
+        instance: &TaskInstance,
+    ) -> InstanceEstimate {
         let job = &self.jobs[id.job];
         if instance.stop.is_some() {
-            return Prospects {
+            return InstanceEstimate {
                 ends_in_s: 0.0,
                 lost_s: 0.0,
             };
         }
         if job.is_service() {
-            return Prospects {
+            return InstanceEstimate {
                 ends_in_s: f64::INFINITY,
                 lost_s: 0.0,
             };
         }
         let ran_s = instance.running_since.map_or(0.0, |since| self.now - since);
         let saves = job.spec.checkpoint_s > 0.0;
-        Prospects {
+        InstanceEstimate {
             ends_in_s: (job.work_s() - ran_s).max(job.work_s() * MIN_LEFT_SHARE),
             lost_s: if saves { job.spec.save_s } else { ran_s },
         }
     }
 
-    /// Whether an instance may be migrated now. On a draining worker it need not have run for a
-    /// while; everything else holds there too.
+    /// Whether an instance may be migrated now. On a draining worker, a service or a job with an
+    /// objective for its start may be migrated before it has run for a while; all other conditions
+    /// hold there too.
     pub(super) fn may_migrate(
         &self,
         id: &InstanceId,
@@ -65,7 +72,7 @@
         job.movable
             && job.state == JobState::Live
             && !job.blocked
-            // A waiting task of the job would take the target before this one comes there.
+            // A waiting task of the same job would take the room reserved on the target.
             && job.waiting() == 0
             && instance.phase == Some(TaskPhase::Running)
             && instance.sent == Sent::Seen
@@ -76,14 +83,14 @@
             && migrated_at.is_none_or(|time| self.now - time > settings.again_after_s)
     }
 
-    /// From the order to stop a task of a job until it is surely gone.
-    pub(super) fn stop_s(&self, ix: u32) -> f64 {
+    /// The longest expected time from the order to stop a task of a job until it is certainly gone.
+    pub(super) fn max_stop_s(&self, ix: u32) -> f64 {
         let workers = &self.config.cluster.workers;
         let grace_s = if self.is_whole_gang(ix) {
             grace_to_save(self.jobs[ix].spec.save_s) + workers.gang_peer_s
         } else {
             self.grace_of(ix)
         };
-        grace_s + workers.heartbeat_interval_s * HEARTBEAT_JITTER + PROOF_S
+        grace_s + workers.heartbeat_interval_s * HEARTBEAT_JITTER + STOP_CONFIRMATION_S
     }
 }
--- a/src/coordination/migration/mod.rs
+++ b/src/coordination/migration/mod.rs
@@ -1,20 +1,22 @@
-//! Task migrations, so that whole workers come free or a worker drains.
+//! Migrations of tasks, which free whole workers for waiting jobs and empty draining workers.
 //!
-//! `copperfield_defrag` plans; this module carries out. A migration reserves room on its target,
-//! stops the task with its grace period, and waits until the old instance is surely gone. Then the
-//! task waits like any other, and the reservation brings it to its target with a new attempt. So a
-//! migration adds no way for a task to start: whatever fails, the checks of `start_conditions` hold.
-//! Nothing of a migration is stored: a new leader finds the task where it is, saving, or nowhere,
-//! and goes on from there.
+//! `copperfield_defrag` makes the plans, and this module executes them. A migration reserves room
+//! on its target, stops the task with its grace period, and waits until the old instance is
+//! certainly gone. The task then waits like any other, and the reservation makes it start on its
+//! target as a new attempt. So a migrated task starts in the same way as every other task, and the
+//! checks of `start_conditions` also hold if a migration fails.
 //!
-//! `planner` describes the cluster to the planner, `prospects` says what may be migrated and what a
-//! stop would lose, `start` starts the migrations of a plan, `progress` follows and ends them, and
-//! `state` is what the leader keeps of them.
+//! Migrations are not stored. A new leader sees the task on its old worker, being stopped, or
+//! waiting, and schedules it from that state.
+//!
+//! `planner` builds the planner's input, `estimates` says which tasks may be migrated and what
+//! stopping them would lose, `start` starts the migrations of a plan, `progress` follows and ends
+//! them, and `state` holds what the leader keeps of them.
 
+mod estimates;
 mod obstacle;
 mod planner;
 mod progress;
-mod prospects;
 mod start;
 mod state;
 
@@ -26,25 +28,25 @@
 use super::state::Core;
 
 use obstacle::Obstacle;
-use planner::{ClusterView, Missing};
+use planner::{ClusterView, MissingPlaces};
 use state::PlanStatus;
 pub(super) use state::{Migrations, TaskMigration};
 
-/// What ends by itself within so many seconds is not migrated.
-const SOON_S: f64 = 5.0;
-/// How long a migration takes beside saving and fetching.
-const MOVE_S: f64 = 1.0;
-/// From the proof that the old instance is gone until the task is seen on its target, beside the
-/// fetch.
-const ARRIVAL_S: f64 = 10.0;
-/// Jobs that are planned for in one second.
+/// A task that is expected to end by itself within this many seconds is not migrated.
+const ENDS_SOON_S: f64 = 5.0;
+/// How long a migration takes in addition to saving and fetching.
+const MIGRATION_OVERHEAD_S: f64 = 1.0;
+/// The time allowed from the proof that the old instance is gone until the task is seen on its
+/// target, in addition to the fetch.
+const START_ALLOWANCE_S: f64 = 10.0;
+/// Maximum number of jobs for which migrations are planned in one second.
 const MAX_PLANS_PER_SECOND: usize = 3;
-/// A job that waits for no longer is not planned for.
+/// Migrations are planned only for jobs that have waited for longer than this.
 const MIN_WAIT_S: f64 = 1.0;
 
 impl Core {
-    /// Once a second: migrates what may migrate off the workers that the most important whole-worker
-    /// jobs wait for.
+    /// Once a second: frees whole workers by migrations, for the jobs of the highest weight that
+    /// wait for them.
     pub(super) fn free_whole_workers(&mut self) {
         let waiting_jobs = self.jobs_waiting_for_whole_workers();
         let ids: Vec<JobId> = waiting_jobs
@@ -52,15 +54,15 @@
             .map(|&ix| self.jobs[ix].spec.id)
             .collect();
         self.migrations.retain_waiting(&ids);
-        let mut planned = 0;
+        let mut planned_jobs = 0;
         for (ix, id) in waiting_jobs.into_iter().zip(ids) {
-            if planned == MAX_PLANS_PER_SECOND {
+            if planned_jobs == MAX_PLANS_PER_SECOND {
                 break;
             }
             let status = match self.migrations.check_backoff(id, self.now) {
                 Err(obstacle) => PlanStatus::Blocked(obstacle),
                 Ok(()) => {
-                    planned += 1;
+                    planned_jobs += 1;
                     self.plan_status_for(ix, id)
                 }
             };
@@ -69,16 +71,16 @@
     }
 
     fn plan_status_for(&mut self, ix: u32, id: JobId) -> PlanStatus {
-        match self.migrate_for(ix) {
+        match self.plan_and_migrate(ix) {
             Ok(count) => PlanStatus::Migrating(count),
             Err(obstacle) => {
-                tracing::debug!(job = %id, reason = obstacle.to_string(), "nothing moves");
+                tracing::debug!(job = %id, reason = obstacle.to_string(), "no migration planned");
                 PlanStatus::Blocked(obstacle)
             }
         }
     }
 
-    /// The jobs that wait for whole workers, the most important first.
+    /// The jobs that wait for whole workers, the highest weight first.
     fn jobs_waiting_for_whole_workers(&self) -> Vec<u32> {
         let mut waiting: Vec<(f64, u32)> = self
             .jobs
@@ -98,91 +100,97 @@
         waiting.into_iter().map(|(_, ix)| ix).collect()
     }
 
-    /// Plans and starts the migrations for one job. Returns how many there are now.
-    fn migrate_for(&mut self, ix: u32) -> Result<usize, Obstacle> {
+    /// Plans and starts the migrations for one job. Returns how many are under way for it.
+    fn plan_and_migrate(&mut self, ix: u32) -> Result<usize, Obstacle> {
         let job = &self.jobs[ix];
         let id = job.spec.id;
-        let whole = self.is_whole_gang(ix);
-        let certain = self.certain_reservations(ix);
+        let whole_gang = self.is_whole_gang(ix);
+        let secured = self.secured_workers(ix);
         let startable = job.waiting().min(self.canaries(ix));
-        let tasks = startable.saturating_sub(certain.len() as u32);
+        let tasks = startable.saturating_sub(secured.len() as u32);
         if tasks == 0 {
             return match self.migrations.live_for(id) {
                 0 => Err(Obstacle::RoomReserved),
                 count => Ok(count),
             };
         }
-        if whole && job.active > 0 {
+        if whole_gang && job.active > 0 {
             return Err(Obstacle::AttemptNotEnded);
         }
         if !self.team_allows(job.team, &job.spec.needs) {
             return Err(Obstacle::TeamAtLimit);
         }
         let comes_free_in_s = self.comes_free_in_s(ix, tasks as usize);
-        if comes_free_in_s <= SOON_S {
+        if comes_free_in_s <= ENDS_SOON_S {
             return Err(Obstacle::RoomComesFree);
         }
-        let missing = Missing {
+        let missing = MissingPlaces {
             tasks,
-            certain: &certain,
-            whole,
+            secured: &secured,
+            whole_gang,
             comes_free_in_s,
         };
-        let want = self.want(ix, &missing).ok_or(Obstacle::NoWorkerSuits)?;
+        let waiting_job = self
+            .waiting_job_for_planner(ix, &missing)
+            .ok_or(Obstacle::NoSuitableType)?;
         let limits = self.plan_limits();
-        if limits.moves == 0 {
+        if limits.max_migrations == 0 {
             return Err(Obstacle::TooManyMigrations);
         }
-        let view = self.cluster_view(Some(ix), &certain);
-        let plan = defrag::free(&view.fleet, &want, &limits)?;
-        if plan.moves.is_empty() {
+        let view = self.cluster_view(Some(ix), &secured);
+        let plan = defrag::free_workers(&view.fleet, &waiting_job, &limits)?;
+        if plan.migrations.is_empty() {
             return Err(Obstacle::RoomComesFree);
         }
-        self.carry_out(ix, &plan, &view, &certain)?;
+        self.execute_plan(ix, &plan, &view, &secured)?;
         Ok(self.migrations.live_for(id))
     }
 
     /// Reserves the workers that a plan frees, and starts its migrations.
-    fn carry_out(
+    fn execute_plan(
         &mut self,
         ix: u32,
         plan: &defrag::Plan,
         view: &ClusterView,
-        certain: &[u32],
+        secured: &[u32],
     ) -> Result<(), Obstacle> {
         let id = self.jobs[ix].spec.id;
         tracing::info!(
             job = %id,
-            workers = plan.frees.len(),
-            moves = plan.moves.len(),
+            workers = plan.freed_workers.len(),
+            moves = plan.migrations.len(),
             lost_s = plan.lost_s,
             cost = plan.cost,
             "defragmentation plan accepted"
         );
-        let moves = plan.moves.iter();
-        let longest_stop_s = moves
-            .map(|planned| self.stop_s(view.instances[planned.instance as usize].job))
-            .fold(SOON_S, f64::max);
-        // The job waits for no other workers any more.
+        let planned_migrations = plan.migrations.iter();
+        let longest_stop_s = planned_migrations
+            .map(|planned| self.max_stop_s(view.instances[planned.instance as usize].job))
+            .fold(ENDS_SOON_S, f64::max);
+        // The plan replaces the other reservations of the job.
         for m in self.workers.indices() {
-            if !certain.contains(&m) {
+            if !secured.contains(&m) {
                 let reservations = &mut self.workers[m].reservations;
                 reservations.retain(|reservation| reservation.job != ix);
             }
         }
-        let places = || plan.frees.iter().chain(&plan.free_already);
+        let places = || plan.freed_workers.iter().chain(&plan.already_free);
         for &at in places() {
-            self.reserve(view.workers[at as usize], ix, longest_stop_s + ARRIVAL_S);
+            self.reserve(
+                view.workers[at as usize],
+                ix,
+                longest_stop_s + START_ALLOWANCE_S,
+            );
         }
-        self.start_migrations(view, &plan.moves, Some(id))?;
+        self.start_migrations(view, &plan.migrations, Some(id))?;
         for &at in places() {
             self.preempt_lower_priority(view.workers[at as usize], ix);
         }
         Ok(())
     }
 
-    /// Stops tasks of lower priority on a worker, as far as the job needs their room beside what
-    /// leaves anyway.
+    /// Preempts tasks of lower priority on a worker until the job has room there, counting the room
+    /// of tasks that are being stopped or end soon.
     fn preempt_lower_priority(&mut self, m: u32, ix: u32) {
         let needs = self.jobs[ix].spec.needs;
         let priority = self.jobs[ix].spec.priority;
@@ -191,11 +199,11 @@
         let instances = self.workers[m].instances.iter();
         for (id, instance) in instances.filter(|(_, instance)| instance.possible()) {
             let spec = &self.jobs[id.job].spec;
-            let prospects = self.prospects(id, instance);
-            if instance.stop.is_some() || prospects.ends_in_s <= SOON_S {
+            let estimate = self.estimate_instance(id, instance);
+            if instance.stop.is_some() || estimate.ends_in_s <= ENDS_SOON_S {
                 room.add(&spec.needs);
             } else if spec.priority < priority && !self.is_whole_gang(id.job) {
-                let cost = self.weight(id.job) * (prospects.lost_s + MOVE_S);
+                let cost = self.weight(id.job) * (estimate.lost_s + MIGRATION_OVERHEAD_S);
                 victims.push((cost, *id));
             }
         }
@@ -209,29 +217,29 @@
         }
     }
 
-    /// Migrates off a draining worker what may migrate and finds a place.
+    /// Migrates tasks off a draining worker, as far as they may be migrated and have a target.
     pub(super) fn migrate_off_draining_worker(&mut self, m: u32) {
         let limits = self.plan_limits();
-        if limits.moves == 0 || self.workers[m].instances.is_empty() {
+        if limits.max_migrations == 0 || self.workers[m].instances.is_empty() {
             return;
         }
         let view = self.cluster_view(None, &[]);
         let Some(at) = view.workers.iter().position(|&other| other == m) else {
             return;
         };
-        let moves = defrag::empty(&view.fleet, at as u32, &limits);
-        // If a target has no room, the next second tries again.
-        let _ = self.start_migrations(&view, &moves, None);
+        let planned_migrations = defrag::drain_worker(&view.fleet, at as u32, &limits);
+        // If a target has no room, nothing is started, and the drain plans again a second later.
+        let _ = self.start_migrations(&view, &planned_migrations, None);
     }
 
-    /// How many tasks migrate off a worker and are still there.
+    /// The number of tasks that are migrating off a worker and have not left it yet.
     pub(super) fn leaving_tasks(&self, name: &str) -> u32 {
         let live = self.migrations.live();
         live.filter(|migration| !migration.has_left_source() && migration.from == name)
             .count() as u32
     }
 
-    /// Migrations that have ended under this leader, however they did.
+    /// The number of migrations that have ended under this leader, with any outcome.
     pub fn finished_migrations(&self) -> usize {
         self.migrations.finished()
     }
--- a/src/coordination/migration/obstacle.rs
+++ b/src/coordination/migration/obstacle.rs
@@ -3,27 +3,32 @@
 use copperfield_defrag as defrag;
 use thiserror::Error;
 
-/// Why nothing is migrated for a job. Operators read the texts.
+/// Why no task is migrated for a job.
+///
+/// The texts are part of the operators' view of migrations, which shows them next to the job. They
+/// call a migration a move and a worker a node, as that view does.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub(super) enum Obstacle {
-    #[error("moves for it came to nothing too often")]
+    #[error(
+        "no more moves are tried for this job: too often, tasks did not leave their nodes in time"
+    )]
     TooManyFailures,
-    #[error("moves for it came to nothing; they are tried again later")]
+    #[error("moves for this job are tried again later: tasks did not leave their nodes in time")]
     BackingOff,
-    #[error("room for it is claimed and comes free")]
+    #[error("no move is needed: the nodes reserved for this job have room or come free soon")]
     RoomReserved,
-    #[error("tasks of its last attempt have not ended yet")]
+    #[error("cannot place this job: tasks of its last attempt have not ended yet")]
     AttemptNotEnded,
-    #[error("its team has reached its limit")]
+    #[error("cannot start more tasks of this job: its team has reached its limit")]
     TeamAtLimit,
-    #[error("room for it comes free by itself")]
+    #[error("no move is needed: room for this job comes free by itself")]
     RoomComesFree,
-    #[error("no machine suits it")]
-    NoWorkerSuits,
-    #[error("as many moves are under way as may be")]
+    #[error("no known machine type can run a task of this job")]
+    NoSuitableType,
+    #[error("cannot start moves for this job: the limit of moves under way is reached")]
     TooManyMigrations,
-    #[error("room at a target is gone again")]
-    TargetRoomGone,
+    #[error("cannot start the planned moves: a target node has no room any more")]
+    NoRoomOnTarget,
     #[error(transparent)]
-    NoPlan(#[from] defrag::Reason),
+    NoPlan(#[from] defrag::PlanError),
 }
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -1,4 +1,4 @@
-//! The cluster as `copperfield_defrag` sees it, and what a waiting job wants of it.
+//! Builds the input of `copperfield_defrag`: the cluster, and the job that waits for workers.
 
 use std::collections::BTreeMap;
 
@@ -8,34 +8,37 @@
 use crate::coordination::state::Core;
 use crate::protocol::cloud::MachineType;
 
-use super::{MOVE_S, SOON_S};
+use super::{ENDS_SOON_S, MIGRATION_OVERHEAD_S};
 
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
-/// The cluster as the planner sees it, and which of its indices belong to whom.
+/// The planner's input, and the workers and instances that its indices stand for.
 #[derive(Default)]
 pub(super) struct ClusterView {
     pub(super) fleet: defrag::Fleet,
+    /// The worker of each index into `fleet.workers`.
     pub(super) workers: Vec<u32>,
+    /// The instance of each index into `fleet.instances`.
     pub(super) instances: Vec<InstanceId>,
 }
 
-/// What a job still lacks.
-pub(super) struct Missing<'a> {
+/// The places that a job still lacks.
+pub(super) struct MissingPlaces<'a> {
     pub(super) tasks: u32,
-    /// Workers that it surely has.
-    pub(super) certain: &'a [u32],
-    /// All tasks must start together.
-    pub(super) whole: bool,
-    /// In how many seconds the places would come free without migrations.
+    /// The workers that are secured for the job, see [`Core::secured_workers`].
+    pub(super) secured: &'a [u32],
+    /// All tasks of the job must start together.
+    pub(super) whole_gang: bool,
+    /// In how many seconds the places are expected to come free without migrations.
     pub(super) comes_free_in_s: f64,
 }
 
 impl Core {
-    /// Workers that are reserved for a job and will surely have room: migrations off them are under
-    /// way, or what is on them ends in a moment. Other reservations only keep new work off a worker
-    /// until the old has ended, and migrations may do better.
-    pub(super) fn certain_reservations(&self, ix: u32) -> Vec<u32> {
+    /// The workers that are reserved for a job and will have room for it: either migrations off
+    /// them are under way for the job, or enough of their tasks end soon. Other reservations only
+    /// keep new tasks off a worker until the current ones end, which may take longer than
+    /// migrations.
+    pub(super) fn secured_workers(&self, ix: u32) -> Vec<u32> {
         let job = &self.jobs[ix];
         let is_being_freed = |m: u32| {
             let mut live = self.migrations.live();
@@ -51,12 +54,13 @@
         workers.retain(is_reserved);
         workers.retain(|&m| {
             let drained_in_s = self.drained_in(&job.spec.needs, m);
-            is_being_freed(m) || drained_in_s.is_some_and(|s| s <= SOON_S)
+            is_being_freed(m) || drained_in_s.is_some_and(|s| s <= ENDS_SOON_S)
         });
         workers
     }
 
-    /// In how many seconds a job would have its places without any migration, by estimates.
+    /// In how many seconds a job is expected to have its places without any migration; infinite if
+    /// that is not foreseen.
     pub(super) fn comes_free_in_s(&self, ix: u32, places: usize) -> f64 {
         let job = &self.jobs[ix];
         let mut by_zone: BTreeMap<u32, Vec<f64>> = BTreeMap::new();
@@ -81,21 +85,25 @@
         last_place.fold(f64::INFINITY, f64::min)
     }
 
-    /// What a job wants of the planner; `None` if no known instance type suits it. A place is worth
-    /// the waiting that it spares.
-    pub(super) fn want(&self, ix: u32, missing: &Missing) -> Option<defrag::Want> {
+    /// The waiting job as input of the planner; `None` if no known instance type suits it. The
+    /// value of a place is that of the waiting time that it saves.
+    pub(super) fn waiting_job_for_planner(
+        &self,
+        ix: u32,
+        missing: &MissingPlaces,
+    ) -> Option<defrag::WaitingJob> {
         let job = &self.jobs[ix];
         let settings = &self.config.tuning.defragmentation;
         let place_price = self.cheapest_place_price(ix)?;
         let mut by_zone = job.by_zone.clone();
         by_zone.resize(self.zones.len(), 0);
-        for &m in missing.certain {
+        for &m in missing.secured {
             by_zone[self.workers[m].zone as usize] += 1;
         }
-        let spared_s = settings.worth_s.min(missing.comes_free_in_s);
-        Some(defrag::Want {
+        let saved_s = settings.worth_s.min(missing.comes_free_in_s);
+        Some(defrag::WaitingJob {
             needs: job.spec.needs,
-            rank: job.spec.priority as u8,
+            priority: job.spec.priority as u8,
             tasks: missing.tasks,
             one_zone: job.spec.one_zone,
             zone_cap: job.zone_cap(),
@@ -103,8 +111,8 @@
             kinds: job.types.clone(),
             zone: job.zone,
             spot: job.spec.spot,
-            whole: missing.whole,
-            worth: self.weight(ix) * place_price * spared_s,
+            whole_gang: missing.whole_gang,
+            place_value: self.weight(ix) * place_price * saved_s,
         })
     }
 
@@ -131,22 +139,22 @@
             .reduce(f64::min)
     }
 
-    /// What a plan may do now.
+    /// The limits of a plan that is made now.
     pub(super) fn plan_limits(&self) -> defrag::Limits {
         let max_migrations = self.config.tuning.defragmentation.max_migrations as usize;
         defrag::Limits {
-            moves: max_migrations.saturating_sub(self.migrations.live().count()),
-            soon_s: SOON_S,
-            move_s: MOVE_S,
+            max_migrations: max_migrations.saturating_sub(self.migrations.live().count()),
+            ends_soon_s: ENDS_SOON_S,
+            migration_overhead_s: MIGRATION_OVERHEAD_S,
         }
     }
 
-    /// The cluster for a plan: for a waiting job and the workers that it surely has, or for a worker
-    /// that drains.
-    pub(super) fn cluster_view(&self, waiting_job: Option<u32>, certain: &[u32]) -> ClusterView {
+    /// The cluster as input of the planner: for a waiting job and the workers secured for it, or,
+    /// if `waiting_job` is `None`, for a draining worker.
+    pub(super) fn cluster_view(&self, waiting_job: Option<u32>, secured: &[u32]) -> ClusterView {
         let mut view = ClusterView::default();
         let migrating = self.migrations.live_by_job();
-        let mut work_of_job: BTreeMap<u32, u32> = BTreeMap::new();
+        let mut planner_job_by_job: BTreeMap<u32, u32> = BTreeMap::new();
         let mut avoided_by_job: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
         for (m, worker) in self.workers.iter() {
             let Some(kind) = self.types.get(worker.kind) else {
@@ -154,56 +162,56 @@
             };
             let at = view.workers.len() as u32;
             view.workers.push(m);
-            let planned = self.planned_worker(m, kind, waiting_job, certain);
-            view.fleet.workers.push(planned);
+            let planner_worker = self.worker_for_planner(m, kind, waiting_job, secured);
+            view.fleet.workers.push(planner_worker);
             let failed = worker.failed.iter();
             for (&ix, _) in failed.filter(|(_, until)| **until > self.now) {
                 avoided_by_job.entry(ix).or_default().push(at);
             }
             let instances = worker.instances.iter();
             for (id, instance) in instances.filter(|(_, instance)| instance.possible()) {
-                let work = *work_of_job.entry(id.job).or_insert_with(|| {
+                let job = *planner_job_by_job.entry(id.job).or_insert_with(|| {
                     let migrating = migrating.get(&self.jobs[id.job].spec.id).copied();
-                    let work = self.planned_work(id.job, migrating.unwrap_or(0));
-                    view.fleet.works.push(work);
-                    view.fleet.works.len() as u32 - 1
+                    let job = self.job_for_planner(id.job, migrating.unwrap_or(0));
+                    view.fleet.jobs.push(job);
+                    view.fleet.jobs.len() as u32 - 1
                 });
-                let prospects = self.prospects(id, instance);
-                let lost_s = prospects.lost_s;
+                let estimate = self.estimate_instance(id, instance);
+                let lost_s = estimate.lost_s;
                 view.fleet.instances.push(defrag::TaskInstance {
                     worker: at,
-                    work,
+                    job,
                     movable: self.may_migrate(id, instance, lost_s, worker.draining),
-                    ends_in_s: prospects.ends_in_s,
+                    ends_in_s: estimate.ends_in_s,
                     lost_s,
                 });
                 view.instances.push(*id);
             }
         }
         for (ix, workers) in avoided_by_job {
-            if let Some(&work) = work_of_job.get(&ix) {
-                view.fleet.works[work as usize].avoid = workers;
+            if let Some(&job) = planner_job_by_job.get(&ix) {
+                view.fleet.jobs[job as usize].avoided_workers = workers;
             }
         }
         view
     }
 
-    fn planned_worker(
+    fn worker_for_planner(
         &self,
         m: u32,
         kind: &MachineType,
         waiting_job: Option<u32>,
-        certain: &[u32],
+        secured: &[u32],
     ) -> defrag::Worker {
         let worker = &self.workers[m];
         let large_task_profile = waiting_job.and_then(|ix| self.jobs[ix].large_task_profile);
         let usable = self.worker_usable(m);
         let reserved_for = worker.reserved_for;
         let reserved_for_job = reserved_for.is_some() && reserved_for == large_task_profile;
-        let is_uncertain = |reservation: &Reservation| {
-            Some(reservation.job) == waiting_job && !certain.contains(&m)
+        let is_unsecured = |reservation: &Reservation| {
+            Some(reservation.job) == waiting_job && !secured.contains(&m)
         };
-        let available = worker.reservations.iter().all(is_uncertain);
+        let available = worker.reservations.iter().all(is_unsecured);
         let price = if worker.spot {
             kind.spot_price
         } else {
@@ -213,9 +221,9 @@
             zone: worker.zone,
             kind: worker.kind,
             spot: worker.spot,
-            receives: usable,
-            frees: usable && available && (reserved_for_job || reserved_for.is_none()),
-            whole: kind.whole,
+            usable,
+            freeable: usable && available && (reserved_for_job || reserved_for.is_none()),
+            capacity: kind.whole,
             room: match waiting_job.filter(|_| available) {
                 Some(ix) => self.room_after_reservations(m, ix),
                 None => self.room_after_reservations(m, u32::MAX),
@@ -223,26 +231,26 @@
             price: price / SECONDS_PER_HOUR,
             fetch_gb_per_s: kind.fetch_gb_per_s,
             images: worker.images.clone(),
-            yields: self.preemptible(m, kind, price / SECONDS_PER_HOUR),
+            preemptible: self.preemptible(m, kind, price / SECONDS_PER_HOUR),
         }
     }
 
-    /// What on a worker may be preempted, and at what cost: what its stop loses, in the money that
-    /// migrations cost.
-    fn preemptible(&self, m: u32, kind: &MachineType, price: f64) -> Vec<defrag::Yield> {
+    /// The tasks on a worker that may be preempted, the cheapest first. The cost is the value of
+    /// the work that a stop loses, in the same money as the cost of migrations.
+    fn preemptible(&self, m: u32, kind: &MachineType, price: f64) -> Vec<defrag::Preemptible> {
         let instances = self.workers[m].instances.iter();
         let stoppable = instances.filter(|(id, instance)| {
             instance.possible() && instance.stop.is_none() && !self.is_whole_gang(id.job)
         });
-        let mut preemptible: Vec<defrag::Yield> = stoppable
+        let mut preemptible: Vec<defrag::Preemptible> = stoppable
             .map(|(id, instance)| {
                 let spec = &self.jobs[id.job].spec;
-                let lost_s = self.prospects(id, instance).lost_s;
+                let lost_s = self.estimate_instance(id, instance).lost_s;
                 let share = spec.needs.share_of(&kind.whole);
-                defrag::Yield {
-                    rank: spec.priority as u8,
+                defrag::Preemptible {
+                    priority: spec.priority as u8,
                     needs: spec.needs,
-                    cost: self.weight(id.job) * price * share * (lost_s + MOVE_S),
+                    cost: self.weight(id.job) * price * share * (lost_s + MIGRATION_OVERHEAD_S),
                 }
             })
             .collect();
@@ -250,18 +258,18 @@
         preemptible
     }
 
-    fn planned_work(&self, ix: u32, migrating: u32) -> defrag::Work {
+    fn job_for_planner(&self, ix: u32, migrating: u32) -> defrag::Job {
         let job = &self.jobs[ix];
         let away_share = self.config.tuning.defragmentation.away_share;
         let gang = self.is_whole_gang(ix);
-        let max_away = if gang {
+        let max_migrating = if gang {
             job.spec.tasks
         } else {
             (f64::from(job.active) * away_share).floor().max(1.0) as u32
         };
-        defrag::Work {
+        defrag::Job {
             needs: job.spec.needs,
-            rank: job.spec.priority as u8,
+            priority: job.spec.priority as u8,
             weight: self.weight(ix),
             kinds: job.types.clone(),
             zone: job.zone,
@@ -272,8 +280,8 @@
             image: job.image,
             image_gb: job.spec.image_gb,
             gang,
-            may_leave: max_away.saturating_sub(migrating),
-            avoid: Vec::new(),
+            migration_budget: max_migrating.saturating_sub(migrating),
+            avoided_workers: Vec::new(),
         }
     }
 }
--- a/src/coordination/migration/progress.rs
+++ b/src/coordination/migration/progress.rs
@@ -1,4 +1,4 @@
-//! The progress of migrations, and what is done when they end.
+//! Advances migrations, and cleans up when they end.
 
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
@@ -6,7 +6,7 @@
 use super::state::{MigrationOutcome, Stage, TaskMigration};
 
 impl Core {
-    /// Once a second: advances all migrations, and ends those that are over.
+    /// Once a second: advances all migrations, and removes those that have ended.
     pub(in crate::coordination) fn advance_migrations(&mut self) {
         let mut live = std::mem::take(&mut self.migrations.live);
         let mut failed_for = Vec::new();
@@ -47,7 +47,8 @@
         self.migrations.record_outcome(migration.clone(), outcome);
     }
 
-    /// Takes a migration to its next stage if it is there. Returns how it ended, if it has.
+    /// Advances a migration to its next stage once the old instance is gone. Returns the outcome if
+    /// the migration has ended.
     fn advance_migration(&self, migration: &mut TaskMigration) -> Option<MigrationOutcome> {
         let id = migration.instance;
         let job = self.jobs.get(id.job);
@@ -67,7 +68,7 @@
         }
         if migration.stage == Stage::Stopping {
             migration.stage = Stage::Starting;
-            migration.deadline = self.now + migration.start_s;
+            migration.deadline = self.now + migration.max_start_s;
         }
         let same_task = |other: &InstanceId| other.job == id.job && other.task == id.task;
         if let Some(instance) = self.possible_instance_on(&migration.to, same_task) {
@@ -94,7 +95,7 @@
             .map(|(_, instance)| instance)
     }
 
-    /// Releases the room that was held for a task that does not come.
+    /// Releases the room that is held on the target of a migration that did not succeed.
     fn release_target(&mut self, migration: &TaskMigration) {
         if let Some(target) = self.workers.index_of(&migration.to) {
             self.release_hold(target, migration.instance.job);
--- a/src/coordination/migration/start.rs
+++ b/src/coordination/migration/start.rs
@@ -1,4 +1,4 @@
-//! The start of migrations: room is held on the targets, then the tasks are stopped.
+//! Starts migrations: reserves room on the targets, then stops the tasks.
 
 use copperfield_defrag as defrag;
 
@@ -6,30 +6,31 @@
 use crate::coordination::state::Core;
 use crate::protocol::JobId;
 
-use super::ARRIVAL_S;
+use super::START_ALLOWANCE_S;
 use super::obstacle::Obstacle;
 use super::planner::ClusterView;
 use super::state::{Stage, TaskMigration};
 
-/// Of the time that a fetch should take: how long it may take.
+/// How long a fetch may take, relative to its expected time.
 const FETCH_MARGIN: f64 = 1.5;
 
 impl Core {
-    /// Holds room on all targets, where tasks of lower priority are preempted if need be, and then
-    /// stops the tasks with their grace period; does nothing if a target turns out to have no room.
+    /// Reserves room on all targets, with preemption of tasks of lower priority if needed, and then
+    /// stops the tasks with their grace period. Starts nothing if a target has no room any more.
     pub(super) fn start_migrations(
         &mut self,
         view: &ClusterView,
-        moves: &[defrag::Move],
+        planned_migrations: &[defrag::Migration],
         wanted_by: Option<JobId>,
     ) -> Result<(), Obstacle> {
-        let victims = self.hold_targets(view, moves, wanted_by)?;
-        // The same instance may be preempted for two migrations: one stop does for both.
+        let victims = self.hold_targets(view, planned_migrations, wanted_by)?;
+        // An instance may be listed twice, preempted for two migrations. Stopping it again has no
+        // effect.
         for (m, id) in victims {
             self.stop_in_order(m, id);
         }
         let mut leaving = Vec::new();
-        for planned in moves {
+        for planned in planned_migrations {
             leaving.push(self.start_migration(view, planned, wanted_by));
         }
         for (m, id) in leaving {
@@ -38,22 +39,23 @@
         Ok(())
     }
 
-    /// Holds room on all targets or on none. Returns what must stop there.
+    /// Reserves room on all targets or on none. Returns the instances to preempt there, with their
+    /// workers.
     fn hold_targets(
         &mut self,
         view: &ClusterView,
-        moves: &[defrag::Move],
+        planned_migrations: &[defrag::Migration],
         wanted_by: Option<JobId>,
     ) -> Result<Vec<(u32, InstanceId)>, Obstacle> {
         let waiting_job = wanted_by.and_then(|id| self.jobs.index_of(id));
         let large_task_profile = waiting_job.and_then(|ix| self.jobs[ix].large_task_profile);
         let mut stops = Vec::new();
         let mut held: Vec<(u32, u32)> = Vec::new();
-        for planned in moves {
+        for planned in planned_migrations {
             let ix = view.instances[planned.instance as usize].job;
             let target = view.workers[planned.to as usize];
-            // One of the workers kept whole for the job is used for the others: where all free room
-            // is kept, and no worker of it is free, nothing else helps.
+            // A target may be a worker that is kept free for tasks of the waiting job's profile. It
+            // is used all the same: if all free room is on such workers, there is no other target.
             let reserved_for = self.workers[target].reserved_for;
             if large_task_profile.is_some() && reserved_for == large_task_profile {
                 self.workers[target].reserved_for = None;
@@ -62,22 +64,22 @@
                 for (m, ix) in held {
                     self.release_hold(m, ix);
                 }
-                return Err(Obstacle::TargetRoomGone);
+                return Err(Obstacle::NoRoomOnTarget);
             };
-            let stop_s = self.stop_s(ix) + self.grace_for(&preemption.victims);
-            let start_s = self.start_s(ix, target);
-            self.hold(target, ix, stop_s + start_s);
+            let max_stop_s = self.max_stop_s(ix) + self.grace_for(&preemption.victims);
+            let max_start_s = self.max_start_s(ix, target);
+            self.hold(target, ix, max_stop_s + max_start_s);
             held.push((target, ix));
             stops.extend(preemption.victims.into_iter().map(|id| (target, id)));
         }
         Ok(stops)
     }
 
-    /// Records a migration. Returns the instance that is to stop, and its worker.
+    /// Records a migration. Returns the instance to stop, and its worker.
     fn start_migration(
         &mut self,
         view: &ClusterView,
-        planned: &defrag::Move,
+        planned: &defrag::Migration,
         wanted_by: Option<JobId>,
     ) -> (u32, InstanceId) {
         let id = view.instances[planned.instance as usize];
@@ -92,8 +94,8 @@
             wanted_by,
             started_at: self.now,
             stage: Stage::Stopping,
-            deadline: self.now + self.stop_s(id.job),
-            start_s: self.start_s(id.job, target),
+            deadline: self.now + self.max_stop_s(id.job),
+            max_start_s: self.max_start_s(id.job, target),
         };
         tracing::info!(
             job = %migration.job_id,
@@ -106,12 +108,12 @@
         (source, id)
     }
 
-    /// How long a task may take until it runs on its target.
-    fn start_s(&self, ix: u32, target: u32) -> f64 {
-        self.fetch_s(ix, target) * FETCH_MARGIN + ARRIVAL_S
+    /// How long a task may take to run on its target once the old instance is gone.
+    fn max_start_s(&self, ix: u32, target: u32) -> f64 {
+        self.fetch_s(ix, target) * FETCH_MARGIN + START_ALLOWANCE_S
     }
 
-    /// Reserves room before any task of the job waits.
+    /// Reserves room for a task of a job that is not waiting yet.
     fn hold(&mut self, m: u32, ix: u32, for_s: f64) {
         self.reserve(m, ix, for_s);
         let reservations = self.workers[m].reservations.iter_mut();
--- a/src/coordination/migration/state.rs
+++ b/src/coordination/migration/state.rs
@@ -1,4 +1,4 @@
-//! What the leader keeps of task migrations.
+//! The state that the leader keeps of task migrations.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -8,14 +8,14 @@
 
 use super::obstacle::Obstacle;
 
-/// Finished migrations that operators can look at.
+/// Maximum number of finished migrations in the operators' view.
 const RECENT_LIMIT: usize = 50;
-/// Failed migrations for one job before no more are started for it.
+/// After this many failures for one job, no more migrations are started for it.
 const MAX_FAILURES: u32 = 6;
-/// The first pause after failed migrations; it doubles each time.
+/// The pause after the first failure for a job. It doubles with every further failure.
 const FIRST_PAUSE_S: f64 = 10.0;
 
-/// How far a migration is.
+/// The stage of a migration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
     /// The old instance may still be there.
@@ -31,20 +31,20 @@
     Arrived,
     /// The task started on another worker than its target.
     StartedElsewhere,
-    /// The task ended by itself.
+    /// The task ended by itself during the migration.
     TaskDone,
     /// The job has ended.
     JobOver,
     /// The old instance was not gone in time.
     StillAtSource,
-    /// The task is on its target but does not run in time.
+    /// The task is on its target but did not run in time.
     StillFetching,
     /// The task was placed nowhere in time.
     Unplaced,
 }
 
 impl MigrationOutcome {
-    /// As operators read it.
+    /// The text in the operators' view.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             Self::Arrived => "arrived",
@@ -58,8 +58,8 @@
     }
 }
 
-/// One task on its way to another worker. It holds names, as the indices may belong to others by the
-/// time that it ends.
+/// The migration of one task to another worker. Workers are stored by name, because their indices
+/// may be reused before the migration ends.
 #[derive(Debug, Clone)]
 pub(in crate::coordination) struct TaskMigration {
     pub(super) job_id: JobId,
@@ -67,18 +67,18 @@
     pub(super) instance: InstanceId,
     pub(super) from: String,
     pub(super) to: String,
-    /// The job that waits for the worker; `None`: the worker drains.
+    /// The job that waits for the worker; `None` if the worker is draining.
     pub(super) wanted_by: Option<JobId>,
     pub(super) started_at: Time,
     pub(super) stage: Stage,
-    /// When the current stage should be over.
+    /// When the current stage must be over.
     pub(super) deadline: Time,
-    /// How long the second stage may take.
-    pub(super) start_s: f64,
+    /// How long the stage [`Stage::Starting`] may take.
+    pub(super) max_start_s: f64,
 }
 
 impl TaskMigration {
-    /// The task, as operators name it.
+    /// The task as the operators' view names it.
     pub(in crate::coordination) fn task_name(&self) -> String {
         format!("{}/{}", self.job_id, self.instance.task)
     }
@@ -91,7 +91,7 @@
         &self.to
     }
 
-    /// The job that waits for the worker; `None`: the worker drains.
+    /// The job that waits for the worker; `None` if the worker is draining.
     pub(in crate::coordination) fn wanted_by(&self) -> Option<JobId> {
         self.wanted_by
     }
@@ -100,7 +100,7 @@
         now - self.started_at
     }
 
-    /// How far it is, as operators read it.
+    /// The stage as the operators' view names it.
     pub(in crate::coordination) fn stage_name(&self) -> &'static str {
         match self.stage {
             Stage::Stopping => "stopping",
@@ -113,11 +113,12 @@
     }
 }
 
-/// What is done for a job that waits for whole workers.
+/// The result of the last planning for a job that waits for whole workers.
 #[derive(Debug)]
 pub(super) enum PlanStatus {
-    /// So many migrations are under way for it.
+    /// This many migrations are under way for it.
     Migrating(usize),
+    /// No task is migrated for it.
     Blocked(Obstacle),
 }
 
@@ -130,26 +131,26 @@
     }
 }
 
-/// How often migrations for a job failed, and when they are tried again.
+/// How often migrations for a job have failed, and when they may be tried again.
 #[derive(Debug, Clone, Copy, Default)]
 struct Backoff {
     failures: u32,
     next_at: Time,
 }
 
-/// All migrations, and what is remembered of earlier ones.
+/// The migrations under way, and records of earlier ones.
 #[derive(Debug, Default)]
 pub(in crate::coordination) struct Migrations {
     pub(super) live: Vec<TaskMigration>,
-    /// The last ones that ended, the newest last.
+    /// The last migrations that ended, the newest last.
     recent: VecDeque<(TaskMigration, MigrationOutcome)>,
-    /// How many have ended.
+    /// The number of migrations that have ended.
     finished: usize,
     /// When each task was last migrated.
     migrated_at: BTreeMap<(JobId, u32), Time>,
-    /// Of jobs that wait for whole workers.
+    /// By job that waits for whole workers; only jobs with failed migrations have an entry.
     backoffs: BTreeMap<JobId, Backoff>,
-    /// Of jobs that wait for whole workers.
+    /// By job that waits for whole workers.
     plan_statuses: BTreeMap<JobId, PlanStatus>,
 }
 
@@ -159,7 +160,7 @@
         self.live.iter()
     }
 
-    /// The last migrations that ended, and how, the newest first.
+    /// The last migrations that ended, with their outcomes, the newest first.
     pub(in crate::coordination) fn recent(
         &self,
     ) -> impl Iterator<Item = (&TaskMigration, &'static str)> {
@@ -167,7 +168,8 @@
         recent.map(|(migration, outcome)| (migration, outcome.as_str()))
     }
 
-    /// What is done for each job that waits for whole workers, or why nothing is.
+    /// For each job that waits for whole workers: how many migrations are under way for it, or why
+    /// none is.
     pub(in crate::coordination) fn plan_statuses(&self) -> impl Iterator<Item = (JobId, String)> {
         let statuses = self.plan_statuses.iter();
         statuses.map(|(id, status)| (*id, status.to_string()))
@@ -183,7 +185,7 @@
             .count()
     }
 
-    /// How many tasks of each job are migrating.
+    /// The number of migrating tasks of each job.
     pub(super) fn live_by_job(&self) -> BTreeMap<JobId, u32> {
         let mut counts: BTreeMap<JobId, u32> = BTreeMap::new();
         for migration in &self.live {
@@ -209,7 +211,7 @@
         }
     }
 
-    /// When a task was last migrated.
+    /// When the last migration of a task started.
     pub(super) fn last_migrated_at(&self, job_id: JobId, task: u32) -> Option<Time> {
         self.migrated_at.get(&(job_id, task)).copied()
     }
@@ -219,7 +221,7 @@
             .retain(|_, migrated_at| now - *migrated_at <= max_age_s);
     }
 
-    /// Forgets the jobs that wait no more.
+    /// Drops the records of jobs that no longer wait.
     pub(super) fn retain_waiting(&mut self, waiting: &[JobId]) {
         self.plan_statuses.retain(|id, _| waiting.contains(id));
         self.backoffs.retain(|id, _| waiting.contains(id));
@@ -229,7 +231,7 @@
         self.plan_statuses.insert(job_id, status);
     }
 
-    /// Whether earlier failures forbid migrations for a job now.
+    /// Returns an error if earlier failures forbid migrations for a job now.
     pub(super) fn check_backoff(&self, job_id: JobId, now: Time) -> Result<(), Obstacle> {
         let backoff = self.backoffs.get(&job_id).copied().unwrap_or_default();
         if backoff.failures >= MAX_FAILURES {
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -1,5 +1,8 @@
 //! Task migrations, drains, and faults during both, on the core with simulated workers.
-//! `copperfield_simulation::history` checks every run afterwards.
+//!
+//! Guards against a task that is lost or completed twice because a fault interrupts its migration,
+//! and against reservations that remain after a migration. `copperfield_simulation::history` checks
+//! the history of a run.
 
 use copperfield::protocol::JobId;
 use copperfield::protocol::peer::AdminRequest;
@@ -38,11 +41,10 @@
         "memory_gb": 32.0, "runtime_s": runtime_s, "pull_gb": 0.0, "bundle": "bake"})
 }
 
-/// Four workers, each with a part of its GPUs in use: the workers are filled one after another, and
-/// half of the tasks end soon.
+/// Four workers that each have a part of their GPUs in use.
 struct FragmentedCluster {
     harness: CoreHarness,
-    /// Tasks of one GPU that run on, one job each.
+    /// Jobs of one task with one GPU, which keep running.
     small_jobs: Vec<JobId>,
 }
 
@@ -50,7 +52,8 @@
     ["a-0", "a-1", "b-0", "b-1"]
 }
 
-/// Eight GPUs are free, two on each worker.
+/// Fills the workers one after another with tasks of which every second one ends soon. Afterwards
+/// eight GPUs are free, two on each worker.
 fn fragmented_cluster(extra: Value, tuning: Tuning) -> FragmentedCluster {
     let mut harness =
         CoreHarness::with_tuning(TYPES, cluster_settings(), 50, Snapshot::default(), tuning);
@@ -59,18 +62,18 @@
         harness.add_worker(name, "gpu4", zone, 0.1 + i as f64 * 0.4);
     }
     harness.run(3.0);
-    // Two that end and two that stay on each, in turn, so that what stays is spread.
+    // Long and short tasks alternate, so that each worker gets two of each kind.
     let mut small_jobs = Vec::new();
     for zone in ["a", "b"] {
         for n in 0..2u64 {
             for i in 0..2 {
                 let id = 10 + n * 2 + i + if zone == "b" { 100 } else { 0 };
-                let mut stays = gpu_task(id, extra.clone());
-                stays["region"] = json!(zone);
-                small_jobs.push(harness.submit(&stays));
-                let mut ends = gpu_task(id + 50, json!({"runtime_s": 8.0}));
-                ends["region"] = json!(zone);
-                harness.submit(&ends);
+                let mut long_task = gpu_task(id, extra.clone());
+                long_task["region"] = json!(zone);
+                small_jobs.push(harness.submit(&long_task));
+                let mut short_task = gpu_task(id + 50, json!({"runtime_s": 8.0}));
+                short_task["region"] = json!(zone);
+                harness.submit(&short_task);
             }
             harness.run(0.5);
         }
@@ -83,27 +86,27 @@
 }
 
 impl FragmentedCluster {
-    /// How many of the small tasks each worker holds.
+    /// The number of small tasks on each worker.
     fn tasks_by_worker(&self) -> Vec<usize> {
-        let on = |name: &str| {
+        let count_on = |name: &str| {
             let places = self
                 .small_jobs
                 .iter()
                 .flat_map(|j| self.harness.instances_of(*j));
             places.filter(|(_, m)| *m == name).count()
         };
-        worker_names().map(on).to_vec()
+        worker_names().map(count_on).to_vec()
     }
 
     fn placed_tasks(&self, job: JobId) -> usize {
         self.harness.instances_of(job).len()
     }
 
-    fn problems(&self) -> Vec<String> {
-        let live: Vec<String> = self.small_jobs.iter().map(|j| format!("{j}/0")).collect();
+    fn violations(&self) -> Vec<String> {
+        let expected: Vec<String> = self.small_jobs.iter().map(|j| format!("{j}/0")).collect();
         self.harness
             .history
-            .violations(live.iter().map(String::as_str))
+            .violations(expected.iter().map(String::as_str))
     }
 
     fn moves_view(&mut self) -> Value {
@@ -123,7 +126,7 @@
             }
             self.harness.run(0.05);
         }
-        panic!("nothing migrates: {}", self.moves_view());
+        panic!("no task migrates: {}", self.moves_view());
     }
 }
 
@@ -135,7 +138,7 @@
     cluster.harness.run(15.0);
     assert_eq!(cluster.placed_tasks(job), 1, "{}", cluster.moves_view());
     cluster.harness.run(600.0);
-    assert_eq!(cluster.problems(), [""; 0]);
+    assert_eq!(cluster.violations(), [""; 0]);
     assert!(cluster.harness.history.completed().contains("wk-000001/0"));
 }
 
@@ -149,8 +152,8 @@
     assert_eq!(cluster.placed_tasks(job), 0);
 }
 
-/// The stricter of the job's setting and its class's applies, and a task without checkpoints is
-/// migrated only while it would lose little.
+/// The stricter of the settings of the job and its class applies. A task without checkpoints is
+/// migrated only while it would lose little work.
 #[test]
 fn unmovable_tasks_are_not_migrated() {
     let mut by_class = tuning();
@@ -160,11 +163,11 @@
     };
     by_class.class.insert("small".into(), unmovable);
     let mut protected = tuning();
-    let asked_first = Class {
+    let protected_class = Class {
         movable: None,
         protected: true,
     };
-    protected.class.insert("small".into(), asked_first);
+    protected.class.insert("small".into(), protected_class);
     for (extra, tuning) in [
         (json!({"movable": false}), tuning()),
         (json!({"movable": true}), by_class),
@@ -185,7 +188,10 @@
             "{extra}"
         );
         let reason = cluster.moves_view()["waiting"][0]["reason"].clone();
-        assert_eq!(reason, "work that may not move is in the way", "{extra}");
+        assert_eq!(
+            reason, "cannot free enough nodes for this job: tasks on them may not be moved",
+            "{extra}"
+        );
     }
 }
 
@@ -223,60 +229,67 @@
     assert_eq!(
         (starts_of(0), starts_of(1)),
         (2, 2),
-        "both were moved, once"
+        "both tasks were migrated once"
     );
 }
 
-/// Whatever fails during a migration: the checker finds each task done once, and the room that
-/// migrations had reserved is there for a job that needs all of it.
+/// Injects each fault at several stages of a migration. Afterwards every task must have completed
+/// exactly once, and no room may be reserved any more, so that a job can use all GPUs.
 #[test]
 fn a_fault_during_a_migration_leaves_one_result_and_no_reservation() {
     type Fault = fn(&mut FragmentedCluster, &str, &str);
     let faults: [(&str, Fault); 12] = [
-        ("the target dies", |s, _, to| s.harness.remove_worker(to)),
-        ("the source dies", |s, from, _| {
-            s.harness.remove_worker(from);
+        ("the target crashes", |cluster, _, to| {
+            cluster.harness.remove_worker(to)
         }),
-        ("the target hangs", |s, _, to| {
-            s.harness.unreachable.insert(to.into());
+        ("the source crashes", |cluster, from, _| {
+            cluster.harness.remove_worker(from);
         }),
-        ("the source hangs", |s, from, _| {
-            s.harness.unreachable.insert(from.into());
+        ("the target is unreachable", |cluster, _, to| {
+            cluster.harness.unreachable.insert(to.into());
         }),
-        ("the target drains", |s, _, to| {
+        ("the source is unreachable", |cluster, from, _| {
+            cluster.harness.unreachable.insert(from.into());
+        }),
+        ("the target drains", |cluster, _, to| {
             let node = to.to_string();
-            s.harness.send_admin_request(AdminRequest::Drain {
+            cluster.harness.send_admin_request(AdminRequest::Drain {
                 node,
                 deadline_s: None,
                 yes: false,
             });
         }),
-        ("the source's zone is cut", |s, from, _| {
+        ("the source's zone is unreachable", |cluster, from, _| {
             let zone = &from[..1];
-            let there = worker_names().into_iter().filter(|n| n.starts_with(zone));
-            s.harness.unreachable.extend(there.map(String::from));
+            let in_zone = worker_names().into_iter().filter(|n| n.starts_with(zone));
+            cluster
+                .harness
+                .unreachable
+                .extend(in_zone.map(String::from));
+        }),
+        ("saving the checkpoint fails", |cluster, _, _| {
+            cluster.harness.checkpointing = CheckpointMode::Fails;
         }),
-        ("the save fails", |s, _, _| {
-            s.harness.checkpointing = CheckpointMode::Fails;
+        ("saving the checkpoint is slow", |cluster, _, _| {
+            cluster.harness.checkpointing = CheckpointMode::Slow(30.0);
         }),
-        ("the save is slow", |s, _, _| {
-            s.harness.checkpointing = CheckpointMode::Slow(30.0);
+        ("the leader is killed", |cluster, _, _| {
+            cluster.harness.fail_over()
         }),
-        ("the leader is killed", |s, _, _| s.harness.fail_over()),
-        ("all controllers are killed", |s, _, _| {
-            s.harness.pause(6.0);
-            s.harness.fail_over();
+        ("all controllers are killed", |cluster, _, _| {
+            cluster.harness.pause(6.0);
+            cluster.harness.fail_over();
         }),
-        ("the leader is paused", |s, _, _| {
-            s.harness.pause(20.0);
-            s.harness.core.paused(20.0);
+        ("the leader is paused", |cluster, _, _| {
+            cluster.harness.pause(20.0);
+            cluster.harness.core.paused(20.0);
         }),
-        ("the state service is out", |s, _, _| {
-            s.harness.outage = true;
+        ("the state service is unavailable", |cluster, _, _| {
+            cluster.harness.outage = true;
         }),
     ];
-    for (what, fault) in faults {
-        // At once, while tasks save, when they have left, and when they arrive.
+    for (fault_name, fault) in faults {
+        // At the start, while tasks save checkpoints, when they have left, and when they arrive.
         for after in [0.0, 0.4, 1.3, 2.5, 4.0] {
             let mut cluster = fragmented_cluster(json!({}), tuning());
             let job = cluster.harness.submit(&whole_worker_job(1, 20.0));
@@ -302,8 +315,8 @@
                     .send_admin_request(AdminRequest::Undrain { node: node.into() });
             }
             cluster.harness.run(1200.0);
-            let case = format!("{what}, {after} s on");
-            assert_eq!(cluster.problems(), [""; 0], "{case}");
+            let case = format!("{fault_name}, after {after} s");
+            assert_eq!(cluster.violations(), [""; 0], "{case}");
             assert!(
                 cluster
                     .harness
@@ -313,21 +326,25 @@
                 "{case}"
             );
             assert_eq!(cluster.moves_view()["live"], json!([]), "{case}");
-            // Nothing is reserved: every GPU that is left can be had at once.
-            let left = worker_names().len() - cluster.harness.removed.len();
-            let all = gpu_task(900, json!({"shards": 4 * left, "runtime_s": 5.0}));
+            // Nothing is reserved, so a job can use all GPUs of the remaining workers at once.
+            let remaining_workers = worker_names().len() - cluster.harness.removed.len();
+            let all = gpu_task(
+                900,
+                json!({"shards": 4 * remaining_workers, "runtime_s": 5.0}),
+            );
             let all = cluster.harness.submit(&all);
             cluster.harness.run(8.0);
             assert!(
-                cluster.harness.finished.contains(&all) || cluster.placed_tasks(all) == 4 * left,
+                cluster.harness.finished.contains(&all)
+                    || cluster.placed_tasks(all) == 4 * remaining_workers,
                 "{case}"
             );
         }
     }
 }
 
-/// The command to stop does not arrive, and the task completes meanwhile: that is its one result, and
-/// the room that was held for it is free again.
+/// The command to stop the task does not reach its worker, and the task completes there. This must
+/// be its only result, and the room that was held for it on the target must be free again.
 #[test]
 fn a_task_that_ends_during_its_migration_is_done_once() {
     let mut cluster = fragmented_cluster(json!({"runtime_s": 64.0}), tuning());
@@ -346,42 +363,47 @@
     cluster.harness.run(8.0);
     cluster.harness.unreachable.clear();
     cluster.harness.run(120.0);
-    assert_eq!(cluster.problems(), [""; 0]);
+    assert_eq!(cluster.violations(), [""; 0]);
     assert!(cluster.harness.history.completed().contains(task.as_str()));
     assert!(cluster.harness.finished.contains(&job));
     assert_eq!(cluster.moves_view()["live"], json!([]));
 }
 
-/// A user cancels the migrating job, or the one that the worker is freed for.
+/// A user cancels either the migrating job or the job that the worker is freed for.
 #[test]
 fn a_cancellation_during_a_migration_ends_it() {
-    for moving in [true, false] {
+    for cancel_migrating in [true, false] {
         let mut cluster = fragmented_cluster(json!({}), tuning());
         let job = cluster.harness.submit(&whole_worker_job(1, 20.0));
         cluster.wait_for_migration();
         let task = cluster.moves_view()["live"][0]["task"].clone();
         let task = task.as_str().and_then(|t| t.split('/').next());
-        let moved = JobId::parse(task.expect("a task")).expect("an id");
-        cluster.harness.cancel(if moving { moved } else { job });
+        let migrating_job = JobId::parse(task.expect("a task")).expect("an id");
+        cluster
+            .harness
+            .cancel(if cancel_migrating { migrating_job } else { job });
         cluster.harness.run(60.0);
         assert_eq!(cluster.moves_view()["live"], json!([]));
-        assert_eq!(cluster.placed_tasks(if moving { moved } else { job }), 0);
+        assert_eq!(
+            cluster.placed_tasks(if cancel_migrating { migrating_job } else { job }),
+            0
+        );
         cluster.harness.run(600.0);
         let others = cluster
             .small_jobs
             .iter()
-            .filter(|j| !moving || **j != moved);
+            .filter(|j| !cancel_migrating || **j != migrating_job);
         let others: Vec<String> = others.map(|j| format!("{j}/0")).collect();
-        let problems = cluster
+        let violations = cluster
             .harness
             .history
             .violations(others.iter().map(String::as_str));
-        assert_eq!(problems, [""; 0]);
+        assert_eq!(violations, [""; 0]);
     }
 }
 
-/// Tasks that never stop: migrations for the job are retried at growing intervals, and then not at
-/// all.
+/// Tasks never finish saving, so their migrations fail. Migrations for the waiting job are retried
+/// at growing intervals, and after a limited number of failures no more.
 #[test]
 fn failing_migrations_are_retried_a_limited_number_of_times() {
     let mut cluster = fragmented_cluster(json!({}), tuning());
@@ -389,8 +411,8 @@
     cluster.harness.submit(&whole_worker_job(1, 20.0));
     cluster.harness.run(900.0);
     let moves = cluster.moves_view();
-    let begun = moves["recent"].as_array().expect("a list").len();
-    assert!((1..=12).contains(&begun), "{begun} moves: {moves}");
+    let started = moves["recent"].as_array().expect("a list").len();
+    assert!((1..=12).contains(&started), "{started} moves: {moves}");
 }
 
 #[test]
@@ -406,13 +428,13 @@
     assert_eq!(
         cluster.harness.admin_request(drain(None)).0,
         200,
-        "the same once more"
+        "repeating the request has no effect"
     );
     cluster.harness.run(15.0);
     assert_eq!(
         cluster.tasks_by_worker()[0],
         0,
-        "what may migrate has migrated"
+        "all movable tasks have migrated"
     );
     let state = |cluster: &mut FragmentedCluster| {
         let (_, nodes) = cluster
@@ -421,7 +443,7 @@
         nodes["nodes"][0]["state"].clone()
     };
     assert_eq!(state(&mut cluster), json!("drained"));
-    // All controllers are restarted, twice.
+    // All controllers restart, twice.
     for _ in 0..2 {
         cluster.harness.fail_over();
         cluster.harness.run(15.0);
@@ -436,7 +458,7 @@
     let new_events = &cluster.harness.history.events()[before..];
     assert!(
         new_events.iter().all(|e| e.worker != "a-0"),
-        "nothing new starts there"
+        "no task starts on the draining worker"
     );
     let (status, node) = cluster
         .harness
@@ -450,8 +472,8 @@
     assert!(new_events[before..].iter().any(|e| e.worker == "a-0"));
 }
 
-/// Unmovable tasks run on until the deadline, also under a leader elected since, and are then stopped
-/// with their grace period.
+/// Unmovable tasks run until the deadline of the drain and are then stopped with their grace
+/// period. A leader that is elected in between keeps the deadline.
 #[test]
 fn a_drain_stops_the_remaining_tasks_at_its_deadline() {
     let mut cluster = fragmented_cluster(json!({"movable": false}), tuning());
@@ -466,18 +488,18 @@
     cluster.harness.run(30.0);
     assert_eq!(cluster.tasks_by_worker()[3], 2, "before the deadline");
     cluster.harness.run(15.0);
-    assert_eq!(cluster.tasks_by_worker()[3], 0, "after it");
+    assert_eq!(cluster.tasks_by_worker()[3], 0, "after the deadline");
     assert_eq!(
         cluster.tasks_by_worker().iter().sum::<usize>(),
         8,
-        "elsewhere"
+        "the tasks run on other workers"
     );
     cluster.harness.run(600.0);
-    assert_eq!(cluster.problems(), [""; 0]);
+    assert_eq!(cluster.violations(), [""; 0]);
 }
 
 #[test]
-fn wrong_admin_requests_are_answered_with_their_error() {
+fn invalid_admin_requests_are_answered_with_an_error() {
     let production = json!({"shape": "service", "rank": "production"});
     let mut cluster = fragmented_cluster(production, tuning());
     let drain = |node: &str, yes| AdminRequest::Drain {
@@ -497,10 +519,10 @@
         Some(2),
         "{body}"
     );
-    assert!(cluster.harness.drains.is_empty(), "nothing was changed");
+    assert!(cluster.harness.drains.is_empty(), "no drain was started");
     let before = cluster.tasks_by_worker();
     assert_eq!(cluster.harness.admin_request(drain("a-0", true)).0, 200);
-    // All nodes of a zone, and then all there are: replicas stay where they are.
+    // All workers drain, one after another. The replicas stay, as no worker can take them.
     for node in ["a-1", "b-0", "b-1"] {
         assert_eq!(cluster.harness.admin_request(drain(node, true)).0, 200);
     }
@@ -508,7 +530,7 @@
     assert_eq!(cluster.tasks_by_worker(), before);
     let job = cluster.harness.submit(&gpu_task(400, json!({})));
     cluster.harness.run(20.0);
-    assert_eq!(cluster.placed_tasks(job), 0, "there is nowhere to start");
+    assert_eq!(cluster.placed_tasks(job), 0, "no worker may start it");
     assert_eq!(
         cluster
             .harness
@@ -524,7 +546,7 @@
             .admin_request(AdminRequest::Undrain { node: "b-0".into() })
             .0,
         200,
-        "the same once more"
+        "repeating the request has no effect"
     );
     assert_eq!(
         cluster
@@ -537,8 +559,8 @@
     );
 }
 
-/// While the state service is out a drain takes effect already, but is not answered before it is
-/// stored.
+/// While the state service is unavailable, a drain takes effect at once, but its request is
+/// answered only after the drain is stored.
 #[test]
 fn a_drain_is_answered_once_it_is_stored() {
     let mut cluster = fragmented_cluster(json!({}), tuning());
@@ -557,8 +579,8 @@
     assert_eq!(cluster.harness.drains.len(), 1);
 }
 
-/// Tasks of lower priority fill what is free: they are preempted for migrating tasks and for the job
-/// that waits, and every one of them still ends once.
+/// Tasks of lower priority use all free GPUs. They are preempted for migrating tasks and for the
+/// waiting job, and every one of them must still complete exactly once.
 #[test]
 fn best_effort_tasks_are_preempted_for_migrations() {
     let mut cluster = fragmented_cluster(json!({}), tuning());
@@ -568,16 +590,16 @@
     );
     let best_effort = cluster.harness.submit(&best_effort);
     cluster.harness.run(10.0);
-    assert_eq!(cluster.placed_tasks(best_effort), 8, "nothing is free");
+    assert_eq!(cluster.placed_tasks(best_effort), 8, "all GPUs are in use");
     let job = cluster.harness.submit(&whole_worker_job(1, 30.0));
     cluster.harness.run(20.0);
     assert_eq!(cluster.placed_tasks(job), 1, "{}", cluster.moves_view());
     assert_eq!(
         cluster.tasks_by_worker().iter().sum::<usize>(),
         8,
-        "what migrated runs on"
+        "migrated tasks keep running"
     );
     cluster.harness.run(2000.0);
-    assert_eq!(cluster.problems(), [""; 0]);
+    assert_eq!(cluster.violations(), [""; 0]);
     assert!(cluster.harness.finished.contains(&best_effort));
 }
