--- a/tests/migration_random.rs
+++ b/tests/migration_random.rs
@@ -1,5 +1,7 @@
-//! Migrations, drains, faults and cancellations in any order, against the checker of the whole
-//! history. The seed is fixed, so every run checks the same cases.
+//! Runs migrations, drains, faults and cancellations in random order, and checks the whole history.
+//!
+//! Guards against sequences of events that lose a task, complete it twice, exceed the team's limit
+//! or leave room reserved. The seed is fixed, so every run checks the same cases.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,46 +17,52 @@
 const TYPES: &str = r#"{"flavors":[
  {"name":"gpu4","cpus":16,"gpus":4,"memory_gb":64,"local_gb":90,"pull_gb_per_s":1,"price":4.0,"ready_s":10,"regions":["a","b"]}]}"#;
 const WORKERS: [&str; 6] = ["a-0", "a-1", "a-2", "b-0", "b-1", "b-2"];
-/// The team may use so many GPUs at once: less than there are.
+/// The team's limit of GPUs in use at once, less than the workers have.
 const MAX_GPUS: f64 = 20.0;
 
 #[derive(Debug, Clone, Copy)]
 enum JobKind {
-    /// Saves, and may move.
-    Saving,
-    /// Does not save.
-    Plain,
+    /// Three movable tasks with checkpoints.
+    Checkpointed,
+    /// One task without checkpoints.
+    WithoutCheckpoints,
     Unmovable,
-    /// Two tasks that stay together.
-    Pair,
+    /// A gang of two tasks in one zone.
+    Gang,
     /// Two replicas, spread over the zones.
     Service,
-    Whole,
-    /// Two whole workers in one zone.
-    WholePair,
+    /// One task that needs a whole worker.
+    WholeWorker,
+    /// A gang that needs two whole workers in one zone.
+    WholeWorkerGang,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
     Submit(JobKind),
     Cancel(usize),
+    /// Lets the cluster run for some seconds.
     Run(u8),
-    Die(usize),
-    Hang(usize),
-    Heal,
+    Crash(usize),
+    /// Makes a worker unreachable.
+    Disconnect(usize),
+    /// Makes all workers reachable again.
+    Reconnect,
     Drain(usize, Option<u8>),
     Undrain(usize),
-    NextLeader,
-    Sleep(u8),
+    FailOver,
+    /// Pauses the leader for some seconds.
+    Pause(u8),
+    /// Starts or ends an outage of the state service.
     Outage(bool),
-    Saving(CheckpointMode),
+    Checkpointing(CheckpointMode),
 }
 
-/// What is needed to choose steps that mean something.
+/// The state needed to generate only steps that can be applied.
 #[derive(Debug, Clone, Default)]
 struct Model {
     jobs: usize,
-    dead: usize,
+    crashed: usize,
 }
 
 impl ReferenceStateMachine for Model {
@@ -66,13 +74,24 @@
     }
 
     fn transitions(model: &Self) -> BoxedStrategy<Step> {
-        use JobKind::{Pair, Plain, Saving as Saves, Service, Unmovable, Whole, WholePair};
+        use JobKind::{
+            Checkpointed, Gang, Service, Unmovable, WholeWorker, WholeWorkerGang,
+            WithoutCheckpoints,
+        };
         let kinds = vec![
-            Saves, Saves, Plain, Unmovable, Pair, Service, Whole, Whole, WholePair,
+            Checkpointed,
+            Checkpointed,
+            WithoutCheckpoints,
+            Unmovable,
+            Gang,
+            Service,
+            WholeWorker,
+            WholeWorker,
+            WholeWorkerGang,
         ];
         let worker = || 0..WORKERS.len();
         let job = 0..model.jobs.max(1);
-        let saving = prop_oneof![
+        let checkpointing = prop_oneof![
             Just(CheckpointMode::InTime),
             Just(CheckpointMode::Fails),
             Just(CheckpointMode::Slow(4.0))
@@ -81,15 +100,15 @@
             8 => proptest::sample::select(kinds).prop_map(Step::Submit),
             8 => (1u8..30).prop_map(Step::Run),
             1 => job.prop_map(Step::Cancel),
-            1 => worker().prop_map(Step::Die),
-            1 => worker().prop_map(Step::Hang),
-            1 => Just(Step::Heal),
+            1 => worker().prop_map(Step::Crash),
+            1 => worker().prop_map(Step::Disconnect),
+            1 => Just(Step::Reconnect),
             2 => (worker(), proptest::option::of(5u8..60)).prop_map(|(m, d)| Step::Drain(m, d)),
             2 => worker().prop_map(Step::Undrain),
-            1 => Just(Step::NextLeader),
-            1 => (1u8..15).prop_map(Step::Sleep),
+            1 => Just(Step::FailOver),
+            1 => (1u8..15).prop_map(Step::Pause),
             1 => any::<bool>().prop_map(Step::Outage),
-            1 => saving.prop_map(Step::Saving),
+            1 => checkpointing.prop_map(Step::Checkpointing),
         ]
         .boxed()
     }
@@ -97,8 +116,8 @@
     fn preconditions(model: &Self, step: &Step) -> bool {
         match step {
             Step::Cancel(_) => model.jobs > 0,
-            // Enough stay that everything can end.
-            Step::Die(_) => model.dead == 0,
+            // With at most one crash, the other workers can complete all jobs.
+            Step::Crash(_) => model.crashed == 0,
             Step::Submit(_) => model.jobs < 24,
             _ => true,
         }
@@ -107,7 +126,7 @@
     fn apply(mut model: Self, step: &Step) -> Self {
         match step {
             Step::Submit(_) => model.jobs += 1,
-            Step::Die(_) => model.dead += 1,
+            Step::Crash(_) => model.crashed += 1,
             _ => {}
         }
         model
@@ -126,23 +145,23 @@
         let id = self.jobs.len() as u64 + 1;
         let mut body = json!({"uid": format!("wk-{id:06}"), "jobclass": "c", "cpus": 3.0, "gpus": 1.0,
             "memory_gb": 4.0, "runtime_s": 60.0, "pull_gb": 0.0, "snapshot_every_s": 10.0, "snapshot_s": 1.0});
-        let more = match kind {
-            JobKind::Saving => json!({"shards": 3}),
-            JobKind::Plain => json!({"snapshot_every_s": 0.0, "runtime_s": 25.0}),
+        let overrides = match kind {
+            JobKind::Checkpointed => json!({"shards": 3}),
+            JobKind::WithoutCheckpoints => json!({"snapshot_every_s": 0.0, "runtime_s": 25.0}),
             JobKind::Unmovable => json!({"movable": false}),
-            JobKind::Pair => json!({"shape": "group", "shards": 2, "one_zone": true}),
+            JobKind::Gang => json!({"shape": "group", "shards": 2, "one_zone": true}),
             JobKind::Service => {
                 json!({"shape": "service", "shards": 2, "spread": true, "runtime_s": 0.0})
             }
-            JobKind::Whole => {
+            JobKind::WholeWorker => {
                 json!({"shape": "group", "gpus": 4.0, "cpus": 12.0, "runtime_s": 30.0})
             }
-            JobKind::WholePair => {
+            JobKind::WholeWorkerGang => {
                 json!({"shape": "group", "shards": 2, "gpus": 4.0, "cpus": 12.0,
                 "runtime_s": 30.0, "one_zone": true})
             }
         };
-        for (k, v) in more.as_object().expect("an object") {
+        for (k, v) in overrides.as_object().expect("an object") {
             body[k] = v.clone();
         }
         let job = self.harness.submit(&body);
@@ -151,17 +170,17 @@
         self.jobs.push((job, kind));
     }
 
-    /// Rules that hold at any moment.
+    /// Checks the rules that hold at all times.
     fn check(&self) {
-        let problems = self.harness.history.violations([]);
-        assert!(problems.is_empty(), "{problems:?}");
+        let violations = self.harness.history.violations([]);
+        assert!(violations.is_empty(), "{violations:?}");
         let mut used = 0.0;
         for (job, kind) in &self.jobs {
             let places = self.harness.instances_of(*job);
             used += self.gpus_per_task[job] * places.len() as f64;
             let zones: BTreeSet<&str> = places.iter().map(|(_, m)| &m[..1]).collect();
             match kind {
-                JobKind::Pair | JobKind::WholePair => {
+                JobKind::Gang | JobKind::WholeWorkerGang => {
                     assert!(zones.len() < 2, "{job}: {places:?}");
                 }
                 JobKind::Service => {
@@ -181,12 +200,13 @@
         }
     }
 
-    /// Ends all faults: everything ends, once, and nothing stays reserved.
-    fn settle(&mut self) {
+    /// Ends all faults. Then every job must end, each task exactly once, and no room may stay
+    /// reserved.
+    fn end_faults_and_check(&mut self) {
         self.harness.unreachable.clear();
         self.harness.checkpointing = CheckpointMode::InTime;
         self.harness.end_outage();
-        // Workers that crashed, or were scaled in as they did not answer, are replaced.
+        // Replaces the workers that crashed or were scaled in because they did not answer.
         for name in self.harness.removed.clone() {
             let zone = if name.starts_with('a') { "a" } else { "b" };
             let now = self.harness.now;
@@ -218,8 +238,11 @@
             .iter()
             .filter(|(j, _)| !self.cancelled.contains(j))
         {
-            let single = matches!(kind, JobKind::Plain | JobKind::Unmovable | JobKind::Whole);
-            if single {
+            let has_one_task = matches!(
+                kind,
+                JobKind::WithoutCheckpoints | JobKind::Unmovable | JobKind::WholeWorker
+            );
+            if has_one_task {
                 assert!(done.contains(format!("{job}/0").as_str()), "{job} {kind:?}");
             }
         }
@@ -236,11 +259,11 @@
     }
 }
 
-/// A number from the environment. A longer search than the usual one:
+/// A number from the environment, or its default. For a longer search than by default:
 /// `MIGRATION_CASES=2000 MIGRATION_SEED=7 cargo test --test migration_random`.
-fn env_number(name: &str, usual: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     let given = std::env::var(name).ok();
-    given.map_or(usual, |n| n.parse().expect("a whole number"))
+    given.map_or(default, |n| n.parse().expect("a whole number"))
 }
 
 struct Migrations;
@@ -285,11 +308,11 @@
                     cluster.harness.run(0.2);
                 }
             }
-            Step::Die(m) => cluster.harness.remove_worker(WORKERS[m]),
-            Step::Hang(m) => {
+            Step::Crash(m) => cluster.harness.remove_worker(WORKERS[m]),
+            Step::Disconnect(m) => {
                 cluster.harness.unreachable.insert(WORKERS[m].into());
             }
-            Step::Heal => cluster.harness.unreachable.clear(),
+            Step::Reconnect => cluster.harness.unreachable.clear(),
             Step::Drain(m, deadline) => {
                 cluster.harness.send_admin_request(AdminRequest::Drain {
                     node: WORKERS[m].into(),
@@ -302,21 +325,21 @@
                     node: WORKERS[m].into(),
                 });
             }
-            Step::NextLeader => cluster.harness.fail_over(),
-            Step::Sleep(seconds) => {
+            Step::FailOver => cluster.harness.fail_over(),
+            Step::Pause(seconds) => {
                 cluster.harness.pause(seconds.into());
                 cluster.harness.core.paused(seconds.into());
             }
             Step::Outage(true) => cluster.harness.outage = true,
             Step::Outage(false) => cluster.harness.end_outage(),
-            Step::Saving(saving) => cluster.harness.checkpointing = saving,
+            Step::Checkpointing(mode) => cluster.harness.checkpointing = mode,
         }
         cluster.check();
         cluster
     }
 
     fn teardown(mut cluster: ClusterUnderTest, _: Model) {
-        cluster.settle();
+        cluster.end_faults_and_check();
     }
 }
 
