--- a/crates/defrag/benches/plan.rs
+++ b/crates/defrag/benches/plan.rs
@@ -53,7 +53,7 @@
             spot: true,
             one_zone: false,
             zone_cap: u32::MAX,
-            by_zone: vec![0; 3],
+            instances_by_zone: vec![0; 3],
             image: rng.random_range(0..20),
             image_gb: 2.0,
             gang: false,
@@ -69,7 +69,7 @@
             let job = &mut fleet.jobs[ix.min(jobs - 1) as usize];
             if job.needs.fits_in(&worker.room) {
                 worker.room.sub(&job.needs);
-                job.by_zone[worker.zone as usize] += 1;
+                job.instances_by_zone[worker.zone as usize] += 1;
                 fleet.instances.push(TaskInstance {
                     worker: m,
                     job: ix.min(jobs - 1),
@@ -90,11 +90,11 @@
         tasks: 4,
         one_zone: true,
         zone_cap: u32::MAX,
-        by_zone: vec![0; 3],
+        placed_by_zone: vec![0; 3],
         kinds: None,
         zone: None,
         spot: true,
-        whole_gang: true,
+        gang: true,
         place_value: 1e6,
     }
 }
--- a/crates/defrag/src/fleet.rs
+++ b/crates/defrag/src/fleet.rs
@@ -61,7 +61,7 @@
     /// Maximum number of tasks in one zone (`spread`).
     pub zone_cap: u32,
     /// Number of its tasks in each zone now.
-    pub by_zone: Vec<u32>,
+    pub instances_by_zone: Vec<u32>,
     /// Index of its image.
     pub image: u32,
     /// Size of its image in gigabytes.
@@ -115,7 +115,7 @@
     /// Maximum number of tasks in one zone (`spread`).
     pub zone_cap: u32,
     /// Number of its tasks that already have a place, by zone.
-    pub by_zone: Vec<u32>,
+    pub placed_by_zone: Vec<u32>,
     /// Instance types that its tasks may run on; `None` allows any.
     pub kinds: Option<Vec<u32>>,
     /// The only zone that it may run in; `None` allows any.
@@ -123,7 +123,7 @@
     /// May run on spot workers.
     pub spot: bool,
     /// Its tasks need all places at once. If false, a plan may provide fewer places.
-    pub whole_gang: bool,
+    pub gang: bool,
     /// The value of one place, in the same money as the cost of migrations.
     pub place_value: f64,
 }
--- a/crates/defrag/src/place.rs
+++ b/crates/defrag/src/place.rs
@@ -61,7 +61,7 @@
     // A gang that must be in one zone may go to any zone, as all its tasks migrate together. A
     // task of another one-zone job must stay in its zone, as the rest of the job stays there.
     let zones: Vec<Option<u32>> = if job.one_zone && job.gang {
-        (0..job.by_zone.len() as u32).map(Some).collect()
+        (0..job.instances_by_zone.len() as u32).map(Some).collect()
     } else if job.one_zone {
         vec![Some(
             fleet.workers[fleet.instances[unit[0] as usize].worker as usize].zone,
@@ -159,7 +159,11 @@
         if m == instance.worker || zone.is_some_and(|z| z != target_zone) || excluded.contains(&m) {
             return false;
         }
-        let current = job.by_zone.get(target_zone as usize).copied().unwrap_or(0);
+        let current = job
+            .instances_by_zone
+            .get(target_zone as usize)
+            .copied()
+            .unwrap_or(0);
         let planned = assigned
             .zones
             .get(&(instance.job, target_zone))
--- a/crates/defrag/src/plan.rs
+++ b/crates/defrag/src/plan.rs
@@ -88,9 +88,11 @@
 ) -> Result<Plan, PlanError> {
     let index = Index::new(fleet, limits);
     let zones: Vec<Option<u32>> = if waiting_job.one_zone {
-        match waiting_job.by_zone.iter().position(|&n| n > 0) {
+        match waiting_job.placed_by_zone.iter().position(|&n| n > 0) {
             Some(current) => vec![Some(current as u32)],
-            None => (0..waiting_job.by_zone.len() as u32).map(Some).collect(),
+            None => (0..waiting_job.placed_by_zone.len() as u32)
+                .map(Some)
+                .collect(),
         }
     } else {
         vec![None]
@@ -205,7 +207,7 @@
             let places = self.already_free.len() + chosen.len() + 1;
             let value = self.waiting_job.value_of(places);
             if cost >= value {
-                return match chosen.is_empty() || self.waiting_job.whole_gang {
+                return match chosen.is_empty() || self.waiting_job.gang {
                     true => Err(PlanError::NotWorthwhile { cost, value }),
                     false => Ok(chosen),
                 };
@@ -222,7 +224,7 @@
             }
             chosen.push((m, choice.instances));
         }
-        if chosen.is_empty() || (self.waiting_job.whole_gang && chosen.len() < missing) {
+        if chosen.is_empty() || (self.waiting_job.gang && chosen.len() < missing) {
             return Err(PlanError::ImmovableTasks);
         }
         Ok(chosen)
@@ -324,7 +326,7 @@
         already_free: Vec::new(),
         candidates: Vec::new(),
         zones: ZoneCounts {
-            taken: waiting_job.by_zone.clone(),
+            taken: waiting_job.placed_by_zone.clone(),
             cap: waiting_job.zone_cap,
         },
         cached_choices: RefCell::default(),
@@ -402,10 +404,10 @@
 }
 
 impl WaitingJob {
-    /// The value of so many places. A whole gang counts all its tasks, as fewer places are no use
-    /// to it.
+    /// The value of a number of places. A gang counts all its tasks, since it cannot use fewer
+    /// places.
     fn value_of(&self, places: usize) -> f64 {
-        let places = if self.whole_gang {
+        let places = if self.gang {
             self.tasks as usize
         } else {
             places
--- a/crates/defrag/tests/quality.rs
+++ b/crates/defrag/tests/quality.rs
@@ -47,7 +47,7 @@
         spot: true,
         one_zone: false,
         zone_cap: u32::MAX,
-        by_zone: vec![0; 2],
+        instances_by_zone: vec![0; 2],
         image: 0,
         image_gb: 0.0,
         gang: false,
@@ -63,11 +63,11 @@
         tasks,
         one_zone: true,
         zone_cap: u32::MAX,
-        by_zone: vec![0; 2],
+        placed_by_zone: vec![0; 2],
         kinds: None,
         zone: None,
         spot: true,
-        whole_gang: true,
+        gang: true,
         place_value: 1e9,
     }
 }
@@ -77,7 +77,7 @@
     fn add_task(&mut self, worker: u32, job: usize, lost_s: f64) -> u32 {
         let zone = self.0.workers[worker as usize].zone as usize;
         let needs = self.0.jobs[job].needs;
-        self.0.jobs[job].by_zone[zone] += 1;
+        self.0.jobs[job].instances_by_zone[zone] += 1;
         self.0.workers[worker as usize].room.sub(&needs);
         self.0.instances.push(TaskInstance {
             worker,
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -23,7 +23,7 @@
         let job = &self.jobs[ix];
         let largest = self
             .types
-            .known
+            .descriptions
             .iter()
             .enumerate()
             .filter(|(k, _)| job.types.as_ref().is_none_or(|l| l.contains(&(*k as u32))))
@@ -51,13 +51,13 @@
                 spot: job.spec.spot,
                 priority: job.spec.priority,
                 rate: 0.0,
-                rated_at: now,
+                rate_updated_at: now,
             });
             self.large_task_profiles.len() - 1
         });
         let large_task_profile = &mut self.large_task_profiles[at];
         large_task_profile.rate = large_task_profile.rate_at(now) + tasks / MEMORY_S;
-        large_task_profile.rated_at = now;
+        large_task_profile.rate_updated_at = now;
         Some(at as u32)
     }
 
@@ -131,7 +131,7 @@
                         && self.worker_suits_profile(&self.large_task_profiles[s as usize], m)
                         && !self.worker_holds_profile(s, m)
                 })
-                .filter_map(|m| self.drained_in(&needs, m).map(|t| (t, m)))
+                .filter_map(|m| self.seconds_until_room(&needs, m).map(|t| (t, m)))
                 .collect();
             choices.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
             for (_, m) in choices.into_iter().take(expected - kept.len()) {
@@ -143,7 +143,7 @@
     /// Room of a worker that a job must leave alone. Jobs of the shape itself
     /// and work of higher priority may take it; so may lower work, which is
     /// stopped when the room is wanted.
-    pub(super) fn kept_from(&self, m: u32, ix: u32) -> Option<Resources> {
+    pub(super) fn withheld_resources(&self, m: u32, ix: u32) -> Option<Resources> {
         let s = self.workers[m].reserved_for?;
         let large_task_profile = &self.large_task_profiles[s as usize];
         let free = self.jobs.get(ix).is_some_and(|j| {
@@ -156,7 +156,7 @@
 
     /// Whether a small task would leave no room for a whole-worker task that
     /// the worker could otherwise take.
-    pub(super) fn breaks_whole(&self, ix: u32, m: u32) -> bool {
+    pub(super) fn fragments_worker(&self, ix: u32, m: u32) -> bool {
         let job = &self.jobs[ix];
         if job.large_task_profile.is_some() {
             return false;
@@ -173,7 +173,7 @@
             // largest GPU workers in the first seconds would stay there for good.
             let limit = self
                 .types
-                .known
+                .descriptions
                 .iter()
                 .flatten()
                 .map(|t| t.whole.gpus)
@@ -203,6 +203,6 @@
 
 impl LargeTaskProfile {
     pub fn rate_at(&self, now: Time) -> f64 {
-        self.rate * (-(now - self.rated_at).max(0.0) / MEMORY_S).exp()
+        self.rate * (-(now - self.rate_updated_at).max(0.0) / MEMORY_S).exp()
     }
 }
--- a/src/coordination/migration/estimates.rs
+++ b/src/coordination/migration/estimates.rs
@@ -1,8 +1,8 @@
 //! Estimates what stopping a task instance would lose, and decides whether it may be migrated now.
 
-use crate::coordination::gangs::grace_to_save;
+use crate::coordination::gangs::checkpoint_grace_s;
 use crate::coordination::model::*;
-use crate::coordination::state::{Core, SETTLED_S};
+use crate::coordination::state::{Core, MIN_RUN_BEFORE_MOVE_S};
 use crate::protocol::worker::TaskPhase;
 
 /// The time from an order to stop until the leader has proof that the instance is gone, in addition
@@ -13,9 +13,9 @@
 /// The share of its expected runtime that a task is assumed to have left at least, even if it has
 /// already run for longer than expected.
 const MIN_LEFT_SHARE: f64 = 0.1;
-/// A job with less patience than this has an objective for its start. The objective counts as met
+/// A job that tolerates less start delay than this has an objective for its start. The objective counts as met
 /// only once the job has run for a while, so until then its tasks are not migrated.
-const OBJECTIVE_PATIENCE_S: f64 = 120.0;
+const OBJECTIVE_TOLERANCE_S: f64 = 120.0;
 
 /// What is expected of a task instance if it runs on, and if it is stopped.
 pub(super) struct InstanceEstimate {
@@ -66,8 +66,10 @@
         let settings = &self.config.tuning.defragmentation;
         let saves = job.spec.checkpoint_s > 0.0;
         let running_since = instance.running_since;
-        let settled = running_since.is_some_and(|since| self.now - since > SETTLED_S);
-        let has_objective = !job.start_by.is_empty() && job.patience_s < OBJECTIVE_PATIENCE_S;
+        let has_run_long_enough =
+            running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
+        let has_objective = !job.placement_deadlines_s.is_empty()
+            && job.start_delay_tolerance_s < OBJECTIVE_TOLERANCE_S;
         let migrated_at = self.migrations.last_migrated_at(job.spec.id, id.task);
         job.movable
             && job.state == JobState::Live
@@ -75,10 +77,10 @@
             // A waiting task of the same job would take the room reserved on the target.
             && job.waiting() == 0
             && instance.phase == Some(TaskPhase::Running)
-            && instance.sent == Sent::Seen
+            && instance.start_delivery == StartDelivery::Reported
             && !instance.unacknowledged
             && instance.stop.is_none()
-            && (draining || settled || !(has_objective || job.is_service()))
+            && (draining || has_run_long_enough || !(has_objective || job.is_service()))
             && (job.is_service() || saves || lost_s < settings.lost_work_s)
             && migrated_at.is_none_or(|time| self.now - time > settings.again_after_s)
     }
@@ -86,10 +88,10 @@
     /// The longest expected time from the order to stop a task of a job until it is certainly gone.
     pub(super) fn max_stop_s(&self, ix: u32) -> f64 {
         let workers = &self.config.cluster.workers;
-        let grace_s = if self.is_whole_gang(ix) {
-            grace_to_save(self.jobs[ix].spec.save_s) + workers.gang_peer_s
+        let grace_s = if self.is_multi_task_gang(ix) {
+            checkpoint_grace_s(self.jobs[ix].spec.save_s) + workers.gang_peer_s
         } else {
-            self.grace_of(ix)
+            self.stop_grace_s(ix)
         };
         grace_s + workers.heartbeat_interval_s * HEARTBEAT_JITTER + STOP_CONFIRMATION_S
     }
--- a/src/coordination/migration/mod.rs
+++ b/src/coordination/migration/mod.rs
@@ -92,7 +92,7 @@
                     && job
                         .unplaced_since
                         .is_some_and(|since| self.now - since > MIN_WAIT_S)
-                    && !self.is_mistaken(*ix)
+                    && !self.is_faulty_job(*ix)
             })
             .map(|(ix, _)| (self.weight(ix), ix))
             .collect();
@@ -104,9 +104,9 @@
     fn plan_and_migrate(&mut self, ix: u32) -> Result<usize, Obstacle> {
         let job = &self.jobs[ix];
         let id = job.spec.id;
-        let whole_gang = self.is_whole_gang(ix);
+        let gang = self.is_multi_task_gang(ix);
         let secured = self.secured_workers(ix);
-        let startable = job.waiting().min(self.canaries(ix));
+        let startable = job.waiting().min(self.trial_start_limit(ix));
         let tasks = startable.saturating_sub(secured.len() as u32);
         if tasks == 0 {
             return match self.migrations.live_for(id) {
@@ -114,7 +114,7 @@
                 count => Ok(count),
             };
         }
-        if whole_gang && job.active > 0 {
+        if gang && job.active > 0 {
             return Err(Obstacle::AttemptNotEnded);
         }
         if !self.team_allows(job.team, &job.spec.needs) {
@@ -127,7 +127,7 @@
         let missing = MissingPlaces {
             tasks,
             secured: &secured,
-            whole_gang,
+            gang,
             comes_free_in_s,
         };
         let waiting_job = self
@@ -194,15 +194,15 @@
     fn preempt_lower_priority(&mut self, m: u32, ix: u32) {
         let needs = self.jobs[ix].spec.needs;
         let priority = self.jobs[ix].spec.priority;
-        let mut room = self.free_room(m);
+        let mut room = self.free_resources(m);
         let mut victims: Vec<(f64, InstanceId)> = Vec::new();
         let instances = self.workers[m].instances.iter();
-        for (id, instance) in instances.filter(|(_, instance)| instance.possible()) {
+        for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
             let spec = &self.jobs[id.job].spec;
             let estimate = self.estimate_instance(id, instance);
             if instance.stop.is_some() || estimate.ends_in_s <= ENDS_SOON_S {
                 room.add(&spec.needs);
-            } else if spec.priority < priority && !self.is_whole_gang(id.job) {
+            } else if spec.priority < priority && !self.is_multi_task_gang(id.job) {
                 let cost = self.weight(id.job) * (estimate.lost_s + MIGRATION_OVERHEAD_S);
                 victims.push((cost, *id));
             }
@@ -213,7 +213,7 @@
                 return;
             }
             room.add(&self.jobs[id.job].spec.needs);
-            self.stop_in_order(m, id);
+            self.stop_gracefully(m, id);
         }
     }
 
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -28,7 +28,7 @@
     /// The workers that are secured for the job, see [`Core::secured_workers`].
     pub(super) secured: &'a [u32],
     /// All tasks of the job must start together.
-    pub(super) whole_gang: bool,
+    pub(super) gang: bool,
     /// In how many seconds the places are expected to come free without migrations.
     pub(super) comes_free_in_s: f64,
 }
@@ -53,8 +53,8 @@
         let mut workers = self.workers.indices();
         workers.retain(is_reserved);
         workers.retain(|&m| {
-            let drained_in_s = self.drained_in(&job.spec.needs, m);
-            is_being_freed(m) || drained_in_s.is_some_and(|s| s <= ENDS_SOON_S)
+            let room_in_s = self.seconds_until_room(&job.spec.needs, m);
+            is_being_freed(m) || room_in_s.is_some_and(|s| s <= ENDS_SOON_S)
         });
         workers
     }
@@ -68,14 +68,14 @@
             let is_own = |reservation: &Reservation| reservation.job == ix;
             if self.reservable(ix, m)
                 && self.workers[m].reservations.iter().all(is_own)
-                && let Some(drained_in_s) = self.drained_in(&job.spec.needs, m)
+                && let Some(room_in_s) = self.seconds_until_room(&job.spec.needs, m)
             {
                 let zone = if job.spec.one_zone {
                     self.workers[m].zone
                 } else {
                     0
                 };
-                by_zone.entry(zone).or_default().push(drained_in_s);
+                by_zone.entry(zone).or_default().push(room_in_s);
             }
         }
         let last_place = by_zone.into_values().filter_map(|mut times| {
@@ -95,10 +95,10 @@
         let job = &self.jobs[ix];
         let settings = &self.config.tuning.defragmentation;
         let place_price = self.cheapest_place_price(ix)?;
-        let mut by_zone = job.by_zone.clone();
-        by_zone.resize(self.zones.len(), 0);
+        let mut placed_by_zone = job.instances_by_zone.clone();
+        placed_by_zone.resize(self.zones.len(), 0);
         for &m in missing.secured {
-            by_zone[self.workers[m].zone as usize] += 1;
+            placed_by_zone[self.workers[m].zone as usize] += 1;
         }
         let saved_s = settings.worth_s.min(missing.comes_free_in_s);
         Some(defrag::WaitingJob {
@@ -107,11 +107,11 @@
             tasks: missing.tasks,
             one_zone: job.spec.one_zone,
             zone_cap: job.zone_cap(),
-            by_zone,
+            placed_by_zone,
             kinds: job.types.clone(),
             zone: job.zone,
             spot: job.spec.spot,
-            whole_gang: missing.whole_gang,
+            gang: missing.gang,
             place_value: self.weight(ix) * place_price * saved_s,
         })
     }
@@ -127,7 +127,7 @@
                 .is_none_or(|allowed| allowed.contains(kind))
         };
         (0u32..)
-            .zip(&self.types.known)
+            .zip(&self.types.descriptions)
             .filter(|(kind, _)| is_allowed(kind))
             .filter_map(|(_, instance_type)| instance_type.as_ref())
             .filter(|instance_type| needs.fits_in(&instance_type.whole))
@@ -164,12 +164,12 @@
             view.workers.push(m);
             let planner_worker = self.worker_for_planner(m, kind, waiting_job, secured);
             view.fleet.workers.push(planner_worker);
-            let failed = worker.failed.iter();
+            let failed = worker.failed_jobs.iter();
             for (&ix, _) in failed.filter(|(_, until)| **until > self.now) {
                 avoided_by_job.entry(ix).or_default().push(at);
             }
             let instances = worker.instances.iter();
-            for (id, instance) in instances.filter(|(_, instance)| instance.possible()) {
+            for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
                 let job = *planner_job_by_job.entry(id.job).or_insert_with(|| {
                     let migrating = migrating.get(&self.jobs[id.job].spec.id).copied();
                     let job = self.job_for_planner(id.job, migrating.unwrap_or(0));
@@ -240,7 +240,7 @@
     fn preemptible(&self, m: u32, kind: &MachineType, price: f64) -> Vec<defrag::Preemptible> {
         let instances = self.workers[m].instances.iter();
         let stoppable = instances.filter(|(id, instance)| {
-            instance.possible() && instance.stop.is_none() && !self.is_whole_gang(id.job)
+            instance.may_exist() && instance.stop.is_none() && !self.is_multi_task_gang(id.job)
         });
         let mut preemptible: Vec<defrag::Preemptible> = stoppable
             .map(|(id, instance)| {
@@ -261,7 +261,7 @@
     fn job_for_planner(&self, ix: u32, migrating: u32) -> defrag::Job {
         let job = &self.jobs[ix];
         let away_share = self.config.tuning.defragmentation.away_share;
-        let gang = self.is_whole_gang(ix);
+        let gang = self.is_multi_task_gang(ix);
         let max_migrating = if gang {
             job.spec.tasks
         } else {
@@ -276,7 +276,7 @@
             spot: job.spec.spot,
             one_zone: job.spec.one_zone,
             zone_cap: job.zone_cap(),
-            by_zone: job.by_zone.clone(),
+            instances_by_zone: job.instances_by_zone.clone(),
             image: job.image,
             image_gb: job.spec.image_gb,
             gang,
--- a/src/coordination/migration/progress.rs
+++ b/src/coordination/migration/progress.rs
@@ -91,24 +91,24 @@
         let m = self.workers.index_of(worker_name)?;
         let mut instances = self.workers[m].instances.iter();
         instances
-            .find(|(id, instance)| instance.possible() && test(id))
+            .find(|(id, instance)| instance.may_exist() && test(id))
             .map(|(_, instance)| instance)
     }
 
-    /// Releases the room that is held on the target of a migration that did not succeed.
+    /// Releases the room reserved on the target of a migration that did not succeed.
     fn release_target(&mut self, migration: &TaskMigration) {
         if let Some(target) = self.workers.index_of(&migration.to) {
-            self.release_hold(target, migration.instance.job);
+            self.release_migration_reservation(target, migration.instance.job);
         }
     }
 
-    /// Releases the room held for one task of a job.
-    pub(super) fn release_hold(&mut self, m: u32, ix: u32) {
+    /// Releases the room that is reserved for one migrating task of a job.
+    pub(super) fn release_migration_reservation(&mut self, m: u32, ix: u32) {
         let reservations = &mut self.workers[m].reservations;
-        let held = reservations
+        let reserved = reservations
             .iter_mut()
-            .find(|reservation| reservation.job == ix && reservation.held);
-        if let Some(reservation) = held {
+            .find(|reservation| reservation.job == ix && reservation.for_migration);
+        if let Some(reservation) = reserved {
             reservation.count = reservation.count.saturating_sub(1);
         }
         reservations.retain(|reservation| reservation.count > 0);
--- a/src/coordination/migration/start.rs
+++ b/src/coordination/migration/start.rs
@@ -23,25 +23,25 @@
         planned_migrations: &[defrag::Migration],
         wanted_by: Option<JobId>,
     ) -> Result<(), Obstacle> {
-        let victims = self.hold_targets(view, planned_migrations, wanted_by)?;
+        let victims = self.reserve_targets(view, planned_migrations, wanted_by)?;
         // An instance may be listed twice, preempted for two migrations. Stopping it again has no
         // effect.
         for (m, id) in victims {
-            self.stop_in_order(m, id);
+            self.stop_gracefully(m, id);
         }
         let mut leaving = Vec::new();
         for planned in planned_migrations {
             leaving.push(self.start_migration(view, planned, wanted_by));
         }
         for (m, id) in leaving {
-            self.stop_in_order(m, id);
+            self.stop_gracefully(m, id);
         }
         Ok(())
     }
 
     /// Reserves room on all targets or on none. Returns the instances to preempt there, with their
     /// workers.
-    fn hold_targets(
+    fn reserve_targets(
         &mut self,
         view: &ClusterView,
         planned_migrations: &[defrag::Migration],
@@ -50,7 +50,7 @@
         let waiting_job = wanted_by.and_then(|id| self.jobs.index_of(id));
         let large_task_profile = waiting_job.and_then(|ix| self.jobs[ix].large_task_profile);
         let mut stops = Vec::new();
-        let mut held: Vec<(u32, u32)> = Vec::new();
+        let mut reserved: Vec<(u32, u32)> = Vec::new();
         for planned in planned_migrations {
             let ix = view.instances[planned.instance as usize].job;
             let target = view.workers[planned.to as usize];
@@ -61,15 +61,15 @@
                 self.workers[target].reserved_for = None;
             }
             let Some(preemption) = self.victims(ix, target) else {
-                for (m, ix) in held {
-                    self.release_hold(m, ix);
+                for (m, ix) in reserved {
+                    self.release_migration_reservation(m, ix);
                 }
                 return Err(Obstacle::NoRoomOnTarget);
             };
-            let max_stop_s = self.max_stop_s(ix) + self.grace_for(&preemption.victims);
+            let max_stop_s = self.max_stop_s(ix) + self.longest_stop_grace_s(&preemption.victims);
             let max_start_s = self.max_start_s(ix, target);
-            self.hold(target, ix, max_stop_s + max_start_s);
-            held.push((target, ix));
+            self.reserve_for_migration(target, ix, max_stop_s + max_start_s);
+            reserved.push((target, ix));
             stops.extend(preemption.victims.into_iter().map(|id| (target, id)));
         }
         Ok(stops)
@@ -114,11 +114,11 @@
     }
 
     /// Reserves room for a task of a job that is not waiting yet.
-    fn hold(&mut self, m: u32, ix: u32, for_s: f64) {
+    fn reserve_for_migration(&mut self, m: u32, ix: u32, for_s: f64) {
         self.reserve(m, ix, for_s);
         let reservations = self.workers[m].reservations.iter_mut();
         reservations
             .filter(|reservation| reservation.job == ix)
-            .for_each(|reservation| reservation.held = true);
+            .for_each(|reservation| reservation.for_migration = true);
     }
 }
--- a/src/coordination/preemption/reservations.rs
+++ b/src/coordination/preemption/reservations.rs
@@ -20,7 +20,7 @@
                 job: ix,
                 count: 1,
                 until,
-                held: false,
+                for_migration: false,
             }),
         }
     }
@@ -45,7 +45,7 @@
             let jobs = &self.jobs;
             let wanted = |reservation: &Reservation| {
                 jobs.get(reservation.job).is_some_and(|job| {
-                    job.state == JobState::Live && (reservation.held || job.waiting() > 0)
+                    job.state == JobState::Live && (reservation.for_migration || job.waiting() > 0)
                 })
             };
             self.workers[m]
@@ -72,8 +72,8 @@
 
     /// Free room of a worker less what is reserved for other jobs.
     pub(in crate::coordination) fn room_after_reservations(&self, m: u32, ix: u32) -> Resources {
-        let mut room = self.free_room(m);
-        if let Some(kept) = self.kept_from(m, ix) {
+        let mut room = self.free_resources(m);
+        if let Some(kept) = self.withheld_resources(m, ix) {
             room.sub(&kept);
         }
         for reservation in &self.workers[m].reservations {
@@ -116,7 +116,7 @@
         let reservations = workers.iter().flat_map(|&m| &self.workers[m].reservations);
         let with_reservations: BTreeSet<u32> = reservations.map(|r| r.job).collect();
         for &ix in batch {
-            if self.is_whole_gang(ix) || !with_reservations.contains(&ix) {
+            if self.is_multi_task_gang(ix) || !with_reservations.contains(&ix) {
                 continue;
             }
             for m in self.workers.indices() {
@@ -143,7 +143,7 @@
                 let holder = self.workers[m].reservations[at].job;
                 if let Some(best) = self.most_urgent_like(holder, m, batch)
                     && best != holder
-                    && self.free_room(m).cpus >= self.jobs[best].spec.needs.cpus
+                    && self.free_resources(m).cpus >= self.jobs[best].spec.needs.cpus
                     && !self.has_reservation(m, best)
                 {
                     self.workers[m].reservations[at].job = best;
@@ -156,7 +156,7 @@
     /// gathers workers gives way only to what comes before it.
     fn most_urgent_like(&self, holder: u32, m: u32, batch: &[u32]) -> Option<u32> {
         let profile = self.jobs[holder].large_task_profile?;
-        let holder_is_gang = self.is_whole_gang(holder);
+        let holder_is_gang = self.is_multi_task_gang(holder);
         batch
             .iter()
             .copied()
@@ -164,7 +164,7 @@
             .find(|&ix| {
                 let job = &self.jobs[ix];
                 job.large_task_profile == Some(profile)
-                    && !self.is_whole_gang(ix)
+                    && !self.is_multi_task_gang(ix)
                     && job.waiting() > 0
                     && self.worker_allowed(ix, m)
             })
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -1,11 +1,11 @@
 //! Victims: the task instances on one worker that are stopped to make room for a task.
 
-use crate::coordination::gangs::grace_to_save;
+use crate::coordination::gangs::checkpoint_grace_s;
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 
 /// A victim's time to save counts as at most so many times the patience of whom it is stopped for.
-const MAX_GRACE_IN_PATIENCES: f64 = 7.0;
+const MAX_GRACE_IN_TOLERANCES: f64 = 7.0;
 /// Every stop counts as at least so much lost work.
 const STOP_OVERHEAD_S: f64 = 2.0;
 /// How many CPUs a GPU counts as.
@@ -42,7 +42,7 @@
     /// gang stops as a whole, which is much to lose: only for replicas, which are missed from the
     /// first second on.
     fn may_stop(&self, ix: u32, other: u32) -> bool {
-        self.outranks(ix, other) && (self.jobs[ix].is_service() || !self.is_whole_gang(other))
+        self.outranks(ix, other) && (self.jobs[ix].is_service() || !self.is_multi_task_gang(other))
     }
 
     /// Whether [`Self::victims`] finds a set, without looking for the cheapest.
@@ -55,7 +55,7 @@
                 return false;
             };
             let stops = instance.stop.is_some() || self.may_stop(ix, key.job);
-            if instance.possible() && stops {
+            if instance.may_exist() && stops {
                 room.add(&self.jobs[key.job].spec.needs);
             }
         }
@@ -67,7 +67,7 @@
         let needs = self.jobs[ix].spec.needs;
         let mut room = self.room_for_one_more(ix, m);
         for (key, instance) in &self.workers[m].instances {
-            if instance.possible() && instance.stop.is_some() {
+            if instance.may_exist() && instance.stop.is_some() {
                 // Its room is on the way, and reserved for whoever ordered the stop.
                 room.add(&self.jobs[key.job].spec.needs);
             }
@@ -100,7 +100,7 @@
         let mut candidates: Vec<(f64, InstanceId)> = self.workers[m]
             .instances
             .iter()
-            .filter(|(_, instance)| instance.possible() && instance.stop.is_none())
+            .filter(|(_, instance)| instance.may_exist() && instance.stop.is_none())
             .filter(|(key, _)| self.may_stop(ix, key.job))
             .map(|(key, instance)| (self.stop_cost(ix, key, instance), *key))
             .collect();
@@ -111,13 +111,14 @@
     /// What stopping a task instance costs the job that it is stopped for.
     fn stop_cost(&self, ix: u32, key: &InstanceId, instance: &TaskInstance) -> f64 {
         let mut loss = self.loss(key, instance);
-        if self.is_whole_gang(key.job) {
+        if self.is_multi_task_gang(key.job) {
             loss *= f64::from(self.jobs[key.job].spec.tasks);
         }
         // What saves a checkpoint leaves its room later: replicas that were to start within a
         // second waited for lower work that saved.
-        let grace_in_patiences = self.grace_of(key.job) / self.jobs[ix].patience_s;
-        loss * grace_in_patiences.min(MAX_GRACE_IN_PATIENCES).exp()
+        let grace_in_tolerances =
+            self.stop_grace_s(key.job) / self.jobs[ix].start_delay_tolerance_s;
+        loss * grace_in_tolerances.min(MAX_GRACE_IN_TOLERANCES).exp()
     }
 
     /// What stopping a task instance loses: its work so far, weighted by size and importance.
@@ -135,20 +136,20 @@
     }
 
     /// The time to save that a task of a job gets when it is stopped, in seconds.
-    pub(in crate::coordination) fn grace_of(&self, ix: u32) -> f64 {
+    pub(in crate::coordination) fn stop_grace_s(&self, ix: u32) -> f64 {
         let spec = &self.jobs[ix].spec;
         if spec.checkpoint_s > 0.0 {
-            grace_to_save(spec.save_s)
+            checkpoint_grace_s(spec.save_s)
         } else {
             0.0
         }
     }
 
     /// The longest time to save that any of these gets, in seconds.
-    pub(in crate::coordination) fn grace_for(&self, victims: &[InstanceId]) -> f64 {
+    pub(in crate::coordination) fn longest_stop_grace_s(&self, victims: &[InstanceId]) -> f64 {
         victims
             .iter()
-            .map(|key| self.grace_of(key.job))
+            .map(|key| self.stop_grace_s(key.job))
             .fold(0.0, f64::max)
     }
 }
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -79,11 +79,11 @@
     pub(super) fn run_provisioning(&mut self) {
         if self.now >= self.provisioning.next_types_at {
             self.provisioning.next_types_at = self.now + TYPES_INTERVAL_S;
-            self.effects.push(Effect::ReadTypes);
+            self.effects.push(Effect::ReadMachineTypes);
         }
         if self.now >= self.provisioning.next_list_at {
             self.provisioning.next_list_at = self.now + LIST_INTERVAL_S;
-            self.effects.push(Effect::List);
+            self.effects.push(Effect::ListWorkers);
         }
         self.scale_out();
         self.scale_in();
@@ -123,6 +123,6 @@
             None => self.add_worker(&entry.name, &entry.address, kind, zone, entry.spot),
         };
         self.provisioning.booting.remove(&entry.name);
-        self.workers[m].returning = true;
+        self.workers[m].scaling_in = true;
     }
 }
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -199,7 +199,7 @@
             .iter()
             .filter(|(ix, job)| {
                 job.state == JobState::Live
-                    && !self.is_mistaken(*ix)
+                    && !self.is_faulty_job(*ix)
                     && (self.wants_room(job) || demand.replicas_at_risk.contains_key(ix))
             })
             .map(|(ix, _)| (self.weight(ix), ix))
@@ -217,7 +217,9 @@
         } else {
             0
         };
-        let mut left = waiting.min(MAX_TASKS_PER_JOB).min(self.canaries(ix));
+        let mut left = waiting
+            .min(MAX_TASKS_PER_JOB)
+            .min(self.trial_start_limit(ix));
         left += demand.replicas_at_risk.get(&ix).copied().unwrap_or(0);
         for room in plan.room.iter_mut().filter(|room| room.suits(job)) {
             left = room.fill(&needs, left);
@@ -272,7 +274,7 @@
             }
             for (id, instance) in &worker.instances {
                 let job = &self.jobs[id.job];
-                if instance.possible() && job.is_service() && job.state == JobState::Live {
+                if instance.may_exist() && job.is_service() && job.state == JobState::Live {
                     *replicas.entry(id.job).or_default() += 1;
                 }
             }
@@ -292,7 +294,7 @@
             .map(|(m, worker)| Room {
                 kind: worker.kind,
                 spot: worker.spot,
-                free: self.free_room(m),
+                free: self.free_resources(m),
             })
             .collect()
     }
@@ -307,7 +309,7 @@
     ) -> Option<CapacityPool> {
         let job = &self.jobs[ix];
         let mut best: Option<((f64, u32), CapacityPool)> = None;
-        for (kind, described) in (0u32..).zip(&self.types.known) {
+        for (kind, described) in (0u32..).zip(&self.types.descriptions) {
             let Some(described) = described else { continue };
             let allowed = job.types.as_ref().is_none_or(|types| types.contains(&kind));
             if !allowed || !job.spec.needs.fits_in(&described.whole) {
--- a/src/coordination/provisioning/unresponsive.rs
+++ b/src/coordination/provisioning/unresponsive.rs
@@ -78,13 +78,13 @@
             };
             if release {
                 released.push(m);
-                self.workers[m].returning = true;
+                self.workers[m].scaling_in = true;
                 self.send_scale_in();
             } else if self.may_probe(m) {
-                let left = probes_left.get_or_insert_with(|| self.questions_left());
+                let left = probes_left.get_or_insert_with(|| self.remaining_probes());
                 if *left > 0 {
                     *left -= 1;
-                    self.ask_worker(m);
+                    self.send_probe(m);
                 }
             }
         }
@@ -112,13 +112,13 @@
         let unanswered_at = self.workers[late.index].unanswered_at;
         self.is_overdue(late)
             && unanswered_at.is_some_and(|t| t >= late_since)
-            && self.answers_no_controller(late.index)
+            && self.is_unreachable_by_all(late.index)
     }
 
     /// Whether a direct message may be sent to a worker now.
     fn may_probe(&self, m: u32) -> bool {
         let worker = &self.workers[m];
-        worker.in_flight.is_none() && worker.next_probe <= self.now
+        worker.in_flight.is_none() && worker.next_message_at <= self.now
     }
 
     /// Which workers are late. Heartbeats come a quarter of their interval early or late: a worker
@@ -132,7 +132,7 @@
             let Some(last_heartbeat_at) = worker.last_heartbeat_at else {
                 continue;
             };
-            if worker.returning || !worker.may_be_alive() {
+            if worker.scaling_in || !worker.may_be_alive() {
                 continue;
             }
             if self.now - last_heartbeat_at < late_after_s {
@@ -152,7 +152,7 @@
         self.workers[m]
             .instances
             .iter()
-            .any(|(id, instance)| instance.possible() && self.jobs[id.job].is_service())
+            .any(|(id, instance)| instance.may_exist() && self.jobs[id.job].is_service())
     }
 
     /// Releases the workers that have not answered a new leader while their zones have, if they are
@@ -162,7 +162,7 @@
         self.release_one_way_partitioned_workers(unreconciled);
         let all = self.workers.iter().count();
         let many = unreconciled.len() > 1 + all / FEW_UNRECONCILED;
-        let early = self.now - self.listening_since < THIRD_PROBE_S;
+        let early = self.now - self.expecting_heartbeats_since < THIRD_PROBE_S;
         if many && (early || suggest_network_fault(unreconciled.len(), all - unreconciled.len())) {
             return;
         }
@@ -175,10 +175,10 @@
             let probed_twice = worker
                 .unanswered_at
                 .is_some_and(|t| self.now - t > SECOND_PROBE_S)
-                && self.answers_no_controller(m);
-            if probed_twice && !worker.returning && self.zone_is_reachable(&recent, m, since) {
+                && self.is_unreachable_by_all(m);
+            if probed_twice && !worker.scaling_in && self.zone_is_reachable(&recent, m, since) {
                 released.push(m);
-                self.workers[m].returning = true;
+                self.workers[m].scaling_in = true;
             }
         }
         self.log_released(ReleaseReason::Unreconciled, &released);
@@ -200,8 +200,8 @@
             let sends_heartbeats = worker
                 .last_heartbeat_at
                 .is_some_and(|t| t - expired_at > max_interval_s);
-            if sends_heartbeats && !worker.returning {
-                worker.returning = true;
+            if sends_heartbeats && !worker.scaling_in {
+                worker.scaling_in = true;
                 released.push(m);
             }
         }
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -7,7 +7,7 @@
 //! image takes.
 
 use super::model::*;
-use super::state::{Core, SETTLED_S};
+use super::state::{Core, MIN_RUN_BEFORE_MOVE_S};
 
 /// The share of all replicas that may be away for migrations. Eighty migrations in half a minute
 /// once cost more replica time than losing the leader did; migrating only to where the image is
@@ -108,7 +108,7 @@
         let mut room = self.types.get(worker.kind)?.whole;
         let mut replicas = Vec::new();
         let instances = worker.instances.iter();
-        for (id, instance) in instances.filter(|(_, instance)| instance.possible()) {
+        for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
             let job = &self.jobs[id.job];
             if job.is_service() {
                 room.sub(&job.spec.needs);
@@ -131,7 +131,7 @@
 
     fn replica_may_migrate(&self, id: InstanceId, instance: &TaskInstance) -> bool {
         let running_since = instance.running_since;
-        let settled = running_since.is_some_and(|since| self.now - since > SETTLED_S);
+        let settled = running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
         instance.stop.is_none() && settled && !self.jobs[id.job].pinned
     }
 
@@ -197,7 +197,7 @@
         self.worker_usable(m)
             && self.worker_allowed(ix, m)
             && (same_zone || self.zone_allows(ix, zone))
-            && !self.breaks_whole(ix, m)
+            && !self.fragments_worker(ix, m)
     }
 
     /// A worker as a target, if it has room or has it by preempting tasks that are no gang's.
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -344,7 +344,7 @@
 }
 
 /// The command to stop the task does not reach its worker, and the task completes there. This must
-/// be its only result, and the room that was held for it on the target must be free again.
+/// be its only result, and the room reserved for it on the target must be free again.
 #[test]
 fn a_task_that_ends_during_its_migration_is_done_once() {
     let mut cluster = fragmented_cluster(json!({"runtime_s": 64.0}), tuning());
