--- a/src/coordination/migration/estimates.rs
+++ b/src/coordination/migration/estimates.rs
@@ -6,15 +6,16 @@
 use crate::protocol::worker::TaskPhase;
 
 /// The time from an order to stop until the leader has proof that the instance is gone, in addition
-/// to the grace period and the wait for a heartbeat. It covers one message that is sent again.
+/// to the grace period and one heartbeat interval. It covers the delivery of a heartbeat and one
+/// message that is sent again.
 const STOP_CONFIRMATION_S: f64 = 4.0;
 /// The longest time between two heartbeats that are in time, in heartbeat intervals.
 const HEARTBEAT_JITTER: f64 = 1.25;
 /// The share of its expected runtime that a task is assumed to have left at least, even if it has
 /// already run for longer than expected.
 const MIN_LEFT_SHARE: f64 = 0.1;
-/// A job that tolerates less start delay than this has an objective for its start. The objective counts as met
-/// only once the job has run for a while, so until then its tasks are not migrated.
+/// A job that tolerates less start delay than this has an objective for its start. The objective
+/// counts as met only once the job has run for a while, so until then its tasks are not migrated.
 const OBJECTIVE_TOLERANCE_S: f64 = 120.0;
 
 /// What is expected of a task instance if it runs on, and if it is stopped.
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -240,7 +240,7 @@
     type Fault = fn(&mut FragmentedCluster, &str, &str);
     let faults: [(&str, Fault); 12] = [
         ("the target crashes", |cluster, _, to| {
-            cluster.harness.remove_worker(to)
+            cluster.harness.remove_worker(to);
         }),
         ("the source crashes", |cluster, from, _| {
             cluster.harness.remove_worker(from);
@@ -274,7 +274,7 @@
             cluster.harness.checkpointing = CheckpointMode::Slow(30.0);
         }),
         ("the leader is killed", |cluster, _, _| {
-            cluster.harness.fail_over()
+            cluster.harness.fail_over();
         }),
         ("all controllers are killed", |cluster, _, _| {
             cluster.harness.pause(6.0);
