--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -52,7 +52,7 @@
 
     /// Does not count the time of a pause as time in which workers were unresponsive.
     pub fn record_pause(&mut self, pause: Duration) {
-        self.core.paused(pause.as_secs_f64());
+        self.core.handle_pause(pause.as_secs_f64());
     }
 
     /// Keeps facts until the lease is valid again. Requests are dropped: neither an answer nor a
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -92,7 +92,7 @@
         };
         core.types.update(types);
         core.restore(snapshot);
-        core.failover = FailoverStats::begin(core.awaited_workers());
+        core.failover = FailoverStats::begin(core.count_awaited_workers());
         core
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// The number of workers whose heartbeats this leader waits for.
-    fn awaited_workers(&self) -> usize {
+    fn count_awaited_workers(&self) -> usize {
         self.workers
             .iter()
             .filter(|(_, worker)| worker.known_to_predecessor && !worker.fenced)
@@ -192,9 +192,10 @@
     }
 
     /// Handles a pause of this process during which its clock kept running. Heartbeat times move by
-    /// the length of the pause, so that workers due to report during it do not count as unresponsive:
-    /// the leader would resign or release healthy workers. Leases are not extended.
-    pub fn paused(&mut self, pause_s: f64) {
+    /// the length of the pause, so that workers that were due to report during it do not count as
+    /// unresponsive. Otherwise the leader would resign or release healthy workers. Leases are not
+    /// extended.
+    pub fn handle_pause(&mut self, pause_s: f64) {
         self.expecting_heartbeats_since += pause_s;
         self.shift_shard_statuses(pause_s);
         for (_, worker) in self.workers.iter_mut() {
--- a/tests/behaviours.rs
+++ b/tests/behaviours.rs
@@ -335,7 +335,7 @@
         harness.run(30.0);
         harness.pause(pause_s);
         if pause_reported {
-            harness.core.paused(pause_s);
+            harness.core.handle_pause(pause_s);
         }
         // The first step after the pause runs before any heartbeat has been received.
         harness.unreachable = ["a", "b"]
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -282,7 +282,7 @@
         }),
         ("the leader is paused", |cluster, _, _| {
             cluster.harness.pause(20.0);
-            cluster.harness.core.paused(20.0);
+            cluster.harness.core.handle_pause(20.0);
         }),
         ("the state service is unavailable", |cluster, _, _| {
             cluster.harness.outage = true;
--- a/tests/migration_random.rs
+++ b/tests/migration_random.rs
@@ -328,7 +328,7 @@
             Step::FailOver => cluster.harness.fail_over(),
             Step::Pause(seconds) => {
                 cluster.harness.pause(seconds.into());
-                cluster.harness.core.paused(seconds.into());
+                cluster.harness.core.handle_pause(seconds.into());
             }
             Step::Outage(true) => cluster.harness.outage = true,
             Step::Outage(false) => cluster.harness.end_outage(),
