--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -51,7 +51,7 @@
     /// cloud states.
     boot_time_factors: BTreeMap<u32, f64>,
     /// Pools that had no capacity or refused a request, and until when they are not requested from.
-    no_capacity_until: BTreeMap<CapacityPool, Time>,
+    avoided_until: BTreeMap<CapacityPool, Time>,
     next_list_at: Time,
     next_types_at: Time,
     /// Whether a scale-in request has no response yet. Only one is sent at a time.
@@ -70,7 +70,7 @@
             pending_requests: BTreeMap::new(),
             booting: BTreeMap::new(),
             boot_time_factors: BTreeMap::new(),
-            no_capacity_until: BTreeMap::new(),
+            avoided_until: BTreeMap::new(),
             next_list_at: now,
             next_types_at: now,
             scale_in_pending: false,
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -122,7 +122,7 @@
     /// Requests no workers from a pool for this long.
     fn avoid_pool(&mut self, pool: CapacityPool, pause_s: Time) {
         let until = self.now + pause_s;
-        self.provisioning.no_capacity_until.insert(pool, until);
+        self.provisioning.avoided_until.insert(pool, until);
     }
 
     fn add_booting_worker(&mut self, name: String, pool: CapacityPool) {
@@ -141,7 +141,7 @@
     pub(super) fn scale_out(&mut self) {
         let now = self.now;
         self.provisioning
-            .no_capacity_until
+            .avoided_until
             .retain(|_, until| *until > now);
         if !self.provisioning.pending_requests.is_empty() || !self.provisioning.workers_listed {
             return;
@@ -354,10 +354,11 @@
     }
 
     /// Returns whether workers of the pool may be requested for the job: it must allow spot workers
-    /// if the pool has them, and the pool must not have lacked capacity lately.
+    /// if the pool has them, and the pool must not have lacked capacity or refused a request
+    /// lately.
     fn may_request(&self, job: &Job, pool: CapacityPool) -> bool {
-        let without_capacity = &self.provisioning.no_capacity_until;
-        (!pool.spot || job.spec.spot) && !without_capacity.contains_key(&pool)
+        let avoided_until = &self.provisioning.avoided_until;
+        (!pool.spot || job.spec.spot) && !avoided_until.contains_key(&pool)
     }
 
     /// Returns whether another task of the job may run in this zone.
