--- a/src/coordination/reconciliation/leases.rs
+++ b/src/coordination/reconciliation/leases.rs
@@ -12,8 +12,8 @@
 const ALL_UNRESPONSIVE_MARGIN_S: Time = 0.5;
 
 impl Core {
-    /// Whether no worker has sent a heartbeat for longer than the interval between the heartbeats
-    /// of any one worker. In that case this controller is partitioned, and another one should lead.
+    /// Whether all workers have been silent for longer than it takes a single one to count as
+    /// unresponsive. In that case this controller is partitioned, and another one should lead.
     pub fn has_lost_all_workers(&self) -> bool {
         let timeout_s = self.unresponsive_after_s() + ALL_UNRESPONSIVE_MARGIN_S;
         let last = self
