--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -19,7 +19,7 @@
 use vote_blockers::VoteBlockers;
 
 /// Kept back from the TTL for clock drift and for messages that are already on their way out.
-pub const MARGIN_MS: u64 = 150;
+pub const LEADER_LEASE_MARGIN_MS: u64 = 150;
 
 /// What one process knows of its right to lead: its own lease, its last vote, and the activities
 /// during which it must not vote.
--- a/src/controller/context/leadership_state.rs
+++ b/src/controller/context/leadership_state.rs
@@ -3,7 +3,9 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use copperfield_leadership::{FencingToken, Leadership, MARGIN_MS, StoreReachability, Vote};
+use copperfield_leadership::{
+    FencingToken, LEADER_LEASE_MARGIN_MS, Leadership, StoreReachability, Vote,
+};
 use tokio::time::Instant;
 
 use super::clock::ControllerClock;
@@ -19,7 +21,7 @@
     pub(super) fn new(clock: ControllerClock, ttl_ms: u64) -> Self {
         Self {
             clock,
-            leadership: Mutex::new(Leadership::new(ttl_ms, MARGIN_MS)),
+            leadership: Mutex::new(Leadership::new(ttl_ms, LEADER_LEASE_MARGIN_MS)),
         }
     }
 
