--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -9,7 +9,7 @@
 use super::error::ApiError;
 use super::peers::{PEER_DEADLINE, call_leader};
 use super::{Api, outcome_answer, phase_answer};
-use crate::controller::commands::{Command, Handle, JobLookups};
+use crate::controller::commands::{Command, ControllerHandle, JobLookups};
 use crate::controller::context::ControllerContext;
 use crate::protocol::JobId;
 use crate::protocol::job::JobOutcome;
@@ -109,7 +109,7 @@
 }
 
 /// Keeps the outcome of a job that has ended, so that it is not asked for again.
-pub(super) async fn remember(handle: &Handle, job: JobId, found: Lookup) {
+pub(super) async fn remember(handle: &ControllerHandle, job: JobId, found: Lookup) {
     if let Lookup::Terminal(end) = found {
         handle
             .send(Command::JobFinished { job, outcome: end })
@@ -133,7 +133,7 @@
 /// The queue of lookups for the leader, and what sends them.
 pub(super) fn queue(
     context: Arc<ControllerContext>,
-    handle: Handle,
+    handle: ControllerHandle,
 ) -> (LookupQueue, LookupForwarder) {
     let (sender, pending) = mpsc::channel(MAX_PENDING_LOOKUPS);
     let forwarder = LookupForwarder {
@@ -162,7 +162,7 @@
 /// the next.
 pub(super) struct LookupForwarder {
     context: Arc<ControllerContext>,
-    handle: Handle,
+    handle: ControllerHandle,
     pending: mpsc::Receiver<PendingLookup>,
 }
 
@@ -203,7 +203,7 @@
     }
 }
 
-async fn deliver(handle: &Handle, batch: Vec<PendingLookup>, results: Vec<Lookup>) {
+async fn deliver(handle: &ControllerHandle, batch: Vec<PendingLookup>, results: Vec<Lookup>) {
     let missing = std::iter::repeat(Lookup::NotLeader);
     for (lookup, result) in batch.into_iter().zip(results.into_iter().chain(missing)) {
         remember(handle, lookup.job, result).await;
--- a/src/api/machine_types.rs
+++ b/src/api/machine_types.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::{Instant, sleep};
 
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
 use crate::controller::effects::read_machine_types;
 
@@ -16,7 +16,7 @@
 const REFRESH: Duration = Duration::from_secs(120);
 
 /// Reads the machine types again and again, for ever.
-pub(super) async fn refresh(context: Arc<ControllerContext>, handle: Handle) {
+pub(super) async fn refresh(context: Arc<ControllerContext>, handle: ControllerHandle) {
     let mut pause = FIRST_RETRY;
     let began = Instant::now();
     loop {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -25,7 +25,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use crate::controller::commands::Handle;
+use crate::controller::commands::ControllerHandle;
 use crate::controller::context::ControllerContext;
 use crate::controller::event_loop::Controller;
 use crate::coordination::election;
@@ -51,7 +51,7 @@
 #[derive(Clone)]
 pub struct Api {
     context: Arc<ControllerContext>,
-    handle: Handle,
+    handle: ControllerHandle,
     lookups: LookupQueue,
 }
 
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -147,11 +147,11 @@
 
 /// Sends commands to the event loop.
 #[derive(Clone)]
-pub struct Handle {
+pub struct ControllerHandle {
     queue: mpsc::Sender<Command>,
 }
 
-impl Handle {
+impl ControllerHandle {
     /// A handle that sends to this queue.
     pub fn new(queue: mpsc::Sender<Command>) -> Self {
         Self { queue }
--- a/src/controller/context/mod.rs
+++ b/src/controller/context/mod.rs
@@ -58,7 +58,7 @@
     /// The limit on requests to the cloud.
     pub cloud_budget: RateLimiter,
     /// Wakes the election loop before its next regular look at the leader key.
-    pub election_due: Notify,
+    pub election_wakeup: Notify,
     /// The right of this controller to lead, and its votes for other leaders.
     pub leadership: LeadershipState,
     clock: ControllerClock,
@@ -82,7 +82,7 @@
             ),
             store: Arc::new(new_store(&settings, http.clone())),
             http,
-            election_due: Notify::new(),
+            election_wakeup: Notify::new(),
             leadership: LeadershipState::new(clock, tuning.leader_ttl_ms),
             clock,
             random: SharedRandom::seeded(seed),
@@ -153,7 +153,7 @@
     /// The leader of this token has stepped down, and wants this controller to lead.
     pub fn transfer_leadership(&self, token: u64) {
         self.pending_transfer.set(token);
-        self.election_due.notify_one();
+        self.election_wakeup.notify_one();
     }
 
     /// The token of a leader that has stepped down for this controller, once.
--- a/src/controller/effects/mod.rs
+++ b/src/controller/effects/mod.rs
@@ -11,7 +11,7 @@
 use std::future::Future;
 use std::sync::Arc;
 
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
 use crate::coordination::core::Input;
 use crate::protocol::peer::RelayedCommand;
@@ -23,14 +23,18 @@
 /// Starts the effects of one term.
 pub struct EffectExecutor<'a> {
     context: &'a Arc<ControllerContext>,
-    handle: &'a Handle,
+    handle: &'a ControllerHandle,
     /// The fencing token of the term.
     token: u64,
 }
 
 impl<'a> EffectExecutor<'a> {
     /// An executor for the term of this token.
-    pub fn new(context: &'a Arc<ControllerContext>, handle: &'a Handle, token: u64) -> Self {
+    pub fn new(
+        context: &'a Arc<ControllerContext>,
+        handle: &'a ControllerHandle,
+        token: u64,
+    ) -> Self {
         Self {
             context,
             handle,
--- a/src/controller/effects/peers.rs
+++ b/src/controller/effects/peers.rs
@@ -7,7 +7,7 @@
 use hyper::Method;
 
 use super::workers;
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
 use crate::coordination::core::{Input, Outcome};
 use crate::protocol::peer::{PeerReply, PeerRequest, RelayedCommand};
@@ -75,7 +75,7 @@
 /// this controller may not send commands under that token.
 pub fn relay_commands(
     context: &Arc<ControllerContext>,
-    handle: &Handle,
+    handle: &ControllerHandle,
     token: u64,
     messages: Vec<RelayedCommand>,
 ) -> bool {
--- a/src/controller/effects/state.rs
+++ b/src/controller/effects/state.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
 use crate::coordination::core::Input;
 use crate::protocol::JobId;
@@ -13,7 +13,7 @@
 /// cached. Steps down if the leader key is no longer that of this token.
 pub(super) async fn write(
     context: &Arc<ControllerContext>,
-    handle: &Handle,
+    handle: &ControllerHandle,
     token: u64,
     batch: Vec<Write>,
 ) -> Option<Input> {
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -10,7 +10,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::controller::commands::{AdminResponse, BegunCancellation, Command, Handle, JobLookups};
+use crate::controller::commands::{
+    AdminResponse, BegunCancellation, Command, ControllerHandle, JobLookups,
+};
 use crate::controller::context::ControllerContext;
 use crate::controller::effects::{EffectExecutor, announce_leadership};
 use crate::controller::follower::{BufferedHeartbeats, Follower, WaitingHeartbeat};
@@ -54,7 +56,7 @@
 /// A controller's state and its queue of commands.
 pub struct Controller {
     context: Arc<ControllerContext>,
-    handle: Handle,
+    handle: ControllerHandle,
     queue: mpsc::Receiver<Command>,
     role: Role,
     /// The member name of the leader, as far as it is known.
@@ -70,9 +72,9 @@
 
 impl Controller {
     /// A controller that follows, and the handle to send it commands.
-    pub fn new(context: Arc<ControllerContext>) -> (Self, Handle) {
+    pub fn new(context: Arc<ControllerContext>) -> (Self, ControllerHandle) {
         let (sender, queue) = mpsc::channel(QUEUE_CAPACITY);
-        let handle = Handle::new(sender);
+        let handle = ControllerHandle::new(sender);
         let controller = Self {
             role: Role::Follower(start_follower(&context, &handle)),
             context,
@@ -400,6 +402,9 @@
     }
 }
 
-fn start_follower(context: &Arc<ControllerContext>, handle: &Handle) -> Option<Box<Follower>> {
+fn start_follower(
+    context: &Arc<ControllerContext>,
+    handle: &ControllerHandle,
+) -> Option<Box<Follower>> {
     Follower::start(context, handle).map(Box::new)
 }
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -8,7 +8,7 @@
 use copperfield_heartbeat_forwarder::{Action, HeartbeatForwarder};
 use tokio::sync::oneshot;
 
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
 use crate::controller::pending_replies::{PendingReplies, PendingReply};
 use crate::protocol::peer::{ForwardedHeartbeat, Outcome, PeerReply, PeerRequest, ShardUpdate};
@@ -41,7 +41,7 @@
 /// The state of a shard owner that does not lead.
 pub struct Follower {
     context: Arc<ControllerContext>,
-    handle: Handle,
+    handle: ControllerHandle,
     forwarder: HeartbeatForwarder,
     replies: PendingReplies,
     /// The member name of the leader; `None` while there is none.
@@ -52,7 +52,7 @@
 
 impl Follower {
     /// Starts without a shard; `None` where the workers are not shared among the controllers.
-    pub fn start(context: &Arc<ControllerContext>, handle: &Handle) -> Option<Self> {
+    pub fn start(context: &Arc<ControllerContext>, handle: &ControllerHandle) -> Option<Self> {
         let settings = &context.settings;
         if context.tuning.sharding == Switch::Off || settings.peers.is_empty() {
             return None;
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -28,7 +28,7 @@
 
 use tokio::time::{sleep, timeout};
 
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
 
 use campaign::campaign;
@@ -52,13 +52,13 @@
 }
 
 /// Follows the leader key, campaigns when it is missing, and leads after winning an election.
-pub async fn run(context: Arc<ControllerContext>, handle: Handle) {
+pub async fn run(context: Arc<ControllerContext>, handle: ControllerHandle) {
     loop {
         accept_transfer(&context).await;
         match check_leader_key(&context, &handle).await {
             NextRead::Now => {}
             NextRead::Later => {
-                let _ = timeout(FOLLOW_INTERVAL, context.election_due.notified()).await;
+                let _ = timeout(FOLLOW_INTERVAL, context.election_wakeup.notified()).await;
             }
         }
     }
@@ -74,7 +74,7 @@
     }
 }
 
-async fn check_leader_key(context: &Arc<ControllerContext>, handle: &Handle) -> NextRead {
+async fn check_leader_key(context: &Arc<ControllerContext>, handle: &ControllerHandle) -> NextRead {
     let key = match LeaderKey::read(context).await {
         Ok(key) => key,
         Err(error) => {
@@ -99,7 +99,7 @@
 }
 
 /// Campaigns, after deferring to peers if that is preferable, and leads if it wins.
-async fn run_for_election(context: &Arc<ControllerContext>, handle: &Handle) -> NextRead {
+async fn run_for_election(context: &Arc<ControllerContext>, handle: &ControllerHandle) -> NextRead {
     sleep(Duration::from_millis(context.random(CAMPAIGN_JITTER_MS))).await;
     let peer_uptimes = no_leader::confirm_no_leader(context).await;
     if campaign::should_defer_to_peers(context, peer_uptimes).await {
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{Instant, sleep};
 
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
 use crate::storage::store::StoreError;
 use crate::transport::rate_limiter::Urgency;
@@ -36,7 +36,11 @@
 }
 
 /// Leads until the term ends.
-pub(super) async fn lead(context: &Arc<ControllerContext>, handle: &Handle, won: WonElection) {
+pub(super) async fn lead(
+    context: &Arc<ControllerContext>,
+    handle: &ControllerHandle,
+    won: WonElection,
+) {
     let WonElection { lease, token, .. } = won;
     handle.send(Command::Elected { token }).await;
     tracing::info!(token, "elected");
--- a/src/coordination/election/transfer.rs
+++ b/src/coordination/election/transfer.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
 use crate::protocol::peer::PeerRequest;
 use crate::storage::store::call_peer;
@@ -18,7 +18,7 @@
 /// without a valid leader until its end, and the leases of all workers would expire.
 pub(super) async fn transfer_leadership(
     context: &ControllerContext,
-    handle: &Handle,
+    handle: &ControllerHandle,
     token: u64,
     successor: SocketAddr,
 ) {
--- a/src/storage/recovery.rs
+++ b/src/storage/recovery.rs
@@ -17,7 +17,7 @@
     StoredRegistryPage,
 };
 use super::store::StoreError;
-use crate::controller::commands::{Command, Handle};
+use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
 use crate::coordination::core::Input;
 use crate::protocol::JobId;
@@ -33,7 +33,7 @@
 const WATCH_PAUSE: Duration = Duration::from_millis(15);
 
 /// Reads what earlier leaders have stored, then follows new jobs until the token is superseded.
-pub async fn recover(context: Arc<ControllerContext>, handle: Handle, token: u64) {
+pub async fn recover(context: Arc<ControllerContext>, handle: ControllerHandle, token: u64) {
     let (snapshot, revision) = loop {
         if !context.leadership.leads(token) {
             return;
@@ -216,7 +216,7 @@
 /// Gives the core the jobs that are stored while this controller leads.
 struct JobFollower {
     context: Arc<ControllerContext>,
-    handle: Handle,
+    handle: ControllerHandle,
     token: u64,
     /// The last revision whose jobs the core has.
     revision: u64,
