--- a/crates/fencing/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -11,7 +11,7 @@
 //! long ones, so those are walked at random, seeded. Planted mistakes must each be found.
 
 use copperfield_fencing::{FencedEntry, FencingRecord, PageWrite, StoredPage, timestamp};
-use copperfield_model_checker::{after, effort, explore, walk};
+use copperfield_model_checker::{effort_factor, explore, replay, walk};
 
 /// Milliseconds a step; everything below is a multiple of it, but for what `timestamp` adds.
 const STEP: u64 = 1000;
@@ -533,8 +533,8 @@
     ("the lease is taken for expired", World::expire_lease),
 ];
 
-impl copperfield_model_checker::World for World {
-    fn next(&self) -> Vec<(&'static str, World)> {
+impl copperfield_model_checker::ModelState for World {
+    fn successors(&self) -> Vec<(&'static str, World)> {
         let after_step = |&(name, step): &Step| {
             let mut world = self.clone();
             step(&mut world).then_some((name, world))
@@ -542,7 +542,7 @@
         STEPS.iter().filter_map(after_step).collect()
     }
 
-    fn broken(&self) -> bool {
+    fn violates_property(&self) -> bool {
         let expired = self.leader.as_ref().is_some_and(|l| l.expired_worker);
         expired && self.holds_tasks && self.now < self.leased_from + LEASE
     }
@@ -550,12 +550,12 @@
 
 #[test]
 fn a_lease_that_is_taken_for_expired_is_expired() {
-    let states = 150_000 * effort();
+    let states = 150_000 * effort_factor();
     let depth =
         explore(World::new(Mistake::None), states as usize).unwrap_or_else(|h| panic!("{h:#?}"));
     println!("{states} states, all histories of up to {depth} steps");
     assert!(depth >= 8, "only to a depth of {depth}");
-    let walks = 60_000 * effort();
+    let walks = 60_000 * effort_factor();
     let steps =
         walk(&World::new(Mistake::None), walks, usize::MAX).unwrap_or_else(|h| panic!("{h:#?}"));
     println!("{walks} random histories of {steps} steps");
@@ -608,7 +608,7 @@
         (Mistake::ForgetsItsVoteInARestart, &restarts[..]),
     ] {
         let history = [&fenced[..], history].concat();
-        let search = |mistake: Mistake| explore(after(World::new(mistake), &history), 100_000);
+        let search = |mistake: Mistake| explore(replay(World::new(mistake), &history), 100_000);
         search(Mistake::None).unwrap_or_else(|h| panic!("{h:#?}"));
         let found = search(mistake).expect_err("found");
         println!("{mistake:?}: {found:?}");
--- a/crates/heartbeat-forwarder/src/lib.rs
+++ b/crates/heartbeat-forwarder/src/lib.rs
@@ -180,7 +180,7 @@
     }
 
     /// This controller becomes the leader: the heartbeats that it has buffered.
-    pub fn into_buffered(self, now: u64) -> Vec<DrainedHeartbeat> {
+    pub fn into_buffered_heartbeats(self, now: u64) -> Vec<DrainedHeartbeat> {
         self.buffer.drain(now)
     }
 }
--- a/crates/heartbeat-forwarder/tests/forwarding.rs
+++ b/crates/heartbeat-forwarder/tests/forwarding.rs
@@ -3,7 +3,7 @@
 use copperfield_heartbeat_forwarder::{Action, HeartbeatForwarder, LeaseValidity};
 use copperfield_protocol::peer::{Outcome, ShardStatus, ShardUpdate};
 use copperfield_protocol::worker::Heartbeat;
-use copperfield_sharding::{Change, ShardLease};
+use copperfield_sharding::{ShardChange, ShardLease};
 
 const OWN_INDEX: u32 = 1;
 const LEADER: u32 = 0;
@@ -34,14 +34,14 @@
 }
 
 /// The leader's answer to a status, with these changes from version 1 on.
-fn update(status: &ShardStatus, changes: &[Change]) -> ShardUpdate {
+fn update(status: &ShardStatus, changes: &[ShardChange]) -> ShardUpdate {
     ShardUpdate {
         shard_lease: ShardLease {
             process: PROCESS,
             number: status.owner_status.number,
             token: TOKEN,
-            base: 0,
-            for_ms: LEASE_MS,
+            base_version: 0,
+            duration_ms: LEASE_MS,
             changes: (1..).zip(changes.iter().copied()).collect(),
         },
         names: vec![(WORKER_NUMBER, WORKER.into())],
@@ -54,7 +54,10 @@
     let mut forwarder = forwarder();
     assert_eq!(forwarder.handle_heartbeat(970, TICKET, heartbeat(1)), []);
     let status = forwarder.next_status(1000).expect("due");
-    let answers = forwarder.handle_update(1010, &update(&status, &[Change::Assign(WORKER_NUMBER)]));
+    let answers = forwarder.handle_update(
+        1010,
+        &update(&status, &[ShardChange::Assign(WORKER_NUMBER)]),
+    );
     let (ticket, token) = (TICKET, TOKEN);
     assert_eq!(answers, [Action::Answer { ticket, token }]);
     forwarder
@@ -105,8 +108,8 @@
     let mut forwarder = owner_of_the_worker();
     let status = forwarder.next_status(1300).expect("due");
     let changes = [
-        Change::Assign(WORKER_NUMBER),
-        Change::Release(WORKER_NUMBER, Some(LEADER)),
+        ShardChange::Assign(WORKER_NUMBER),
+        ShardChange::Release(WORKER_NUMBER, Some(LEADER)),
     ];
     assert_eq!(
         forwarder.handle_update(1310, &update(&status, &changes)),
@@ -119,13 +122,13 @@
     };
     assert_eq!(actions, [redirect]);
     let status = forwarder.next_status(1700).expect("due");
-    let released = &status.owner_status.left;
+    let released = &status.owner_status.released;
     assert_eq!(released.len(), 1);
     assert_eq!(
         (released[0].worker, released[0].version),
         (WORKER_NUMBER, 2)
     );
-    assert_eq!(released[0].answered, Some(1700 - 970));
+    assert_eq!(released[0].last_answer_age_ms, Some(1700 - 970));
 }
 
 #[test]
--- a/crates/leadership/tests/cancellation/main.rs
+++ b/crates/leadership/tests/cancellation/main.rs
@@ -13,7 +13,7 @@
 mod steps;
 mod world;
 
-use copperfield_model_checker::{after, effort, explore, walk};
+use copperfield_model_checker::{effort_factor, explore, replay, walk};
 
 use common::{assert_holds_in_all_histories, assert_holds_in_random_histories, fail};
 use world::{CancellationWorld, Mistake};
@@ -22,8 +22,8 @@
 fn a_job_reported_as_cancelled_ends_in_time() {
     for mistake in [Mistake::None, Mistake::VotesThoughStoreReachable] {
         let start = CancellationWorld::new(mistake);
-        assert_holds_in_all_histories(start.clone(), 200_000 * effort(), 7);
-        assert_holds_in_random_histories(&start, 40_000 * effort(), 80);
+        assert_holds_in_all_histories(start.clone(), 200_000 * effort_factor(), 7);
+        assert_holds_in_random_histories(&start, 40_000 * effort_factor(), 80);
     }
 }
 
@@ -60,10 +60,10 @@
     }
     // Chance does not get there. The last step is what the program as it is does not do.
     let expired = &CANCELLED_WITHOUT_A_LEADER[..7];
-    explore(after(CancellationWorld::new(None), expired), 60_000)
+    explore(replay(CancellationWorld::new(None), expired), 60_000)
         .unwrap_or_else(|history| fail(&history));
     let revived = CancellationWorld::new(VotesReviveExpiredLease);
-    let revived = after(revived, &CANCELLED_WITHOUT_A_LEADER);
+    let revived = replay(revived, &CANCELLED_WITHOUT_A_LEADER);
     let found = explore(revived, 600_000).expect_err("it is not found");
     println!("VotesReviveExpiredLease: {found:?}");
 }
--- a/crates/leadership/tests/cancellation/world.rs
+++ b/crates/leadership/tests/cancellation/world.rs
@@ -1,7 +1,7 @@
 //! Two controllers, one state service, one worker with one task.
 
 use copperfield_leadership::FencingToken;
-use copperfield_model_checker::{Successors, World};
+use copperfield_model_checker::{ModelState, Successors};
 
 use crate::common::{Faults, Process, TTL};
 
@@ -268,9 +268,9 @@
     }
 }
 
-impl World for CancellationWorld {
-    fn next(&self) -> Vec<(&'static str, Self)> {
-        let mut steps = Successors::of(self);
+impl ModelState for CancellationWorld {
+    fn successors(&self) -> Vec<(&'static str, Self)> {
+        let mut steps = Successors::new(self);
         self.add_service_steps(&mut steps);
         self.add_transaction_steps(&mut steps);
         for c in 0..self.controllers.len() {
@@ -284,7 +284,7 @@
         steps.into_vec()
     }
 
-    fn broken(&self) -> bool {
+    fn violates_property(&self) -> bool {
         let ends_by = |reported_at| reported_at + SHARD_LEASE + WORKER_LEASE;
         self.worker.runs_task && self.reported_at.is_some_and(|at| self.now > ends_by(at))
     }
--- a/crates/leadership/tests/common/mod.rs
+++ b/crates/leadership/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! fails, and names of steps.
 
 use copperfield_leadership::Leadership;
-use copperfield_model_checker::{History, World, explore, walk};
+use copperfield_model_checker::{History, ModelState, explore, walk};
 
 /// A controller's lease and vote last that many steps of a model, without a margin: the state
 /// service ends no lease early.
@@ -118,14 +118,14 @@
 
 /// Explores all histories up to a number of worlds. Fails if one breaks the property, or if the
 /// depth to which all were explored is less than `least_depth`.
-pub fn assert_holds_in_all_histories<W: World>(start: W, states: u64, least_depth: usize) {
+pub fn assert_holds_in_all_histories<S: ModelState>(start: S, states: u64, least_depth: usize) {
     let depth = explore(start, states as usize).unwrap_or_else(|history| fail(&history));
     println!("{states} states, all histories of up to {depth} steps");
     assert!(depth >= least_depth, "only to a depth of {depth}");
 }
 
 /// Fails if one of this many random histories breaks the property.
-pub fn assert_holds_in_random_histories<W: World>(start: &W, walks: u64, limit: usize) {
+pub fn assert_holds_in_random_histories<S: ModelState>(start: &S, walks: u64, limit: usize) {
     let steps = walk(start, walks, limit).unwrap_or_else(|history| fail(&history));
     println!("{walks} random histories of {steps} steps");
 }
--- a/crates/leadership/tests/model/main.rs
+++ b/crates/leadership/tests/model/main.rs
@@ -14,7 +14,7 @@
 mod steps;
 mod world;
 
-use copperfield_model_checker::{after, effort, explore};
+use copperfield_model_checker::{effort_factor, explore, replay};
 
 use common::{assert_holds_in_all_histories, assert_holds_in_random_histories, fail};
 use mistakes::Mistake;
@@ -25,8 +25,8 @@
     for (controllers, least_depth) in [(2, 7), (3, 5)] {
         println!("{controllers} controllers:");
         let start = LeadershipWorld::new(controllers, Mistake::None);
-        assert_holds_in_all_histories(start.clone(), 250_000 * effort(), least_depth);
-        assert_holds_in_random_histories(&start, 60_000 * effort(), 60);
+        assert_holds_in_all_histories(start.clone(), 250_000 * effort_factor(), least_depth);
+        assert_holds_in_random_histories(&start, 60_000 * effort_factor(), 60);
     }
 }
 
@@ -257,12 +257,12 @@
             ConfirmsWithOnePeer | VotesDuringConfirmation => 3,
             _ => 2,
         };
-        let from = |mistake| after(LeadershipWorld::new(controllers, mistake), &history);
+        let from = |mistake| replay(LeadershipWorld::new(controllers, mistake), &history);
         explore(from(None), 60_000).unwrap_or_else(|history| fail(&history));
         let mut wrong = from(*mistake);
         if *mistake == VotesDuringConfirmation {
             // What the program as it is would not do.
-            wrong = after(wrong, &["controller 1 grants its vote"]);
+            wrong = replay(wrong, &["controller 1 grants its vote"]);
         }
         let found = explore(wrong, 600_000);
         let found = found.expect_err(&format!("{mistake:?} is not found"));
@@ -279,7 +279,7 @@
         "controller 0 is answered",
     ];
     let history = [&LEADS[..], &FINDS_OWN_KEY, &removed, &LEADS[..3]].concat();
-    let world = after(LeadershipWorld::new(2, Mistake::None), &history);
+    let world = replay(LeadershipWorld::new(2, Mistake::None), &history);
     assert_eq!((world.now, world.is_valid_leader(0)), (0, true));
     assert_eq!(world.controllers[0].process.number, 1);
 }
@@ -295,9 +295,9 @@
     ];
     let refused = ["controller 0 alone is refused"];
     let history = [&LEADS[..], &refused, &TRANSFERRED, &taken_up, &OTHER_WINS].concat();
-    let world = after(LeadershipWorld::new(2, Mistake::None), &history);
+    let world = replay(LeadershipWorld::new(2, Mistake::None), &history);
     assert_eq!((world.now, world.is_valid_leader(1)), (0, true));
-    let mut expired = after(
+    let mut expired = replay(
         LeadershipWorld::new(2, Mistake::None),
         &[&LEADS[..], &refused, &KEY_EXPIRED, &OTHER_WINS].concat(),
     );
--- a/crates/leadership/tests/model/world.rs
+++ b/crates/leadership/tests/model/world.rs
@@ -1,7 +1,7 @@
 //! Two or three controllers and one state service.
 
 use copperfield_leadership::{FencingToken, StoreReachability};
-use copperfield_model_checker::{Successors, World};
+use copperfield_model_checker::{ModelState, Successors};
 
 use crate::common::{Faults, Process, TTL};
 use crate::mistakes::Mistake;
@@ -368,9 +368,9 @@
     FencingToken::from(u64::from(version))
 }
 
-impl World for LeadershipWorld {
-    fn next(&self) -> Vec<(&'static str, Self)> {
-        let mut steps = Successors::of(self);
+impl ModelState for LeadershipWorld {
+    fn successors(&self) -> Vec<(&'static str, Self)> {
+        let mut steps = Successors::new(self);
         self.add_service_steps(&mut steps);
         for c in 0..self.controllers.len() {
             self.add_fault_steps(c, &mut steps);
@@ -387,7 +387,7 @@
         steps.into_vec()
     }
 
-    fn broken(&self) -> bool {
+    fn violates_property(&self) -> bool {
         let valid = (0..self.controllers.len()).filter(|&c| self.is_valid_leader(c));
         valid.count() > 1 || self.cancelled_beside_leader
     }
--- a/crates/model-checker/src/explore.rs
+++ b/crates/model-checker/src/explore.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hasher};
 
-use crate::{History, World};
+use crate::{History, ModelState};
 
 /// The step that first led to a world, and the position of the step before it.
 struct Step {
@@ -25,7 +25,7 @@
 ///
 /// Returns up to which depth all histories were explored, `usize::MAX` if there are no more
 /// worlds, or the shortest history that breaks the property.
-pub fn explore<W: World>(start: W, states: usize) -> Result<usize, History> {
+pub fn explore<W: ModelState>(start: W, states: usize) -> Result<usize, History> {
     let mut seen = HashSet::from([fingerprint(&start)]);
     let mut steps = vec![Step {
         name: "",
@@ -37,13 +37,13 @@
         depth: 0,
     }]);
     while let Some(Visit { world, step, depth }) = queue.pop_front() {
-        if world.broken() {
+        if world.violates_property() {
             return Err(history_to(step, &steps));
         }
         if seen.len() > states {
             return Ok(depth);
         }
-        for (name, next) in world.next() {
+        for (name, next) in world.successors() {
             if seen.insert(fingerprint(&next)) {
                 steps.push(Step {
                     name,
@@ -60,7 +60,7 @@
     Ok(usize::MAX)
 }
 
-fn fingerprint<W: World>(world: &W) -> u64 {
+fn fingerprint<W: ModelState>(world: &W) -> u64 {
     let mut hasher = DefaultHasher::new();
     world.hash(&mut hasher);
     hasher.finish()
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,6 +1,6 @@
 //! Model checking for tests: all short histories of a small world, and long ones at random.
 //!
-//! A [`World`] holds the code under test and a model of its surroundings. [`explore()`] and
+//! A [`ModelState`] holds the code under test and a model of its surroundings. [`explore()`] and
 //! [`walk()`] search its histories for one that breaks the world's property.
 
 #![warn(missing_docs)]
@@ -19,12 +19,12 @@
 pub type History = Vec<&'static str>;
 
 /// A state of the modelled system.
-pub trait World: Clone + Hash {
+pub trait ModelState: Clone + Hash {
     /// All steps that may be taken next, by name, each with the world after it.
-    fn next(&self) -> Vec<(&'static str, Self)>;
+    fn successors(&self) -> Vec<(&'static str, Self)>;
 
     /// Whether the property under test does not hold here.
-    fn broken(&self) -> bool;
+    fn violates_property(&self) -> bool;
 }
 
 /// The world after a given history.
@@ -32,9 +32,9 @@
 /// # Panics
 ///
 /// If a step of the history cannot be taken where it stands.
-pub fn after<W: World>(start: W, history: &[&str]) -> W {
+pub fn replay<W: ModelState>(start: W, history: &[&str]) -> W {
     history.iter().fold(start, |world, step| {
-        let mut successors = world.next().into_iter();
+        let mut successors = world.successors().into_iter();
         let taken = successors.find(|(name, _)| name == step);
         taken
             .unwrap_or_else(|| panic!("{step} cannot happen here"))
@@ -43,7 +43,7 @@
 }
 
 /// By what factor the tests explore more than in CI: the variable `COPPERFIELD_MODEL`.
-pub fn effort() -> u64 {
+pub fn effort_factor() -> u64 {
     let factor = std::env::var("COPPERFIELD_MODEL").ok();
     factor.and_then(|n| n.parse().ok()).unwrap_or(1)
 }
--- a/crates/model-checker/src/successors.rs
+++ b/crates/model-checker/src/successors.rs
@@ -1,6 +1,6 @@
 //! Collects the steps that may be taken next in a world.
 
-use crate::World;
+use crate::ModelState;
 
 /// The steps that may be taken from one world, and the worlds after them.
 #[derive(Debug)]
@@ -9,9 +9,9 @@
     taken: Vec<(&'static str, W)>,
 }
 
-impl<'a, W: World> Successors<'a, W> {
+impl<'a, W: ModelState> Successors<'a, W> {
     /// No steps yet.
-    pub fn of(world: &'a W) -> Self {
+    pub fn new(world: &'a W) -> Self {
         Self {
             world,
             taken: Vec::new(),
--- a/crates/model-checker/tests/search.rs
+++ b/crates/model-checker/tests/search.rs
@@ -1,6 +1,6 @@
 //! The searches find what is broken, by the shortest way, and end where there is no more.
 
-use copperfield_model_checker::{Successors, World, after, explore, walk};
+use copperfield_model_checker::{ModelState, Successors, explore, replay, walk};
 
 /// Counts up by one or two, to `end` at most; broken at `forbidden`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -32,15 +32,15 @@
     }
 }
 
-impl World for Counter {
-    fn next(&self) -> Vec<(&'static str, Self)> {
-        let mut successors = Successors::of(self);
+impl ModelState for Counter {
+    fn successors(&self) -> Vec<(&'static str, Self)> {
+        let mut successors = Successors::new(self);
         successors.add("one", |counter| counter.add(1));
         successors.add("two", |counter| counter.add(2));
         successors.into_vec()
     }
 
-    fn broken(&self) -> bool {
+    fn violates_property(&self) -> bool {
         self.forbidden == Some(self.value)
     }
 }
@@ -73,12 +73,12 @@
 fn walks_find_what_is_broken_and_repeat_it() {
     let world = Counter::to(9).forbidding(5);
     let found = walk(&world, 100, 10).expect_err("most walks pass there");
-    assert!(after(world.clone(), &found).broken());
+    assert!(replay(world.clone(), &found).violates_property());
     assert_eq!(walk(&world, 100, 10), Err(found));
 }
 
 #[test]
 #[should_panic(expected = "two cannot happen here")]
 fn a_history_with_an_impossible_step_is_refused() {
-    after(Counter::to(2), &["one", "two"]);
+    replay(Counter::to(2), &["one", "two"]);
 }
--- a/crates/protocol/tests/pinned_bytes.rs
+++ b/crates/protocol/tests/pinned_bytes.rs
@@ -15,7 +15,7 @@
 use copperfield_protocol::worker::{
     Command, Exit, Heartbeat, TaskPhase, TaskStatus, Verb, commands_body,
 };
-use copperfield_sharding::{Change, OwnerStatus, ReleasedWorker, ShardLease};
+use copperfield_sharding::{OwnerStatus, ReleasedWorker, ShardChange, ShardLease};
 use serde_json::Value;
 
 fn pinned(file: &str) -> String {
@@ -152,17 +152,17 @@
         .collect()
 }
 
-fn left() -> Vec<ReleasedWorker> {
+fn released() -> Vec<ReleasedWorker> {
     vec![
         ReleasedWorker {
             worker: 5,
             version: 6,
-            answered: Some(7),
+            last_answer_age_ms: Some(7),
         },
         ReleasedWorker {
             worker: 8,
             version: 9,
-            answered: None,
+            last_answer_age_ms: None,
         },
     ]
 }
@@ -173,15 +173,15 @@
         number: 2,
         token: 3,
         version: 4,
-        left: left(),
+        released: released(),
     }
 }
 
-fn changes() -> Vec<Change> {
+fn changes() -> Vec<ShardChange> {
     vec![
-        Change::Assign(1),
-        Change::Release(2, Some(3)),
-        Change::Release(4, None),
+        ShardChange::Assign(1),
+        ShardChange::Release(2, Some(3)),
+        ShardChange::Release(4, None),
     ]
 }
 
@@ -190,8 +190,8 @@
         process: 1,
         number: 2,
         token: 3,
-        base: 4,
-        for_ms: 5,
+        base_version: 4,
+        duration_ms: 5,
         changes: changes()
             .into_iter()
             .zip(6..)
@@ -383,7 +383,7 @@
     check_values("peer/15.hex", 0, &[upward()]);
     check_values("peer/16.hex", 0, &[downward()]);
     check_values("peer/17.hex", 0, &[owner_status()]);
-    check_values("peer/18.hex", 0, &left());
+    check_values("peer/18.hex", 0, &released());
     check_values("peer/19.hex", 0, &[shard_lease()]);
     check_values("peer/20.hex", 2, &changes());
     check_values("peer/21.hex", 0, &[job(0), job(412), job(u64::MAX)]);
--- a/crates/sharding/src/coordinator.rs
+++ b/crates/sharding/src/coordinator.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::message::{Change, OwnerStatus, ShardLease};
+use crate::message::{OwnerStatus, ShardChange, ShardLease};
 use crate::rendezvous::{ControllerCapacity, load_limits, rank_controllers};
 use crate::table::{Assignment, ShardTable};
 use crate::{ControllerIndex, Millis, WorkerNumber};
@@ -47,7 +47,7 @@
     /// Any controller.
     AnyController,
     /// None: the worker is fenced, or about to be.
-    Nobody,
+    NoController,
     /// Only the leader itself.
     LeaderOnly,
 }
@@ -212,7 +212,7 @@
     }
 
     /// See [`ShardTable::pending_changes`].
-    pub fn pending_changes(&self, controller: ControllerIndex) -> Vec<(u64, Change)> {
+    pub fn pending_changes(&self, controller: ControllerIndex) -> Vec<(u64, ShardChange)> {
         self.table.pending_changes(controller)
     }
 
@@ -263,7 +263,7 @@
         permission: AnswerPermission,
     ) -> Route {
         match permission {
-            AnswerPermission::Nobody => Route::Wait,
+            AnswerPermission::NoController => Route::Wait,
             AnswerPermission::LeaderOnly if at == self.leader => Route::Here,
             AnswerPermission::LeaderOnly => Route::Redirect(self.leader),
             AnswerPermission::AnyController => {
--- a/crates/sharding/src/message.rs
+++ b/crates/sharding/src/message.rs
@@ -16,7 +16,7 @@
     /// The last change to the shard that was applied.
     pub version: u64,
     /// Workers released since the last status that the leader acknowledged.
-    pub left: Vec<ReleasedWorker>,
+    pub released: Vec<ReleasedWorker>,
 }
 
 /// A worker that a shard owner does not answer any more.
@@ -27,12 +27,12 @@
     /// The change that released it.
     pub version: u64,
     /// How long ago the last heartbeat that was answered had come in, if any was answered.
-    pub answered: Option<Millis>,
+    pub last_answer_age_ms: Option<Millis>,
 }
 
 /// A change to the shard of a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
-pub enum Change {
+pub enum ShardChange {
     /// Answer this worker from now on.
     Assign(WorkerNumber),
     /// Stop answering this worker, and redirect it to this controller, if to any.
@@ -49,19 +49,19 @@
     /// The leader's fencing token.
     pub token: u64,
     /// A shard of an earlier version is dropped whole: it belonged to another process.
-    pub base: u64,
+    pub base_version: u64,
     /// How long the shard owner may answer, in ms, counted from when it sent the status.
-    pub for_ms: Millis,
+    pub duration_ms: Millis,
     /// The changes that the shard owner has not acknowledged, by version, in order.
-    pub changes: Vec<(u64, Change)>,
+    pub changes: Vec<(u64, ShardChange)>,
 }
 
 impl ShardLease {
     /// The workers that the changes of this lease assign.
     pub fn assigned_workers(&self) -> impl Iterator<Item = WorkerNumber> {
         self.changes.iter().filter_map(|(_, change)| match change {
-            Change::Assign(worker) => Some(*worker),
-            Change::Release(..) => None,
+            ShardChange::Assign(worker) => Some(*worker),
+            ShardChange::Release(..) => None,
         })
     }
 }
--- a/crates/sharding/src/owner.rs
+++ b/crates/sharding/src/owner.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::message::{Change, OwnerStatus, ReleasedWorker, ShardLease};
+use crate::message::{OwnerStatus, ReleasedWorker, ShardChange, ShardLease};
 use crate::{ControllerIndex, Millis, WorkerNumber};
 
 /// How a shard owner treats a heartbeat.
@@ -85,14 +85,14 @@
         let released = |(&worker, release): (&WorkerNumber, &PendingRelease)| ReleasedWorker {
             worker,
             version: release.version,
-            answered: release.last_answer.map(|at| now.saturating_sub(at)),
+            last_answer_age_ms: release.last_answer.map(|at| now.saturating_sub(at)),
         };
         OwnerStatus {
             process: self.process,
             number: self.last_status,
             token: self.token,
             version: self.version,
-            left: self.released.iter().map(released).collect(),
+            released: self.released.iter().map(released).collect(),
         }
     }
 
@@ -117,12 +117,12 @@
         } else if status.number <= self.answered_up_to {
             return;
         }
-        if self.version < lease.base {
-            self.version = lease.base;
+        if self.version < lease.base_version {
+            self.version = lease.base_version;
             self.drop_shard();
         }
         self.acknowledge(status.number);
-        self.valid_until = self.valid_until.max(status.sent_at + lease.for_ms);
+        self.valid_until = self.valid_until.max(status.sent_at + lease.duration_ms);
         for &(version, change) in &lease.changes {
             if version > self.version {
                 self.version = version;
@@ -139,14 +139,14 @@
             .retain(|_, release| release.first_status > number);
     }
 
-    fn apply(&mut self, version: u64, change: Change) {
+    fn apply(&mut self, version: u64, change: ShardChange) {
         match change {
-            Change::Assign(worker) => {
+            ShardChange::Assign(worker) => {
                 self.redirects.remove(&worker);
                 self.released.remove(&worker);
                 self.shard.entry(worker).or_insert(None);
             }
-            Change::Release(worker, to) => {
+            ShardChange::Release(worker, to) => {
                 let release = PendingRelease {
                     version,
                     last_answer: self.shard.remove(&worker).flatten(),
--- a/crates/sharding/src/table.rs
+++ b/crates/sharding/src/table.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::message::{Change, OwnerStatus, ReleasedWorker, ShardLease};
+use crate::message::{OwnerStatus, ReleasedWorker, ShardChange, ShardLease};
 use crate::{ControllerIndex, Millis, WorkerNumber};
 
 /// Leases end a little sooner on the shard owner's clock than on the leader's: monotonic clocks
@@ -51,9 +51,9 @@
     /// The version of the last change to its shard.
     version: u64,
     /// At this version its shard was empty: anything older was another process's.
-    base: u64,
+    base_version: u64,
     /// Changes that it has not acknowledged, the oldest first.
-    pending: VecDeque<(u64, Change)>,
+    pending: VecDeque<(u64, ShardChange)>,
     /// When its last lease ends, whichever process has it.
     lease_end: Millis,
 }
@@ -100,7 +100,7 @@
         self.next_owners.remove(&worker);
         self.releasing.remove(&worker);
         if let Some(Assignment::Owned { owner, .. }) = self.workers.remove(&worker) {
-            self.queue_change(owner, Change::Release(worker, None));
+            self.queue_change(owner, ShardChange::Release(worker, None));
         }
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Adds a change to the shard of a controller, and returns its version.
-    fn queue_change(&mut self, controller: ControllerIndex, change: Change) -> u64 {
+    fn queue_change(&mut self, controller: ControllerIndex, change: ShardChange) -> u64 {
         let controller = self.owner_state(controller);
         controller.version += 1;
         controller.pending.push_back((controller.version, change));
@@ -147,7 +147,7 @@
                 let releasing = Assignment::Releasing {
                     owner,
                     lease_end: self.owner_state(owner).lease_end,
-                    version: self.queue_change(owner, Change::Release(worker, to)),
+                    version: self.queue_change(owner, ShardChange::Release(worker, to)),
                     last_answer,
                 };
                 self.workers.insert(worker, releasing);
@@ -163,7 +163,7 @@
         self.releasing.remove(&worker);
         let assignment = match self.next_owners.remove(&worker) {
             Some(owner) => {
-                self.queue_change(owner, Change::Assign(worker));
+                self.queue_change(owner, ShardChange::Assign(worker));
                 Assignment::Owned { owner, last_answer }
             }
             None => Assignment::Unassigned { last_answer },
@@ -212,7 +212,7 @@
         let controller = self.owner_state(from);
         controller.pending.clear();
         controller.version += 1;
-        controller.base = controller.version;
+        controller.base_version = controller.version;
     }
 
     /// Completes the releases that were not confirmed by controllers whose leases have ended.
@@ -254,7 +254,7 @@
             self.owner_state(from)
                 .pending
                 .retain(|(version, _)| *version > status.version);
-            for released in &status.left {
+            for released in &status.released {
                 self.confirm_release(now, from, released);
             }
         }
@@ -276,7 +276,7 @@
         if owner == from && version == released.version {
             // Ages count from when the status was sent, which was before now.
             let answered_at = released
-                .answered
+                .last_answer_age_ms
                 .map_or(last_answer, |age| now.saturating_sub(age));
             self.complete_release(released.worker, answered_at.max(last_answer));
         }
@@ -291,20 +291,20 @@
     ) -> ShardLease {
         let controller = self.owner_state(to);
         controller.lease_end = controller.lease_end.max(now + valid_for);
-        let base = controller.base;
+        let base_version = controller.base_version;
         let margin = valid_for / CLOCK_DRIFT_DIVISOR + TIMER_GRANULARITY_MS;
         ShardLease {
             process: status.process,
             number: status.number,
             token: self.token,
-            base,
-            for_ms: valid_for.saturating_sub(margin),
+            base_version,
+            duration_ms: valid_for.saturating_sub(margin),
             changes: self.pending_changes(to),
         }
     }
 
     /// The changes that a controller has not acknowledged: any lease for it may carry them.
-    pub fn pending_changes(&self, controller: ControllerIndex) -> Vec<(u64, Change)> {
+    pub fn pending_changes(&self, controller: ControllerIndex) -> Vec<(u64, ShardChange)> {
         let pending = &self.controllers[controller as usize].pending;
         pending.iter().copied().collect()
     }
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -8,7 +8,7 @@
 //! The properties: never two shard owners may answer the worker under one fencing token; and when a
 //! leader takes the worker's lease for expired, it is expired. Each planted mistake must be found.
 
-use copperfield_model_checker::{after, effort, explore, walk};
+use copperfield_model_checker::{effort_factor, explore, replay, walk};
 use copperfield_sharding::{
     Assignment, HeartbeatDecision, OwnerStatus, ShardLease, ShardOwner, ShardTable,
 };
@@ -173,8 +173,8 @@
         }
         let leader = self.leader.as_mut().expect("valid");
         if mistake == Mistake::OmitsLastAnswer {
-            for released in &mut status.left {
-                released.answered = None;
+            for released in &mut status.released {
+                released.last_answer_age_ms = None;
             }
         }
         let valid_for = match mistake {
@@ -190,7 +190,7 @@
             .handle_status(now, n as u32, &status, valid_for)
         {
             if mistake == Mistake::KeepsShardOfOtherProcess {
-                lease.base = 0;
+                lease.base_version = 0;
             }
             self.controllers[n].leases.push(lease);
         }
@@ -470,8 +470,8 @@
     }
 }
 
-impl copperfield_model_checker::World for World {
-    fn next(&self) -> Vec<(&'static str, World)> {
+impl copperfield_model_checker::ModelState for World {
+    fn successors(&self) -> Vec<(&'static str, World)> {
         let mut successors = Successors {
             world: self,
             found: Vec::new(),
@@ -488,7 +488,7 @@
         successors.found
     }
 
-    fn broken(&self) -> bool {
+    fn violates_property(&self) -> bool {
         let expired = self.valid_leader().is_some_and(|l| l.lease_expired);
         let expired_too_early =
             expired && self.holds_tasks && self.now < self.leased_from + WORKER_LEASE_MS;
@@ -561,18 +561,18 @@
 
 #[test]
 fn at_most_one_owner_answers_and_leases_expire_no_earlier_than_on_the_worker() {
-    let states = 150_000 * effort();
+    let states = 150_000 * effort_factor();
     let reassigned = [&ASSIGNED[..], &REASSIGNED].concat();
     let revoked = [&ASSIGNED[..], &ANSWERED, &REVOKED].concat();
     for start in [&[][..], &ASSIGNED, &reassigned, &revoked] {
-        let world = after(World::new(Mistake::None), start);
+        let world = replay(World::new(Mistake::None), start);
         let depth = explore(world.clone(), states as usize).unwrap_or_else(|h| panic!("{h:#?}"));
         println!(
             "after {} steps, {states} states, all of {depth} more",
             start.len()
         );
         assert!(depth >= 6, "only to a depth of {depth}");
-        let walks = 10_000 * effort();
+        let walks = 10_000 * effort_factor();
         let steps = walk(&world, walks, 80).unwrap_or_else(|h| panic!("{h:#?}"));
         println!("{walks} random histories of {steps} steps");
     }
@@ -678,7 +678,7 @@
     ];
     for (mistake, parts) in cases {
         let history = parts.concat();
-        let search = |mistake, limit| explore(after(World::new(mistake), &history), limit);
+        let search = |mistake, limit| explore(replay(World::new(mistake), &history), limit);
         search(None, 60_000).unwrap_or_else(|h| panic!("{h:#?}"));
         match search(*mistake, 900_000) {
             Ok(depth) => panic!("{mistake:?} is not found in {depth} steps"),
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -140,7 +140,10 @@
     pub fn into_buffered_heartbeats(mut self) -> BufferedHeartbeats {
         self.context.set_shard_permission(0, 0);
         let mut buffered = BufferedHeartbeats::default();
-        for drained in self.forwarder.into_buffered(self.context.now_ms()) {
+        for drained in self
+            .forwarder
+            .into_buffered_heartbeats(self.context.now_ms())
+        {
             let reply = drained
                 .ticket
                 .and_then(|ticket| self.replies.take_heartbeat(ticket));
--- a/src/coordination/sharding/routing.rs
+++ b/src/coordination/sharding/routing.rs
@@ -51,7 +51,7 @@
             return if self.now < self.lease_extended_until {
                 AnswerPermission::LeaderOnly
             } else {
-                AnswerPermission::Nobody
+                AnswerPermission::NoController
             };
         }
         if self.requires_stops_in_answers(m) {
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -15,7 +15,7 @@
 use copperfield::transport::client::{Answer, Exchange, Network};
 use copperfield::transport::server::Incoming;
 use copperfield_heartbeat_forwarder::HeartbeatForwarder;
-use copperfield_sharding::{Change, ShardLease};
+use copperfield_sharding::{ShardChange, ShardLease};
 use copperfield_simulation::cluster::Site;
 use copperfield_simulation::loopback::{Loopback, free_address};
 use copperfield_simulation::state_service::StateService;
@@ -221,8 +221,8 @@
         process: 7,
         number,
         token: 5,
-        base: 0,
-        for_ms: 1000,
+        base_version: 0,
+        duration_ms: 1000,
         changes,
     };
     let update = |shard_lease, names| ShardUpdate {
@@ -250,7 +250,7 @@
         let numbers = forwarded_names
             .iter()
             .map(|n| n[3..].parse::<u32>().expect("a name of this test"));
-        let assign = |m| (u64::from(m) + 1, Change::Assign(m));
+        let assign = |m| (u64::from(m) + 1, ShardChange::Assign(m));
         let changes: Vec<_> = numbers.clone().map(assign).collect();
         forwarded += changes.len();
         let names = numbers.map(|m| (m, name(m as usize))).collect();
@@ -261,7 +261,7 @@
         statuses += 1;
     }
     let releases =
-        (0..WORKERS as u32).map(|m| (10_000 + u64::from(m), Change::Release(m, Some(0))));
+        (0..WORKERS as u32).map(|m| (10_000 + u64::from(m), ShardChange::Release(m, Some(0))));
     now += 300;
     let status = forwarder.next_status(now).expect("due");
     forwarder.handle_update(
@@ -273,7 +273,7 @@
     );
     now += 300;
     let status = forwarder.next_status(now).expect("due");
-    assert_eq!(status.owner_status.left.len(), WORKERS);
+    assert_eq!(status.owner_status.released.len(), WORKERS);
     println!(
         "{statuses} statuses, {} bytes with all released",
         check_body_size(&status)
