--- a/src/coordination/cancellation.rs
+++ b/src/coordination/cancellation.rs
@@ -23,9 +23,9 @@
             JobState::Finishing => CancelDecision::Busy,
             JobState::Live | JobState::Cancelling => {
                 self.jobs[ix].begin_cancelling(self.now);
-                // Tasks are stopped before the cancellation is stored. The outcome of that write may
-                // stay unknown during an outage of the state service, although another controller
-                // has read the cancellation and confirmed it to the user.
+                // Tasks are stopped before the cancellation is stored. The outcome of that write
+                // may stay unknown during an outage of the state service, although another
+                // controller has read the cancellation and confirmed it to the user.
                 self.stop_all_instances(ix);
                 CancelDecision::Go {
                     done: self.jobs[ix].done,
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -1,10 +1,11 @@
 //! The leader's core: `step(now, inputs) -> effects`, without any I/O.
 //!
-//! The core tracks every task instance that may exist, not only those that are likely to. An instance
-//! counts until it is proven gone, and each start is checked against all instances that may exist at
-//! that moment.
+//! The core tracks every task instance that may exist, not only those that are likely to. An
+//! instance counts until it is proven gone, and each start is checked against all instances that
+//! may exist at that moment.
 //!
-//! This module dispatches each input to the part that handles it, and defines the work of each step.
+//! This module dispatches each input to the part that handles it, and defines the work of each
+//! step.
 
 use std::collections::BTreeMap;
 
@@ -33,8 +34,8 @@
 /// Interval of the checks for unresponsive workers and expired leases, which also run before every
 /// batch.
 const LEASE_CHECK_INTERVAL_S: Time = 0.05;
-/// A longer gap between two steps means that the leader was not valid throughout: while it is valid,
-/// steps come at least every 50 ms.
+/// A longer gap between two steps means that the leader was not valid throughout: while it is
+/// valid, steps come at least every 50 ms.
 const VALIDITY_GAP_S: Time = 0.5;
 
 impl Core {
@@ -124,7 +125,8 @@
             .count()
     }
 
-    /// Processes the inputs received by `now` and returns the effects to carry out outside the core.
+    /// Processes the inputs received by `now` and returns the effects to carry out outside the
+    /// core.
     pub fn step(&mut self, now: Time, inputs: Vec<Input>) -> Vec<Effect> {
         if now - self.now > VALIDITY_GAP_S {
             self.valid_since = now;
@@ -210,7 +212,8 @@
         }
     }
 
-    /// Looks up the status of a job for a user. Only a leader whose lease is valid may answer with it.
+    /// Looks up the status of a job for a user. Only a leader whose lease is valid may answer with
+    /// it.
     pub fn lookup(&self, id: JobId) -> Lookup {
         if let Some(end) = self.jobs.outcome(id) {
             return Lookup::Terminal(end);
--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -26,8 +26,8 @@
     pub(super) requested_at: Instant,
 }
 
-/// Writes the leader key if it does not exist. Returns `None` if another controller may lead, either
-/// because it holds the key or because of a binding vote of this controller.
+/// Writes the leader key if it does not exist. Returns `None` if another controller may lead,
+/// either because it holds the key or because of a binding vote of this controller.
 pub(super) async fn campaign(
     context: &ControllerContext,
 ) -> Result<Option<WonElection>, StoreError> {
@@ -61,8 +61,9 @@
 /// Whether this controller should let its peers campaign first.
 ///
 /// This is the case if the fencing record names workers and this controller has been up for at most
-/// one worker lease. As leader it would have to count the leases of all unresponsive workers from its
-/// restart, whereas a peer with a longer uptime has a tighter bound on when they were last answered.
+/// one worker lease. As leader it would have to count the leases of all unresponsive workers from
+/// its restart, whereas a peer with a longer uptime has a tighter bound on when they were last
+/// answered.
 ///
 /// `peer_uptimes` are the uptimes of all peers, if known. If all peers restarted recently as well,
 /// there is no reason to defer.
--- a/src/coordination/election/key_removal.rs
+++ b/src/coordination/election/key_removal.rs
@@ -9,8 +9,8 @@
 /// Removes the leader key of a previous process of this controller that ended while it led. Without
 /// the removal no controller could lead before the key's lease expires.
 ///
-/// Returns false if the previous process may not have known that it had won, or if the removal is not
-/// confirmed.
+/// Returns false if the previous process may not have known that it had won, or if the removal is
+/// not confirmed.
 ///
 /// This is safe because the platform starts a controller process only after the previous one has
 /// ended, and because no other leader was valid while the key existed. See
@@ -30,8 +30,8 @@
     removed
 }
 
-/// Removes the leader key of a token whose leader no longer leads and will not lead again. Once it is
-/// removed, no vote granted before is binding.
+/// Removes the leader key of a token whose leader no longer leads and will not lead again. Once it
+/// is removed, no vote granted before is binding.
 pub(super) async fn remove_leader_key(context: &ControllerContext, token: u64) -> bool {
     let removal = records::removal_transaction(token);
     context.leadership.begin_no_leader_confirmation();
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -1,18 +1,18 @@
 //! Leader election and the leader's lease, based on a key in the state service.
 //!
 //! The version of the leader key is the leader's fencing token. A leader is valid until the send
-//! time of its last successful renewal + TTL - margin, on its own monotonic clock. The state service
-//! never ends a lease early, so there is no second leader before that time.
+//! time of its last successful renewal + TTL - margin, on its own monotonic clock. The state
+//! service never ends a lease early, so there is no second leader before that time.
 //!
 //! During an outage of the state service no leader can renew its lease, and without a valid leader
 //! the leases of all workers would expire. Two mechanisms prevent this:
 //!
-//! - `lease_extension`: a leader that cannot renew requests votes from all peers. With its vote a peer
-//!   confirms that the state service does not answer it either, and agrees not to campaign for
+//! - `lease_extension`: a leader that cannot renew requests votes from all peers. With its vote a
+//!   peer confirms that the state service does not answer it either, and agrees not to campaign for
 //!   one TTL. If all peers vote while the leader is still valid, it stays valid for TTL - margin
 //!   from the time of the request.
-//! - `transfer`: if only the leader cannot reach the state service, its peers deny these votes. While
-//!   it is still valid, it transfers leadership to a peer that can reach the state service.
+//! - `transfer`: if only the leader cannot reach the state service, its peers deny these votes.
+//!   While it is still valid, it transfers leadership to a peer that can reach the state service.
 
 mod campaign;
 mod key_removal;
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -59,9 +59,9 @@
     }
 }
 
-/// Records in the term marker that the leader of this token knew that it led, and therefore granted no
-/// vote. Later processes of this controller rely on this. Returns once the record is stored or the
-/// term has ended.
+/// Records in the term marker that the leader of this token knew that it led, and therefore granted
+/// no vote. Later processes of this controller rely on this. Returns once the record is stored or
+/// the term has ended.
 async fn confirm_term(context: Arc<ControllerContext>, token: u64) {
     let confirmation = records::confirmation_transaction(token);
     while context.leadership.leads(token) {
@@ -78,9 +78,9 @@
 
 /// The renewals of one leader's lease.
 ///
-/// If renewals fail and the leader's validity runs out, its term is suspended but does not end: after
-/// an outage of the state service every lease starts again with its full TTL, so this leader may still
-/// hold the same key and fencing token.
+/// If renewals fail and the leader's validity runs out, its term is suspended but does not end:
+/// after an outage of the state service every lease starts again with its full TTL, so this leader
+/// may still hold the same key and fencing token.
 struct Term<'a> {
     context: &'a ControllerContext,
     lease: u64,
--- a/src/coordination/failover.rs
+++ b/src/coordination/failover.rs
@@ -13,7 +13,8 @@
 /// election.
 #[derive(Debug)]
 pub(super) struct FailoverStats {
-    /// Number of workers known to an earlier leader, without those that were fenced at the election.
+    /// Number of workers known to an earlier leader, without those that were fenced at the
+    /// election.
     awaited: usize,
     half_reconciled_s: Option<Time>,
     /// When all but 1% of the awaited workers were reconciled.
@@ -49,7 +50,8 @@
         self.starts += u32::from(after_s <= first_s + START_BURST_S);
     }
 
-    /// Records how many workers are reconciled. `count_reconciled` is called only until all but 1% are.
+    /// Records how many workers are reconciled. `count_reconciled` is called only until all but 1%
+    /// are.
     pub(super) fn record_reconciled(
         &mut self,
         after_s: Time,
--- a/src/coordination/fencing/mod.rs
+++ b/src/coordination/fencing/mod.rs
@@ -1,5 +1,5 @@
-//! The fencing record of unresponsive workers. It tells the next leader when their leases end, so that
-//! the next leader need not count them from its own election.
+//! The fencing record of unresponsive workers. It tells the next leader when their leases end, so
+//! that the next leader need not count them from its own election.
 //!
 //! Until its removal from the record is stored, a fenced worker gets no answers, because an answer
 //! renews its lease, and no starts, because a started task could run under a lease whose begin this
@@ -24,11 +24,11 @@
 use state::AnsweredWorker;
 pub(super) use state::{DeferredHeartbeat, Fencing};
 
-/// Delay before an unresponsive worker is fenced. Workers often become unresponsive together, and the
-/// delay lets them share one write to the state service.
+/// Delay before an unresponsive worker is fenced. Workers often become unresponsive together, and
+/// the delay lets them share one write to the state service.
 const FENCE_DELAY_S: Time = 0.6;
-/// Delay before a worker without task instances is removed from the record. Its entry does not affect
-/// the next leader.
+/// Delay before a worker without task instances is removed from the record. Its entry does not
+/// affect the next leader.
 const RELEASE_DELAY_S: Time = 5.0;
 /// The size that a page is assumed to have when the pages that fit a transaction are counted.
 const PAGE_BYTES: usize = 8 * 1024;
@@ -36,14 +36,14 @@
 const ENTRY_OVERHEAD_BYTES: usize = 20;
 
 impl Core {
-    /// Whether the settings bound the clock error. Without a bound, the times in a stored record prove
-    /// nothing.
+    /// Whether the settings bound the clock error. Without a bound, the times in a stored record
+    /// prove nothing.
     fn clocks_are_bounded(&self) -> bool {
         self.config.cluster.clock_error_ms > 0.0
     }
 
-    /// Restores the record of earlier leaders. Its workers stay fenced. Each was last answered at the
-    /// recorded time, or later under a lease extension that this controller voted for.
+    /// Restores the record of earlier leaders. Its workers stay fenced. Each was last answered at
+    /// the recorded time, or later under a lease extension that this controller voted for.
     pub(super) fn restore_fencing(
         &mut self,
         stored: Vec<StoredFencingPage>,
@@ -149,7 +149,8 @@
         None
     }
 
-    /// Defers the answer to a heartbeat. An earlier deferred heartbeat of the same worker is refused.
+    /// Defers the answer to a heartbeat. An earlier deferred heartbeat of the same worker is
+    /// refused.
     pub(super) fn defer_answer(&mut self, ticket: u64, heartbeat: Heartbeat) {
         let log = &mut self.reconciliation.lease_log;
         log.record_deferral(self.now, &heartbeat.worker);
--- a/src/coordination/fencing/state.rs
+++ b/src/coordination/fencing/state.rs
@@ -1,5 +1,5 @@
-//! The leader's fencing record, with times on the core's clock, and the heartbeats whose answers are
-//! deferred.
+//! The leader's fencing record, with times on the core's clock, and the heartbeats whose answers
+//! are deferred.
 
 use std::collections::BTreeMap;
 
@@ -95,8 +95,8 @@
         self.record.confirm_write(page, version);
     }
 
-    /// Schedules a page to be written again after a write of unknown outcome. `version` is the current
-    /// version of the stored page.
+    /// Schedules a page to be written again after a write of unknown outcome. `version` is the
+    /// current version of the stored page.
     pub(super) fn retry_write(&mut self, page: u32, version: u64, now: Time) {
         self.record.retry_write(page, version, ceil_ms(now));
     }
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -1,7 +1,7 @@
 //! Inputs and effects of the core.
 //!
-//! A `ticket` identifies an open request that waits for an answer: the caller keeps the request, and
-//! the core names the ticket in the effect that answers it. A `message_id` identifies a direct
+//! A `ticket` identifies an open request that waits for an answer: the caller keeps the request,
+//! and the core names the ticket in the effect that answers it. A `message_id` identifies a direct
 //! message to a worker; the caller reports its outcome.
 
 use crate::protocol::JobId;
@@ -105,8 +105,8 @@
     },
     /// Redirect a worker to `controller`, without renewing its lease.
     RedirectWorker { ticket: u64, controller: u32 },
-    /// Answer a shard owner's status. `update` is `None` if the sender is not a peer or a newer status
-    /// of it was handled before.
+    /// Answer a shard owner's status. `update` is `None` if the sender is not a peer or a newer
+    /// status of it was handled before.
     AnswerShardStatus {
         ticket: u64,
         update: Option<ShardUpdate>,
@@ -147,8 +147,8 @@
     ListWorkers,
     /// Request the machine types from the cloud.
     ReadMachineTypes,
-    /// Report the decision on a cancellation to the request handler, which stores the cancellation if
-    /// the decision is [`CancelDecision::Go`], and then answers the user.
+    /// Report the decision on a cancellation to the request handler, which stores the cancellation
+    /// if the decision is [`CancelDecision::Go`], and then answers the user.
     AnswerCancel {
         ticket: u64,
         decision: CancelDecision,
@@ -185,8 +185,8 @@
 
 /// How a heartbeat reached the leader.
 ///
-/// Only a heartbeat that the worker sent on its own shows the result of the commands in the previous
-/// response. Only the answer to a direct message shows the result of that message.
+/// Only a heartbeat that the worker sent on its own shows the result of the commands in the
+/// previous response. Only the answer to a direct message shows the result of that message.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum HeartbeatSource {
     /// The worker sent it on its own.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,14 +1,15 @@
 //! Leader election and scheduling.
 //!
-//! `election` acquires and holds the leader key. `core` is the leader's state machine, which does no
-//! I/O; `messages` defines its inputs and effects. The lowest layer holds its data: `model`, the
+//! `election` acquires and holds the leader key. `core` is the leader's state machine, which does
+//! no I/O; `messages` defines its inputs and effects. The lowest layer holds its data: `model`, the
 //! tables of jobs, workers and teams, and `state`. The other modules build on these, each with one
 //! responsibility:
 //!
 //! - task instances and workers: `instances`, `start_conditions`, `reconciliation`, `dispatch`,
 //!   `failover`;
 //! - jobs: `jobs`, `cancellation`, `objectives`, `demand_log`;
-//! - placement: `placement`, `auction`, `gangs`, `preemption`, `forecast`, `rebalancing`, `migration`;
+//! - placement: `placement`, `auction`, `gangs`, `preemption`, `forecast`, `rebalancing`,
+//!   `migration`;
 //! - the set of workers: `provisioning`, `drains`, `sharding`, `fencing`;
 //! - stored state: `registry`, `persistence`.
 
--- a/src/coordination/registry/mod.rs
+++ b/src/coordination/registry/mod.rs
@@ -1,9 +1,9 @@
 //! The worker registry: the stored list of workers that may have been given tasks. It lets the next
 //! leader ask each of them at once which task instances it has.
 //!
-//! A worker is on a stored page before its first start. Many workers share a page. With one record per
-//! worker, the first minute of a site with a thousand workers, and every change of a worker's images,
-//! would use up the writes per second that job submissions need.
+//! A worker is on a stored page before its first start. Many workers share a page. With one record
+//! per worker, the first minute of a site with a thousand workers, and every change of a worker's
+//! images, would use up the writes per second that job submissions need.
 
 mod pages;
 
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Removes a worker that certainly has no task instances and gets none until its next heartbeat.
+    /// Removes a worker that certainly has no task instances and gets none until its next
+    /// heartbeat.
     pub(super) fn unregister_worker(&mut self, m: u32) {
         self.unfence_worker(m);
         self.workers[m].registered = false;
@@ -116,7 +117,8 @@
         Value::Object(value)
     }
 
-    /// Builds a worker's record, with as many of its most recently used images as there is room for.
+    /// Builds a worker's record, with as many of its most recently used images as there is room
+    /// for.
     fn worker_record(&self, m: u32) -> WorkerRecord {
         let worker = &self.workers[m];
         let mut record = WorkerRecord {
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Marks the workers on a stored page as registered, so that they may be given tasks. Workers that
-    /// were removed from the page during the write are skipped.
+    /// Marks the workers on a stored page as registered, so that they may be given tasks. Workers
+    /// that were removed from the page during the write are skipped.
     fn mark_registered(&mut self, page: u32, value: &Value) {
         for name in value.as_object().into_iter().flat_map(|names| names.keys()) {
             if let Some(m) = self.workers.index_of(name)
--- a/src/coordination/registry/pages.rs
+++ b/src/coordination/registry/pages.rs
@@ -4,8 +4,8 @@
 
 /// Space in a stored page for one worker with its images.
 const BYTES_PER_WORKER: usize = 512;
-/// Maximum number of workers on a page, even if values may be larger: adding one worker rewrites the
-/// whole page.
+/// Maximum number of workers on a page, even if values may be larger: adding one worker rewrites
+/// the whole page.
 const MAX_WORKERS_PER_PAGE: usize = 32;
 /// Share of the maximum value size that a page uses, in tenths.
 const USED_TENTHS: usize = 9;
@@ -40,7 +40,8 @@
 }
 
 impl WorkerRegistry {
-    /// Creates an empty registry. `value_bytes` is the maximum size of a value in the state service.
+    /// Creates an empty registry. `value_bytes` is the maximum size of a value in the state
+    /// service.
     pub fn new(value_bytes: usize) -> Self {
         let workers_per_page = (value_bytes / BYTES_PER_WORKER).clamp(1, MAX_WORKERS_PER_PAGE);
         Self {
@@ -70,7 +71,8 @@
         self.page_mut(number).workers.push(worker);
     }
 
-    /// Adds a worker to the first page with room, to be written by `due`. Returns the page's number.
+    /// Adds a worker to the first page with room, to be written by `due`. Returns the page's
+    /// number.
     pub fn add(&mut self, worker: u32, due: Time) -> u32 {
         let limit = self.workers_per_page;
         let has_room = |page: &Page| !page.unreadable && page.workers.len() < limit;
--- a/src/coordination/sharding/balance.rs
+++ b/src/coordination/sharding/balance.rs
@@ -71,8 +71,8 @@
 }
 
 impl Core {
-    /// Revokes late workers, reassigns workers of unreachable shard owners, moves workers for balance,
-    /// and ends messages that were lost with their relays. Called once per batch.
+    /// Revokes late workers, reassigns workers of unreachable shard owners, moves workers for
+    /// balance, and ends messages that were lost with their relays. Called once per batch.
     pub(in crate::coordination) fn balance_shards(&mut self) {
         if self.sharding.is_none() {
             return;
--- a/src/coordination/sharding/mod.rs
+++ b/src/coordination/sharding/mod.rs
@@ -1,6 +1,6 @@
-//! The leader's side of sharding the workers among the controllers: which controller answers a worker,
-//! and which one relays commands to it. [`copperfield_sharding`] makes these decisions; this module
-//! connects it to the rest of the core.
+//! The leader's side of sharding the workers among the controllers: which controller answers a
+//! worker, and which one relays commands to it. [`copperfield_sharding`] makes these decisions;
+//! this module connects it to the rest of the core.
 //!
 //! `routing` decides where a heartbeat is answered, `status` handles the messages of shard owners,
 //! `relays` tracks the commands that they relay, and `balance` does the maintenance of each batch.
--- a/src/coordination/sharding/relays.rs
+++ b/src/coordination/sharding/relays.rs
@@ -51,7 +51,8 @@
         let now = ceil_ms(self.now);
         let owner = sharding.coordinator.owner_relay(worker.shard_number, now);
         match worker.unanswered_senders() {
-            // A new leader spreads the probes of workers without a shard owner over all controllers.
+            // A new leader spreads the probes of workers without a shard owner over all
+            // controllers.
             UnansweredSenders {
                 own: false,
                 relayed: false,
@@ -81,8 +82,8 @@
         self.sharding.as_ref().and_then(relay).is_some()
     }
 
-    /// When a worker that has not answered is probed next: at once if only one of the two paths, direct
-    /// and relayed, has failed and a relay is available.
+    /// When a worker that has not answered is probed next: at once if only one of the two paths,
+    /// direct and relayed, has failed and a relay is available.
     pub(in crate::coordination) fn next_probe_at(&self, m: u32) -> Time {
         let UnansweredSenders { own, relayed } = self.workers[m].unanswered_senders();
         if own != relayed && self.has_relay(m) {
--- a/src/coordination/sharding/routing.rs
+++ b/src/coordination/sharding/routing.rs
@@ -13,8 +13,8 @@
 const STOP_TIMEOUT_S: Time = 6.0;
 
 impl Core {
-    /// The latest time at which any controller can have answered a worker, or `None` if a shard owner
-    /// may answer it now.
+    /// The latest time at which any controller can have answered a worker, or `None` if a shard
+    /// owner may answer it now.
     pub(in crate::coordination) fn latest_possible_answer(&self, worker: &Worker) -> Option<Time> {
         let own = worker.answered_at.unwrap_or(self.elected_at);
         let Some(sharding) = &self.sharding else {
@@ -32,8 +32,8 @@
             .shard_owner(self.workers[m].shard_number)
     }
 
-    /// The name of the controller that answers a worker. `None` if workers are not sharded, or if the
-    /// worker has no shard owner and is unresponsive.
+    /// The name of the controller that answers a worker. `None` if workers are not sharded, or if
+    /// the worker has no shard owner and is unresponsive.
     pub(in crate::coordination) fn answering_controller(&self, m: u32) -> Option<&str> {
         let sharding = self.sharding.as_ref()?;
         let index = match self.shard_owner_of(m) {
@@ -61,11 +61,11 @@
         }
     }
 
-    /// Whether a worker's lease may be renewed only by answers that carry its stops. This is the case if
-    /// it still runs a task of a job that began to end more than [`STOP_TIMEOUT_S`] ago, or of a job
-    /// that this leader does not know, which may have ended at any time. The time counts from when the
-    /// job began to end and not from the stop command to this instance, because the leader may have
-    /// learned of the instance only now.
+    /// Whether a worker's lease may be renewed only by answers that carry its stops. This is the
+    /// case if it still runs a task of a job that began to end more than [`STOP_TIMEOUT_S`] ago, or
+    /// of a job that this leader does not know, which may have ended at any time. The time counts
+    /// from when the job began to end and not from the stop command to this instance, because the
+    /// leader may have learned of the instance only now.
     pub(super) fn requires_stops_in_answers(&self, m: u32) -> bool {
         let worker = &self.workers[m];
         let runs_ended_task = |(id, instance): (&InstanceId, &TaskInstance)| {
@@ -76,8 +76,8 @@
         worker.running_orphans().next().is_some() || worker.instances.iter().any(runs_ended_task)
     }
 
-    /// Decides where a heartbeat that controller `at` received is answered. `waits` tells whether the
-    /// worker's request is still open at that controller.
+    /// Decides where a heartbeat that controller `at` received is answered. `waits` tells whether
+    /// the worker's request is still open at that controller.
     pub(in crate::coordination) fn route_heartbeat(
         &mut self,
         m: u32,
@@ -103,9 +103,9 @@
         route
     }
 
-    /// Answers deferred heartbeats whose workers are no longer fenced and can no longer be answered by
-    /// another controller. Workers that have a shard owner by now are redirected to it; the other
-    /// heartbeats stay deferred.
+    /// Answers deferred heartbeats whose workers are no longer fenced and can no longer be answered
+    /// by another controller. Workers that have a shard owner by now are redirected to it; the
+    /// other heartbeats stay deferred.
     pub(in crate::coordination) fn answer_deferred_heartbeats(&mut self) {
         for (name, DeferredHeartbeat { ticket, heartbeat }) in self.fencing.take_deferred() {
             let fenced = self.fencing.is_fenced(&name) && self.now >= self.lease_extended_until;
--- a/src/coordination/sharding/status.rs
+++ b/src/coordination/sharding/status.rs
@@ -25,8 +25,8 @@
             .push(Effect::AnswerShardStatus { ticket, update });
     }
 
-    /// Applies a status. Returns `None` if the sender is not a peer or the status is not newer than its
-    /// last one.
+    /// Applies a status. Returns `None` if the sender is not a peer or the status is not newer than
+    /// its last one.
     fn apply_shard_status(&mut self, status: ShardStatus) -> Option<ShardUpdate> {
         let now = ceil_ms(self.now);
         let valid_for = ceil_ms(self.valid_until - self.now).saturating_sub(1);
@@ -36,8 +36,8 @@
             return None;
         }
         sharding.traffic.record_status(status.forwarded.len());
-        // The owner status is applied first, because heartbeats of workers that the owner has released
-        // are routed by it.
+        // The owner status is applied first, because heartbeats of workers that the owner has
+        // released are routed by it.
         let (owner_status, has_forwarded_all) = (&status.owner_status, status.all);
         let lease = sharding.coordinator.handle_status(
             now,
@@ -133,15 +133,15 @@
         let worker = &mut self.workers[m];
         worker.last_heartbeat_at = last_heartbeat_at;
         if worker.incarnation > incarnation {
-            // The incarnation had begun by the time of the heartbeat. Later answers by other controllers
-            // are bounded by the shard coordinator.
+            // The incarnation had begun by the time of the heartbeat. Later answers by other
+            // controllers are bounded by the shard coordinator.
             worker.answered_at = answered_at.or_later(received_at);
         }
         self.queue_follow_up(m);
     }
 
-    /// Queues the commands that follow from a heartbeat. A shard owner's answer carries no commands, so
-    /// they are sent with the next direct message.
+    /// Queues the commands that follow from a heartbeat. A shard owner's answer carries no
+    /// commands, so they are sent with the next direct message.
     fn queue_follow_up(&mut self, m: u32) {
         if self.workers[m].in_flight.is_some() {
             return;
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -1,5 +1,5 @@
-//! The state of the leader's core. Each module of [`crate::coordination`] owns a part of the state and
-//! the operations on it.
+//! The state of the leader's core. Each module of [`crate::coordination`] owns a part of the state
+//! and the operations on it.
 
 use std::collections::BTreeMap;
 
@@ -45,10 +45,11 @@
     pub token: u64,
     /// When the leader was elected.
     pub(super) elected_at: Time,
-    /// The time from which this leader expects heartbeats: its election, shifted by the length of all
-    /// pauses of this process since.
+    /// The time from which this leader expects heartbeats: its election, shifted by the length of
+    /// all pauses of this process since.
     pub(super) expecting_heartbeats_since: Time,
-    /// Since when this leader has been valid without interruption, judged by the gaps between its steps.
+    /// Since when this leader has been valid without interruption, judged by the gaps between its
+    /// steps.
     pub(super) valid_since: Time,
     /// The time of the current step.
     pub(super) now: Time,
--- a/src/coordination/team_table.rs
+++ b/src/coordination/team_table.rs
@@ -8,7 +8,8 @@
 /// A team's quota and limit, and the resources it may be using.
 #[derive(Debug, Clone, Default)]
 pub struct TeamUsage {
-    /// Jobs of a team that uses at most its quota are placed before those of teams above their quota.
+    /// Jobs of a team that uses at most its quota are placed before those of teams above their
+    /// quota.
     pub quota: Resources,
     /// Upper bound on the resources that the team may use; 0 means no limit.
     pub limit: Resources,
--- a/tests/bare_core/mod.rs
+++ b/tests/bare_core/mod.rs
@@ -11,8 +11,8 @@
 const ADDRESS: &str = "10.1.0.1:9000";
 const INSTANCE_TYPE: &str = "small";
 
-/// Creates the core of a leader elected at time 0 that has read these jobs, and these workers, given as
-/// (name, zone), from the worker registry.
+/// Creates the core of a leader elected at time 0 that has read these jobs, and these workers,
+/// given as (name, zone), from the worker registry.
 pub fn elected_leader(
     zones: &[&str],
     team: Value,
--- a/tests/cancellation.rs
+++ b/tests/cancellation.rs
@@ -1,5 +1,5 @@
-//! Tests that a cancelled job ends, whatever happens to the transaction that cancels it, to the leader
-//! that sent the transaction, and to the state service. See docs/notes/cancellation.md.
+//! Tests that a cancelled job ends, whatever happens to the transaction that cancels it, to the
+//! leader that sent the transaction, and to the state service. See docs/notes/cancellation.md.
 
 mod simulated_cluster;
 
@@ -24,14 +24,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Acknowledgements {
     Delivered,
-    /// From shortly before the cancellations, transactions are carried out but their answers are lost.
+    /// From shortly before the cancellations, transactions are carried out but their answers are
+    /// lost.
     Lost,
 }
 
-/// The state service refuses only the leader, and `outage_after_s` later all controllers, for longer
-/// than a cancellation may take. Users cancel one job every 0.3 s during the first fault, through
-/// any controller. Returns the violated guarantees and the number of users that were told of a
-/// cancellation.
+/// The state service refuses only the leader, and `outage_after_s` later all controllers, for
+/// longer than a cancellation may take. Users cancel one job every 0.3 s during the first fault,
+/// through any controller. Returns the violated guarantees and the number of users that were told
+/// of a cancellation.
 fn cancel_between_faults(
     seed: u64,
     outage_after_s: f64,
@@ -109,10 +110,10 @@
     }
 }
 
-/// Guards against a leader that does not stop the tasks until the outcome of its transaction is known.
-/// The transaction is carried out and its answer lost, and another controller reports the cancellation
-/// to the user. With the votes of all peers, the leader would then renew the leases of the job's
-/// workers throughout an outage.
+/// Guards against a leader that does not stop the tasks until the outcome of its transaction is
+/// known. The transaction is carried out and its answer lost, and another controller reports the
+/// cancellation to the user. With the votes of all peers, the leader would then renew the leases of
+/// the job's workers throughout an outage.
 #[test]
 fn a_cancellation_of_unknown_outcome_still_ends_the_tasks() {
     let mut told_users = 0;
--- a/tests/fencing.rs
+++ b/tests/fencing.rs
@@ -1,6 +1,6 @@
-//! Tests of the fencing record over failovers, with workers that execute commands at once. The record
-//! must shorten the recovery from the loss of workers, and must never cause a lease that was renewed
-//! to be taken for expired.
+//! Tests of the fencing record over failovers, with workers that execute commands at once. The
+//! record must shorten the recovery from the loss of workers, and must never cause a lease that was
+//! renewed to be taken for expired.
 
 use std::collections::BTreeSet;
 
@@ -83,8 +83,8 @@
     }
 }
 
-/// Cuts off zone b and fails over after each of these delays. Returns the seconds from the cut until
-/// all replicas are placed again.
+/// Cuts off zone b and fails over after each of these delays. Returns the seconds from the cut
+/// until all replicas are placed again.
 fn recovery_s(clock_error_ms: f64, failovers_after_s: &[f64]) -> f64 {
     let mut service = start_service(clock_error_ms);
     let cut_at = service.harness.now;
@@ -104,8 +104,8 @@
     service.harness.now - cut_at
 }
 
-/// Guards against a failover late in the loss of a zone that makes the next leader count all leases of
-/// the zone from its own election. The record must persist over any number of failovers.
+/// Guards against a failover late in the loss of a zone that makes the next leader count all leases
+/// of the zone from its own election. The record must persist over any number of failovers.
 #[test]
 fn a_failover_during_the_loss_of_a_zone_restarts_no_lease() {
     let undisturbed_s = recovery_s(25.0, &[]);
@@ -116,7 +116,8 @@
             "{took_s:.1} s, {undisturbed_s:.1} undisturbed"
         );
     }
-    // Without a bound on the clock error the record proves nothing, and the leases are counted anew.
+    // Without a bound on the clock error the record proves nothing, and the leases are counted
+    // anew.
     assert!(recovery_s(0.0, &[16.0]) > undisturbed_s + 10.0);
 }
 
--- a/tests/leadership_transfer.rs
+++ b/tests/leadership_transfer.rs
@@ -1,6 +1,6 @@
 //! Tests of leadership transfer. A leader that alone cannot reach the state service transfers
-//! leadership at once to a controller that can, so that a subsequent outage for all controllers loses
-//! no tasks. See docs/notes/cancellation.md.
+//! leadership at once to a controller that can, so that a subsequent outage for all controllers
+//! loses no tasks. See docs/notes/cancellation.md.
 
 mod simulated_cluster;
 
@@ -28,8 +28,8 @@
     })
 }
 
-/// Without a transfer the lease would have to expire first, which takes 1.5 s here and 2.5 s with the
-/// default settings.
+/// Without a transfer the lease would have to expire first, which takes 1.5 s here and 2.5 s with
+/// the default settings.
 #[test]
 fn a_leader_that_alone_cannot_reach_the_state_service_transfers_leadership_within_600_ms() {
     for seed in 0..20 {
@@ -50,8 +50,8 @@
 /// Runs a long job while the leader alone loses the state service and, `outage_after_s` later, all
 /// controllers lose it. Returns how often the job's first task was started again.
 ///
-/// No leader would be valid during the outage if it began before the next leader was elected, or while
-/// the last one was suspended and therefore granted no vote.
+/// No leader would be valid during the outage if it began before the next leader was elected, or
+/// while the last one was suspended and therefore granted no vote.
 fn count_task_restarts(seed: u64, outage_after_s: f64) -> usize {
     simulate(async move {
         let world = site(seed, 0.0);
@@ -70,7 +70,8 @@
     })
 }
 
-/// Guards against a gap between two leaders in which the outage begins and all worker leases expire.
+/// Guards against a gap between two leaders in which the outage begins and all worker leases
+/// expire.
 #[test]
 fn an_outage_after_a_leadership_transfer_loses_no_tasks() {
     for step in 0..12u32 {
--- a/tests/one_way_partitions.rs
+++ b/tests/one_way_partitions.rs
@@ -1,6 +1,6 @@
-//! Tests of one-way partitions: workers whose heartbeats arrive but that receive neither answers nor
-//! commands, and the reverse. In both cases their leases expire, so they must get no tasks, and the
-//! tasks they had must start elsewhere.
+//! Tests of one-way partitions: workers whose heartbeats arrive but that receive neither answers
+//! nor commands, and the reverse. In both cases their leases expire, so they must get no tasks, and
+//! the tasks they had must start elsewhere.
 
 mod simulated_cluster;
 
@@ -17,9 +17,9 @@
 /// Number of small jobs, submitted at one per second from the beginning of the partition.
 const JOBS: usize = 10;
 
-/// Partitions two workers for `partition_s` seconds so that they receive nothing. If `leader_crashes`,
-/// the leader crashes 2 s after the partition began. Returns the duration of each job in seconds, in
-/// descending order.
+/// Partitions two workers for `partition_s` seconds so that they receive nothing. If
+/// `leader_crashes`, the leader crashes 2 s after the partition began. Returns the duration of each
+/// job in seconds, in descending order.
 fn job_durations(seed: u64, partition_s: f64, leader_crashes: bool) -> Vec<f64> {
     simulate(async move {
         let world = site(seed, 0.0);
@@ -59,8 +59,9 @@
     })
 }
 
-/// Guards against starts on workers that cannot receive them. Such a start stays unresolved until the
-/// worker's lease expires, and the next one would go to the same worker because it has the most room.
+/// Guards against starts on workers that cannot receive them. Such a start stays unresolved until
+/// the worker's lease expires, and the next one would go to the same worker because it has the most
+/// room.
 #[test]
 fn workers_that_receive_nothing_get_no_tasks() {
     for seed in 0..4 {
@@ -73,9 +74,9 @@
     }
 }
 
-/// The heartbeats of two workers reach no controller, but direct messages reach the workers. They lose
-/// their leases although they answer every probe, so nothing may start on them from half a lease after
-/// the partition begins until it ends.
+/// The heartbeats of two workers reach no controller, but direct messages reach the workers. They
+/// lose their leases although they answer every probe, so nothing may start on them from half a
+/// lease after the partition begins until it ends.
 #[test]
 fn workers_whose_heartbeats_are_lost_get_no_tasks() {
     for seed in 0..4 {
@@ -118,8 +119,8 @@
     }
 }
 
-/// A new leader knows of the partitioned workers only through their heartbeats, whose incarnations end
-/// repeatedly because the workers receive no answers.
+/// A new leader knows of the partitioned workers only through their heartbeats, whose incarnations
+/// end repeatedly because the workers receive no answers.
 #[test]
 fn workers_that_never_learn_of_a_new_leader_delay_jobs_by_at_most_one_lease() {
     for seed in 0..4 {
--- a/tests/shard_owners.rs
+++ b/tests/shard_owners.rs
@@ -20,8 +20,8 @@
 const CANCEL_S: f64 = 40.0;
 const STEP_S: f64 = 0.05;
 
-/// Controller 0, which leads, controller 1, a shard owner, and one worker that runs one task and sends
-/// its heartbeats to controller 1.
+/// Controller 0, which leads, controller 1, a shard owner, and one worker that runs one task and
+/// sends its heartbeats to controller 1.
 struct Exchange {
     now: f64,
     core: Core,
@@ -190,8 +190,8 @@
 }
 
 /// Guards against a cancelled task that runs forever. A shard owner's answers carry no commands but
-/// renew the worker's lease, so if commands do not reach the worker directly, it never learns of the
-/// cancellation.
+/// renew the worker's lease, so if commands do not reach the worker directly, it never learns of
+/// the cancellation.
 #[test]
 fn a_worker_that_commands_do_not_reach_is_answered_by_no_shard_owner_after_a_cancellation() {
     let mut exchange = Exchange::new();
@@ -217,9 +217,9 @@
     assert!(!exchange.redirected_at.is_empty());
 }
 
-/// The worker runs a task of a job that ended before the leader was elected, and commands do not reach
-/// it. It is not known how long ago the user was told of the end, so no shard owner may renew the
-/// worker's lease.
+/// The worker runs a task of a job that ended before the leader was elected, and commands do not
+/// reach it. It is not known how long ago the user was told of the end, so no shard owner may renew
+/// the worker's lease.
 #[test]
 fn a_worker_that_runs_a_task_of_an_unknown_job_is_answered_by_no_shard_owner() {
     let mut exchange = Exchange::new();
@@ -234,9 +234,9 @@
     assert!(!exchange.redirected_at.is_empty());
 }
 
-/// The leader learns of a task only long after the cancellation of its job, because the worker could not
-/// be reached before. The rest of the worker's lease may then use up the time allowed for the
-/// cancellation, so no shard owner may renew it.
+/// The leader learns of a task only long after the cancellation of its job, because the worker
+/// could not be reached before. The rest of the worker's lease may then use up the time allowed for
+/// the cancellation, so no shard owner may renew it.
 #[test]
 fn a_worker_that_reports_a_task_long_after_its_cancellation_is_answered_by_no_shard_owner() {
     for acknowledged in [true, false] {
@@ -258,7 +258,8 @@
     }
 }
 
-/// Without faults a worker keeps its shard owner, which waits for the leader only at the first heartbeat.
+/// Without faults a worker keeps its shard owner, which waits for the leader only at the first
+/// heartbeat.
 #[test]
 fn an_owned_worker_keeps_its_owner_and_is_answered_at_once() {
     let mut exchange = Exchange::new();
@@ -276,9 +277,9 @@
     assert!(longest_s < 0.7, "{:?}", exchange.answered_at);
 }
 
-/// A leader may be elected before the shard leases granted by the previous leader have ended, if that
-/// leader's key was removed. An unresponsive worker may have been answered until the end of those shard
-/// leases, so its tasks may start elsewhere only one worker lease after that.
+/// A leader may be elected before the shard leases granted by the previous leader have ended, if
+/// that leader's key was removed. An unresponsive worker may have been answered until the end of
+/// those shard leases, so its tasks may start elsewhere only one worker lease after that.
 #[test]
 fn worker_leases_count_from_the_end_of_old_shard_leases() {
     let unresponsive = WorkerRecord {
--- a/tests/sharding.rs
+++ b/tests/sharding.rs
@@ -1,5 +1,5 @@
-//! Simulations with sharded workers, in which several controllers and workers fail together, or workers
-//! change their shard owner while they run tasks.
+//! Simulations with sharded workers, in which several controllers and workers fail together, or
+//! workers change their shard owner while they run tasks.
 
 mod simulated_cluster;
 
@@ -22,15 +22,15 @@
     }
 }
 
-/// Runs a service, a gang and an array job during a fault that must not affect them. Checks that each
-/// task is started exactly once, so that none was lost, duplicated or stopped. Returns how often a
-/// worker changed to another answering controller.
+/// Runs a service, a gang and an array job during a fault that must not affect them. Checks that
+/// each task is started exactly once, so that none was lost, duplicated or stopped. Returns how
+/// often a worker changed to another answering controller.
 fn run_jobs_unaffected_by(seed: u64, fault: Fault) -> usize {
     simulate(async {
         let world = site(seed, 0.0);
         for i in 0..6 {
-            // With this many workers, losing those that the leader answers does not count as a network
-            // fault, in which no worker would be released.
+            // With this many workers, losing those that the leader answers does not count as a
+            // network fault, in which no worker would be released.
             let (site, zone) = (&mut world.lock().unwrap().site, ["a", "b"][i % 2]);
             site.add_worker("small", zone, false, 0.0);
         }
@@ -58,8 +58,8 @@
     })
 }
 
-/// Workers change their shard owner without losing tasks when each reports to another controller every
-/// second.
+/// Workers change their shard owner without losing tasks when each reports to another controller
+/// every second.
 #[test]
 fn workers_that_change_owner_every_second_keep_their_tasks() {
     for seed in 400..404 {
@@ -72,8 +72,8 @@
 }
 
 /// Guards against a leader that releases hundreds of healthy workers because it alone has lost its
-/// connections to them: its own probes are not answered, while other controllers receive the workers'
-/// heartbeats.
+/// connections to them: its own probes are not answered, while other controllers receive the
+/// workers' heartbeats.
 #[test]
 fn a_leader_without_worker_connections_leads_through_its_relays() {
     for seed in 404..408 {
@@ -296,9 +296,9 @@
     })
 }
 
-/// The fencing record must contain the last answers of shard owners. Otherwise the next leader treats
-/// leases as expired that a shard owner has renewed. The previous leader stays down for longer than a
-/// TTL, because after a restart it does not know which votes it has granted.
+/// The fencing record must contain the last answers of shard owners. Otherwise the next leader
+/// treats leases as expired that a shard owner has renewed. The previous leader stays down for
+/// longer than a TTL, because after a restart it does not know which votes it has granted.
 #[test]
 fn the_fencing_record_contains_the_last_answers_of_shard_owners() {
     const CUTS: &[Cut] = &[Cut {
@@ -313,9 +313,9 @@
     }
 }
 
-/// Fenced workers are reachable again for one second while the leader cannot store their removal from
-/// the fencing record. No shard owner may answer them in that time. If one did and then failed before it
-/// could forward anything, the next leader would treat renewed leases as expired.
+/// Fenced workers are reachable again for one second while the leader cannot store their removal
+/// from the fencing record. No shard owner may answer them in that time. If one did and then failed
+/// before it could forward anything, the next leader would treat renewed leases as expired.
 #[test]
 fn no_shard_owner_answers_a_fenced_worker() {
     const CUTS: &[Cut] = &[
