--- a/crates/heartbeat-forwarder/src/lib.rs
+++ b/crates/heartbeat-forwarder/src/lib.rs
@@ -145,13 +145,13 @@
     /// Handles the leader's answer to a status, and answers the workers that waited for it.
     pub fn handle_update(&mut self, now: u64, update: &ShardUpdate) -> Vec<Action> {
         let lease = &update.shard_lease;
-        if !self.statuses.acknowledge(lease.number) {
+        if !self.statuses.acknowledge(lease.status_number) {
             return Vec::new();
         }
         if lease.token > self.shard_owner.token() {
             // Worker numbers are a leader's own. It has received this status and no earlier one.
             self.worker_numbers.clear();
-            self.buffer.forward_again_before(lease.number);
+            self.buffer.forward_again_before(lease.status_number);
             self.statuses.mark_news();
         }
         for (number, worker) in &update.names {
--- a/crates/heartbeat-forwarder/tests/forwarding.rs
+++ b/crates/heartbeat-forwarder/tests/forwarding.rs
@@ -38,7 +38,7 @@
     ShardUpdate {
         shard_lease: ShardLease {
             process: PROCESS,
-            number: status.owner_status.number,
+            status_number: status.owner_status.number,
             token: TOKEN,
             base_version: 0,
             duration_ms: LEASE_MS,
--- a/crates/protocol/tests/pinned_bytes.rs
+++ b/crates/protocol/tests/pinned_bytes.rs
@@ -172,7 +172,7 @@
         process: 1,
         number: 2,
         token: 3,
-        version: 4,
+        applied_version: 4,
         released: released(),
     }
 }
@@ -188,7 +188,7 @@
 fn shard_lease() -> ShardLease {
     ShardLease {
         process: 1,
-        number: 2,
+        status_number: 2,
         token: 3,
         base_version: 4,
         duration_ms: 5,
--- a/crates/sharding/src/message.rs
+++ b/crates/sharding/src/message.rs
@@ -14,7 +14,7 @@
     /// The fencing token of the leader that assigned the shard, 0 for none.
     pub token: u64,
     /// The last change to the shard that was applied.
-    pub version: u64,
+    pub applied_version: u64,
     /// Workers released since the last status that the leader acknowledged.
     pub released: Vec<ReleasedWorker>,
 }
@@ -45,7 +45,7 @@
     /// The process whose status is answered.
     pub process: u64,
     /// The number of the status that is answered.
-    pub number: u64,
+    pub status_number: u64,
     /// The leader's fencing token.
     pub token: u64,
     /// A shard of an earlier version is dropped whole: it belonged to another process.
--- a/crates/sharding/src/owner.rs
+++ b/crates/sharding/src/owner.rs
@@ -91,7 +91,7 @@
             process: self.process,
             number: self.last_status,
             token: self.token,
-            version: self.version,
+            applied_version: self.version,
             released: self.released.iter().map(released).collect(),
         }
     }
@@ -100,7 +100,7 @@
     /// of an earlier leader, or older than one that was applied are ignored.
     pub fn handle_lease(&mut self, lease: &ShardLease) {
         let mut in_flight = self.in_flight.iter();
-        let answered = in_flight.find(|status| status.number == lease.number);
+        let answered = in_flight.find(|status| status.number == lease.status_number);
         let Some(&status) = answered.filter(|_| lease.process == self.process) else {
             return;
         };
--- a/crates/sharding/src/table.rs
+++ b/crates/sharding/src/table.rs
@@ -253,7 +253,7 @@
         if status.token == self.token {
             self.owner_state(from)
                 .pending
-                .retain(|(version, _)| *version > status.version);
+                .retain(|(version, _)| *version > status.applied_version);
             for released in &status.released {
                 self.confirm_release(now, from, released);
             }
@@ -295,7 +295,7 @@
         let margin = valid_for / CLOCK_DRIFT_DIVISOR + TIMER_GRANULARITY_MS;
         ShardLease {
             process: status.process,
-            number: status.number,
+            status_number: status.number,
             token: self.token,
             base_version,
             duration_ms: valid_for.saturating_sub(margin),
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -183,7 +183,7 @@
         };
         leader.last_reported_answer = leader.last_reported_answer.max(last_answer.unwrap_or(0));
         if mistake == Mistake::SendsChangesOnce && status.token > 0 {
-            status.version = u64::MAX;
+            status.applied_version = u64::MAX;
         }
         if let Some(mut lease) = leader
             .table
@@ -203,14 +203,14 @@
             Mistake::CountsFromArrival => {
                 let mut shard_owner = controller.shard_owner.clone();
                 let last = shard_owner.next_status(now, 9).number;
-                if lease.process == controller.process && last > lease.number {
-                    lease.number = last;
+                if lease.process == controller.process && last > lease.status_number {
+                    lease.status_number = last;
                     controller.shard_owner = shard_owner;
                 }
             }
             Mistake::AcceptsLateLeases if lease.process == controller.process => {
                 let mut shard_owner = controller.shard_owner.clone();
-                lease.number = shard_owner.next_status(now, 9).number - 1;
+                lease.status_number = shard_owner.next_status(now, 9).number - 1;
             }
             _ => {}
         }
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -217,9 +217,9 @@
         };
         forwarder.handle_heartbeat(1000, worker as u64, heartbeat);
     }
-    let shard_lease = |number, changes| ShardLease {
+    let shard_lease = |status_number, changes| ShardLease {
         process: 7,
-        number,
+        status_number,
         token: 5,
         base_version: 0,
         duration_ms: 1000,
