--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -11,7 +11,7 @@
     CancelDecision, Config, Core, Effect, Input, Outcome, ScaleOutOutcome,
 };
 use copperfield::settings::{Cluster, Tuning};
-use copperfield::storage::writer::{Write, Written};
+use copperfield::storage::writer::{Write, WriteOutcome};
 use copperfield::storage::{
     DrainRecord, FencedWorker, Snapshot, StoredDrain, StoredFencingPage, StoredJob, StoredProgress,
     StoredRegistryPage, bitmap::TaskBitmap,
@@ -711,7 +711,7 @@
                     self.largest_value = self.largest_value.max(value.to_string().len());
                     self.progress_records.insert((*job, *chunk), value.clone());
                 }
-                Write::DropProgress { job, chunk, .. } => {
+                Write::DeleteProgress { job, chunk, .. } => {
                     self.progress_records.remove(&(*job, *chunk));
                 }
                 Write::Finish { job, .. } => {
@@ -731,7 +731,7 @@
                 }
             }
             let version = self.revision;
-            results.push((write, Written::Stored { version }));
+            results.push((write, WriteOutcome::Stored { version }));
         }
         self.scheduled_inputs
             .push((self.now + 0.05, Input::Written(results)));
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -15,7 +15,7 @@
 use crate::protocol::peer::{Lookup, PeerReply, PeerRequest};
 use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::store::{StoreError, put};
-use crate::storage::{FOUNDED, LEADER, job_key, terminal_key, terminal_record};
+use crate::storage::{LEADER, TERM_MARKER, job_key, terminal_key, terminal_record};
 use crate::transport::rate_limiter::Urgency;
 use crate::transport::server::Outgoing;
 
@@ -140,7 +140,7 @@
     /// would not bind its successor.
     async fn store_leaderless(&self, id: JobId) -> Lookup {
         let store = &self.context.store;
-        let marker = store.get(FOUNDED, Urgency::High, true).await;
+        let marker = store.get(TERM_MARKER, Urgency::High, true).await;
         let Ok(term) = marker.map(|item| item.map_or(0, |item| item.version)) else {
             return Lookup::NotLeader;
         };
@@ -149,7 +149,7 @@
         };
         let guards = [
             Condition::absent(LEADER),
-            Condition::at_version(FOUNDED, term),
+            Condition::at_version(TERM_MARKER, term),
         ];
         let stored = self.store_cancelled(id, 0, &guards).await;
         stored.unwrap_or(Lookup::NotLeader)
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -13,7 +13,7 @@
 impl Api {
     pub(super) fn health(&self) -> Result<Outgoing, ApiError> {
         let context = &self.context;
-        let cut_off = context.store.unanswered_s() > CUT_OFF_S
+        let cut_off = context.store.since_last_answer_s() > CUT_OFF_S
             && !context.settings.peers.is_empty()
             && context.seconds_since_peer_contact() > CUT_OFF_S;
         if cut_off {
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -142,7 +142,7 @@
 pub(super) async fn monitor(context: Arc<ControllerContext>) {
     loop {
         sleep(MONITOR_INTERVAL).await;
-        if context.store.unanswered_s() < PING_AFTER_UNSERVED_S {
+        if context.store.since_last_answer_s() < PING_AFTER_UNSERVED_S {
             continue;
         }
         for peer in &context.settings.peers {
--- a/src/controller/effects/state.rs
+++ b/src/controller/effects/state.rs
@@ -7,7 +7,7 @@
 use crate::coordination::core::Input;
 use crate::protocol::JobId;
 use crate::protocol::job::JobOutcome;
-use crate::storage::writer::{self, Write, WriteError, Written};
+use crate::storage::writer::{self, Write, WriteError, WriteOutcome};
 
 /// Writes a batch under the guard of the leader key, and has the outcomes of finished jobs
 /// cached. Steps down if the leader key is no longer that of this token.
@@ -28,7 +28,7 @@
             }
             Some(Input::Written(results))
         }
-        Err(WriteError::Deposed) => {
+        Err(WriteError::NotLeader) => {
             tracing::warn!(token, "leader key changed: stepping down");
             context.leadership.step_down(token);
             None
@@ -37,13 +37,13 @@
 }
 
 /// The job whose outcome is stored now, if the write was about that.
-fn finished_job((write, written): &(Write, Written)) -> Option<(JobId, JobOutcome)> {
+fn finished_job((write, written): &(Write, WriteOutcome)) -> Option<(JobId, JobOutcome)> {
     let Write::Finish { job, done, .. } = write else {
         return None;
     };
     match written {
-        Written::Stored { .. } => Some((*job, writer::completed(*done))),
-        Written::Ended(outcome) => Some((*job, *outcome)),
-        Written::Again { .. } => None,
+        WriteOutcome::Stored { .. } => Some((*job, writer::completed(*done))),
+        WriteOutcome::JobAlreadyEnded(outcome) => Some((*job, *outcome)),
+        WriteOutcome::Retry { .. } => None,
     }
 }
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -13,7 +13,7 @@
 
 use copperfield_admin::views;
 
-use crate::storage::writer::{Write, Written};
+use crate::storage::writer::{Write, WriteOutcome};
 use crate::storage::{DrainRecord, StoredDrain};
 
 use super::model::*;
@@ -130,7 +130,7 @@
         &mut self,
         name: String,
         record: Option<DrainRecord>,
-        written: &Written,
+        written: &WriteOutcome,
     ) {
         let Some(drain) = self.drains.get_mut(&name) else {
             return;
--- a/src/coordination/drains/state.rs
+++ b/src/coordination/drains/state.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::model::Time;
 use crate::storage::DrainRecord;
-use crate::storage::writer::Written;
+use crate::storage::writer::WriteOutcome;
 
 /// The requested state of a drain, and what is known about its stored record.
 #[derive(Debug, Default)]
@@ -31,15 +31,15 @@
     }
 
     /// Records the result of a write.
-    pub(super) fn record_write_result(&mut self, written: &Written) {
+    pub(super) fn record_write_result(&mut self, written: &WriteOutcome) {
         self.write_in_flight = false;
         match written {
-            Written::Stored { version } => self.version = *version,
-            Written::Again { version } => {
+            WriteOutcome::Stored { version } => self.version = *version,
+            WriteOutcome::Retry { version } => {
                 self.version = *version;
                 self.write_due = true;
             }
-            Written::Ended(_) => {}
+            WriteOutcome::JobAlreadyEnded(_) => {}
         }
     }
 }
--- a/src/coordination/election/records.rs
+++ b/src/coordination/election/records.rs
@@ -5,7 +5,7 @@
 use crate::controller::context::ControllerContext;
 use crate::protocol::state::{Change, Condition, Item, Transaction};
 use crate::storage::store::{StoreError, put};
-use crate::storage::{FOUNDED, LEADER};
+use crate::storage::{LEADER, TERM_MARKER};
 use crate::transport::rate_limiter::Urgency;
 
 const MEMBER: &str = "member";
@@ -52,7 +52,10 @@
 impl TermMarker {
     /// Reads the marker; `None` if there has never been a leader.
     pub(super) async fn read(context: &ControllerContext) -> Result<Option<Self>, StoreError> {
-        let item = context.store.get(FOUNDED, Urgency::Renewal, false).await?;
+        let item = context
+            .store
+            .get(TERM_MARKER, Urgency::Renewal, false)
+            .await?;
         Ok(item.map(|item| Self {
             confirmed_token: item.value.get(CONFIRMED_TOKEN).and_then(Value::as_u64),
         }))
@@ -69,7 +72,7 @@
                 value: json!({ MEMBER: member, NONCE: nonce }),
                 lease: Some(lease),
             },
-            put(FOUNDED.to_string(), json!({})),
+            put(TERM_MARKER.to_string(), json!({})),
         ],
     }
 }
@@ -78,7 +81,10 @@
 pub(super) fn confirmation_transaction(token: u64) -> Transaction {
     Transaction {
         conditions: vec![Condition::at_version(LEADER, token)],
-        changes: vec![put(FOUNDED.to_string(), json!({ CONFIRMED_TOKEN: token }))],
+        changes: vec![put(
+            TERM_MARKER.to_string(),
+            json!({ CONFIRMED_TOKEN: token }),
+        )],
     }
 }
 
--- a/src/coordination/election/term.rs
+++ b/src/coordination/election/term.rs
@@ -115,7 +115,7 @@
             let deadline = self.renewal_deadline();
             match self.context.store.extend_lease(self.lease, deadline).await {
                 Ok(()) => self.record_renewal(requested_at),
-                Err(StoreError::NoLease) => return TermEnd::Ended,
+                Err(StoreError::LeaseNotFound) => return TermEnd::Ended,
                 Err(error) => {
                     tracing::debug!(%error, "renewal failed");
                     if let Some(successor) = self.extend_by_votes(&error, deadline).await {
--- a/src/coordination/fencing/mod.rs
+++ b/src/coordination/fencing/mod.rs
@@ -12,7 +12,7 @@
 use copperfield_fencing::PageWrite;
 
 use crate::protocol::worker::Heartbeat;
-use crate::storage::writer::{Write, Written};
+use crate::storage::writer::{Write, WriteOutcome};
 use crate::storage::{FencedWorker, StoredFencingPage};
 
 use super::messages::{Effect, HeartbeatRefusal};
@@ -195,13 +195,13 @@
     }
 
     /// Handles the result of writing a page.
-    pub(super) fn handle_fencing_result(&mut self, page: u32, written: &Written) {
+    pub(super) fn handle_fencing_result(&mut self, page: u32, written: &WriteOutcome) {
         match written {
-            Written::Stored { version } => self.fencing.confirm_write(page, *version),
-            Written::Again { version } => {
+            WriteOutcome::Stored { version } => self.fencing.confirm_write(page, *version),
+            WriteOutcome::Retry { version } => {
                 return self.fencing.retry_write(page, *version, self.now);
             }
-            Written::Ended(_) => return,
+            WriteOutcome::JobAlreadyEnded(_) => return,
         }
         self.update_fenced_workers();
         self.answer_deferred_heartbeats();
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -11,7 +11,7 @@
 use crate::protocol::peer::{AdminRequest, ForwardedHeartbeat, ShardStatus, ShardUpdate};
 use crate::protocol::worker::{Command, Heartbeat};
 use crate::storage::StoredJob;
-use crate::storage::writer::{Write, Written};
+use crate::storage::writer::{Write, WriteOutcome};
 
 /// An event outside the core.
 #[derive(Debug)]
@@ -52,7 +52,7 @@
         unix_ms: u64,
     },
     /// The results of an [`Effect::Write`].
-    Written(Vec<(Write, Written)>),
+    Written(Vec<(Write, WriteOutcome)>),
     /// The cloud described its machine types.
     MachineTypes(Vec<MachineType>),
     /// The cloud listed its workers.
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -11,7 +11,7 @@
 use crate::protocol::JobId;
 use crate::storage::StoredProgress;
 use crate::storage::bitmap::TaskBitmap;
-use crate::storage::writer::{Write, Written, completed};
+use crate::storage::writer::{Write, WriteOutcome, completed};
 
 use super::messages::Effect;
 use super::model::*;
@@ -102,14 +102,14 @@
             value: bitmap.to_record(),
             version: job.chunk_versions[chunk as usize],
         };
-        batch.push(write, bitmap.digits() + PROGRESS_OVERHEAD_BYTES);
+        batch.push(write, bitmap.hex_digits() + PROGRESS_OVERHEAD_BYTES);
     }
 
     fn add_obsolete_chunks(&mut self, batch: &mut WriteBatch) {
         while batch.has_room_for(1)
             && let Some(obsolete) = self.write_queue.pop_obsolete_chunk()
         {
-            let write = Write::DropProgress {
+            let write = Write::DeleteProgress {
                 job: obsolete.job,
                 chunk: obsolete.chunk,
                 version: obsolete.version,
@@ -119,7 +119,7 @@
     }
 
     /// Handles the results of the transaction in flight.
-    pub(super) fn handle_write_results(&mut self, results: Vec<(Write, Written)>) {
+    pub(super) fn handle_write_results(&mut self, results: Vec<(Write, WriteOutcome)>) {
         self.write_queue.end_transaction();
         for (write, written) in results {
             match write {
@@ -134,8 +134,8 @@
                 Write::Drain { node, record, .. } => {
                     self.handle_drain_written(node, record, &written);
                 }
-                Write::DropProgress { job, chunk, .. } => {
-                    if let Written::Again { version } = written {
+                Write::DeleteProgress { job, chunk, .. } => {
+                    if let WriteOutcome::Retry { version } = written {
                         self.write_queue.push_obsolete_chunk(ObsoleteChunk {
                             job,
                             chunk,
@@ -147,11 +147,11 @@
         }
     }
 
-    fn handle_finish_result(&mut self, job: JobId, done: u32, written: &Written) {
+    fn handle_finish_result(&mut self, job: JobId, done: u32, written: &WriteOutcome) {
         match written {
-            Written::Stored { .. } => self.end_job(job, completed(done)),
-            Written::Ended(outcome) => self.end_job(job, *outcome),
-            Written::Again { .. } => {
+            WriteOutcome::Stored { .. } => self.end_job(job, completed(done)),
+            WriteOutcome::JobAlreadyEnded(outcome) => self.end_job(job, *outcome),
+            WriteOutcome::Retry { .. } => {
                 if let Some(ix) = self.jobs.index_of(job) {
                     self.write_queue.push_finished_job(ix);
                 }
@@ -159,10 +159,16 @@
         }
     }
 
-    fn handle_progress_result(&mut self, id: JobId, chunk: u32, value: &Value, written: &Written) {
+    fn handle_progress_result(
+        &mut self,
+        id: JobId,
+        chunk: u32,
+        value: &Value,
+        written: &WriteOutcome,
+    ) {
         let version = match written {
-            Written::Stored { version } | Written::Again { version } => *version,
-            Written::Ended(_) => return,
+            WriteOutcome::Stored { version } | WriteOutcome::Retry { version } => *version,
+            WriteOutcome::JobAlreadyEnded(_) => return,
         };
         let Some(ix) = self.jobs.index_of(id) else {
             return self.remove_chunk(id, chunk, version);
@@ -172,7 +178,7 @@
         if matches!(job.state, JobState::Terminal(_)) {
             return self.remove_chunk(id, chunk, version);
         }
-        if let Written::Stored { .. } = written {
+        if let WriteOutcome::Stored { .. } = written {
             self.mark_stored(ix, chunk, value);
         } else {
             self.schedule_progress_write(ix, chunk, self.now);
--- a/src/coordination/registry/mod.rs
+++ b/src/coordination/registry/mod.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::storage::writer::{Write, Written};
+use crate::storage::writer::{Write, WriteOutcome};
 use crate::storage::{StoredRegistryPage, WorkerRecord};
 
 use super::model::*;
@@ -141,18 +141,23 @@
     }
 
     /// Handles the result of writing a page.
-    pub(super) fn handle_registry_result(&mut self, page: u32, value: &Value, written: &Written) {
+    pub(super) fn handle_registry_result(
+        &mut self,
+        page: u32,
+        value: &Value,
+        written: &WriteOutcome,
+    ) {
         self.registry.end_write(page);
         match written {
-            Written::Stored { version } => {
+            WriteOutcome::Stored { version } => {
                 self.registry.set_version(page, *version);
                 self.mark_registered(page, value);
             }
-            Written::Again { version } => {
+            WriteOutcome::Retry { version } => {
                 self.registry.set_version(page, *version);
                 self.registry.schedule_write(page, self.now);
             }
-            Written::Ended(_) => {}
+            WriteOutcome::JobAlreadyEnded(_) => {}
         }
     }
 
--- a/src/storage/bitmap.rs
+++ b/src/storage/bitmap.rs
@@ -59,13 +59,13 @@
     }
 
     /// The number of hexadecimal digits of the record.
-    pub fn digits(&self) -> usize {
+    pub fn hex_digits(&self) -> usize {
         self.bytes.len() * 2
     }
 
     /// The value to be stored.
     pub fn to_record(&self) -> Value {
-        let mut digits = String::with_capacity(self.digits());
+        let mut digits = String::with_capacity(self.hex_digits());
         for byte in &self.bytes {
             digits.push_str(&format!("{byte:02x}"));
         }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -29,8 +29,8 @@
 pub mod writer;
 
 pub use records::{
-    DRAINS, DrainRecord, FENCING, FOUNDED, JOBS, JobRecord, LEADER, PROGRESS, REGISTRY,
-    RecordError, WorkerRecord, drain_key, fencing_key, job_key, job_record, parse_job_record,
+    DRAINS, DrainRecord, FENCING, JOBS, JobRecord, LEADER, PROGRESS, REGISTRY, RecordError,
+    TERM_MARKER, WorkerRecord, drain_key, fencing_key, job_key, job_record, parse_job_record,
     parse_terminal, progress_key, registry_key, terminal_key, terminal_record,
 };
 pub use snapshot::{
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -14,7 +14,7 @@
 /// The term marker: written with every leader key, once more by its leader, and never removed.
 /// As long as it is missing, no leader has ever asked for a lease extension; while its version
 /// stays, no leader is elected.
-pub const FOUNDED: &str = "cf/founded";
+pub const TERM_MARKER: &str = "cf/founded";
 /// Prefix of the live jobs.
 pub const JOBS: &str = "cf/j/";
 /// Prefix of the terminal states of jobs.
--- a/src/storage/store/error.rs
+++ b/src/storage/store/error.rs
@@ -22,7 +22,7 @@
     Conflict(Vec<String>),
     /// The lease has ended.
     #[error("no such lease")]
-    NoLease,
+    LeaseNotFound,
     /// The watch fell behind what the service keeps, or what one answer may hold: only reading
     /// everything anew leads on from there.
     #[error("too old")]
--- a/src/storage/store/mod.rs
+++ b/src/storage/store/mod.rs
@@ -85,8 +85,8 @@
     }
 
     /// Seconds since the state service last answered this controller, directly or through a peer.
-    pub fn unanswered_s(&self) -> f64 {
-        self.reachability.unanswered_s()
+    pub fn since_last_answer_s(&self) -> f64 {
+        self.reachability.since_last_answer_s()
     }
 
     /// Whether the service does not answer this controller directly, as far as is known from a
@@ -150,7 +150,7 @@
         match answer.status {
             200 => parse::<Revision>(&answer).map(|r| r.revision),
             409 => Err(StoreError::Conflict(parse::<Conflict>(&answer)?.failed)),
-            400 if contains(&answer.body, NO_SUCH_LEASE) => Err(StoreError::NoLease),
+            400 if contains(&answer.body, NO_SUCH_LEASE) => Err(StoreError::LeaseNotFound),
             other => Err(StoreError::Refused(other)),
         }
     }
@@ -158,10 +158,10 @@
     /// Sends a request within the rate limits, again if the service asks to slow down.
     async fn call(&self, request: Request<'_>) -> Result<Answer, StoreError> {
         for _ in 0..ATTEMPTS {
-            self.requests.spend(1.0, request.urgency).await;
+            self.requests.acquire(1.0, request.urgency).await;
             if request.changes > 0 {
                 let changes = request.changes as f64;
-                self.writes.spend(changes, request.urgency).await;
+                self.writes.acquire(changes, request.urgency).await;
             }
             let answer = self.attempt(&request).await?;
             if answer.status != TOO_MANY_REQUESTS {
--- a/src/storage/store/reachability.rs
+++ b/src/storage/store/reachability.rs
@@ -76,7 +76,7 @@
     }
 
     /// Seconds since the service last answered this controller.
-    pub(super) fn unanswered_s(&self) -> f64 {
+    pub(super) fn since_last_answer_s(&self) -> f64 {
         (self.now_ms() - self.answered_at.load(Ordering::Relaxed)) as f64 / 1000.0
     }
 
--- a/src/storage/store/relay.rs
+++ b/src/storage/store/relay.rs
@@ -26,9 +26,9 @@
         let Ok(method) = Method::from_bytes(method.as_bytes()) else {
             return PeerReply::Unable;
         };
-        self.requests.spend(1.0, Urgency::Normal).await;
+        self.requests.acquire(1.0, Urgency::Normal).await;
         if method == Method::POST {
-            self.writes.spend(RELAYED_CHANGES, Urgency::Normal).await;
+            self.writes.acquire(RELAYED_CHANGES, Urgency::Normal).await;
         }
         match self.direct(method, path, body, ATTEMPT).await {
             Ok(answer) => PeerReply::State {
--- a/src/storage/store/watch.rs
+++ b/src/storage/store/watch.rs
@@ -56,7 +56,7 @@
         since: u64,
         block: Duration,
     ) -> Result<Changes, StoreError> {
-        self.requests.spend(1.0, Urgency::High).await;
+        self.requests.acquire(1.0, Urgency::High).await;
         let path = format!(
             "/watch?prefix={prefix}&since={since}&block_ms={}",
             block.as_millis()
--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -50,7 +50,7 @@
         version: u64,
     },
     /// The removal of a chunk whose job has ended.
-    DropProgress {
+    DeleteProgress {
         /// The job.
         job: JobId,
         /// The chunk's position in the job.
@@ -105,7 +105,7 @@
     fn is_deletion(&self) -> bool {
         matches!(
             self,
-            Self::DropProgress { .. } | Self::Drain { record: None, .. }
+            Self::DeleteProgress { .. } | Self::Drain { record: None, .. }
         )
     }
 
@@ -132,7 +132,7 @@
     /// The value that the guarded key gets; `None` removes the key.
     fn value(&self, unix_ms: u64) -> Option<Value> {
         match self {
-            Self::Finish { .. } | Self::DropProgress { .. } => None,
+            Self::Finish { .. } | Self::DeleteProgress { .. } => None,
             Self::Progress { value, .. } | Self::WorkerRegistry { value, .. } => {
                 Some(value.clone())
             }
@@ -148,7 +148,7 @@
         match self {
             Self::Finish { version, .. }
             | Self::Progress { version, .. }
-            | Self::DropProgress { version, .. }
+            | Self::DeleteProgress { version, .. }
             | Self::WorkerRegistry { version, .. }
             | Self::FencingRecord { version, .. }
             | Self::Drain { version, .. } => *version,
@@ -159,7 +159,7 @@
     fn guarded_key(&self) -> String {
         match self {
             Self::Finish { job, .. } => job_key(*job),
-            Self::Progress { job, chunk, .. } | Self::DropProgress { job, chunk, .. } => {
+            Self::Progress { job, chunk, .. } | Self::DeleteProgress { job, chunk, .. } => {
                 progress_key(*job, *chunk)
             }
             Self::WorkerRegistry { page, .. } => registry_key(*page),
@@ -177,18 +177,18 @@
     }
 
     /// What became of the write, by what is read from [`Self::evidence_key`] after it.
-    fn outcome(&self, found: Option<Item>) -> Written {
+    fn outcome(&self, found: Option<Item>) -> WriteOutcome {
         match (self, found) {
             (Self::Finish { .. }, Some(item)) => match parse_terminal(&item.value) {
-                Ok(outcome) => Written::Ended(outcome),
+                Ok(outcome) => WriteOutcome::JobAlreadyEnded(outcome),
                 Err(error) => {
                     tracing::error!(key = item.key, %error, "terminal state does not parse");
-                    Written::Again { version: 0 }
+                    WriteOutcome::Retry { version: 0 }
                 }
             },
-            (Self::Finish { version, .. }, None) => Written::Again { version: *version },
-            (write, None) if write.is_deletion() => Written::Stored { version: 0 },
-            (_, item) => Written::Again {
+            (Self::Finish { version, .. }, None) => WriteOutcome::Retry { version: *version },
+            (write, None) if write.is_deletion() => WriteOutcome::Stored { version: 0 },
+            (_, item) => WriteOutcome::Retry {
                 version: item.map_or(0, |i| i.version),
             },
         }
@@ -206,19 +206,19 @@
 
 /// What became of one write of a batch.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// Stored.
     Stored {
         /// The key's version, 0 after a deletion.
         version: u64,
     },
     /// Not stored, or not known to be: to be tried again.
-    Again {
+    Retry {
         /// The key's version as read since.
         version: u64,
     },
     /// Another controller has ended the job.
-    Ended(JobOutcome),
+    JobAlreadyEnded(JobOutcome),
 }
 
 /// The outcome of a job all of whose tasks are done.
@@ -234,7 +234,7 @@
 pub enum WriteError {
     /// Another controller has written the leader key.
     #[error("another controller leads")]
-    Deposed,
+    NotLeader,
 }
 
 /// Carries one batch out, however long it takes, unless another controller leads.
@@ -247,11 +247,11 @@
     batch: Vec<Write>,
     unix_ms: u64,
     still_wanted: impl Fn() -> bool,
-) -> Result<Vec<(Write, Written)>, WriteError> {
+) -> Result<Vec<(Write, WriteOutcome)>, WriteError> {
     match commit(&store, token, &batch, unix_ms).await {
         Ok(revision) => return Ok(stored(batch, revision)),
         Err(StoreError::Conflict(failed)) if failed.iter().any(|key| key == LEADER) => {
-            return Err(WriteError::Deposed);
+            return Err(WriteError::NotLeader);
         }
         Err(error) => tracing::debug!(%error, writes = batch.len(), "transaction not confirmed"),
     }
@@ -286,10 +286,10 @@
     store.commit(&transaction, urgency, false).await
 }
 
-fn stored(batch: Vec<Write>, revision: u64) -> Vec<(Write, Written)> {
+fn stored(batch: Vec<Write>, revision: u64) -> Vec<(Write, WriteOutcome)> {
     let with_version = |write: Write| {
         let version = if write.is_deletion() { 0 } else { revision };
-        (write, Written::Stored { version })
+        (write, WriteOutcome::Stored { version })
     };
     batch.into_iter().map(with_version).collect()
 }
@@ -302,7 +302,7 @@
 ) -> Result<Option<Item>, WriteError> {
     loop {
         if !still_wanted() {
-            return Err(WriteError::Deposed);
+            return Err(WriteError::NotLeader);
         }
         match store.get(key, Urgency::High, false).await {
             Ok(item) => return Ok(item),
--- a/src/transport/rate_limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -66,7 +66,7 @@
     /// `rate` tokens a second, and a bucket that fills in `burst_s`.
     ///
     /// At first it holds what is kept for urgent requests and nothing more: a process that is
-    /// restarted must not spend again what the one before it has spent, so that a controller
+    /// restarted must not acquire again what the one before it has spent, so that a controller
     /// takes no more for its users than one process would, however often it restarts.
     pub fn new(rate: f64, burst_s: f64) -> Self {
         let burst = (rate * burst_s).max(1.0);
@@ -82,7 +82,7 @@
     }
 
     /// Takes `cost` tokens, and waits for them if need be.
-    pub async fn spend(&self, cost: f64, urgency: Urgency) {
+    pub async fn acquire(&self, cost: f64, urgency: Urgency) {
         let Err(mut wait) = self.try_take(cost, urgency) else {
             return;
         };
--- a/tests/cancelled_tasks.rs
+++ b/tests/cancelled_tasks.rs
@@ -13,7 +13,7 @@
 use copperfield::protocol::job::{JobOutcome, Phase};
 use copperfield::protocol::worker::{Heartbeat, TaskPhase, TaskStatus};
 use copperfield::storage::StoredJob;
-use copperfield::storage::writer::Written;
+use copperfield::storage::writer::WriteOutcome;
 use copperfield_simulation::core_harness::stored;
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -116,7 +116,7 @@
                 }
                 Effect::Write(batch) => {
                     let version = TOKEN + self.ticket;
-                    let stored = |write| (write, Written::Stored { version });
+                    let stored = |write| (write, WriteOutcome::Stored { version });
                     let written = Input::Written(batch.into_iter().map(stored).collect());
                     self.pending_results.push(written);
                 }
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -82,7 +82,7 @@
     let (small, large) = (JobId(412), JobId(1_234_567));
     let made = [
         storage::LEADER.to_string(),
-        storage::FOUNDED.to_string(),
+        storage::TERM_MARKER.to_string(),
         storage::JOBS.to_string(),
         storage::PROGRESS.to_string(),
         storage::REGISTRY.to_string(),
@@ -273,7 +273,7 @@
             value: value.clone(),
             version: 13,
         },
-        Write::DropProgress {
+        Write::DeleteProgress {
             job: JobId(414),
             chunk: 14,
             version: 15,
--- a/tests/rate_limiter.rs
+++ b/tests/rate_limiter.rs
@@ -21,7 +21,7 @@
     let waiting: Vec<_> = (0..40)
         .map(|_| {
             let limiter = limiter.clone();
-            tokio::spawn(async move { limiter.spend(1.0, Urgency::High).await })
+            tokio::spawn(async move { limiter.acquire(1.0, Urgency::High).await })
         })
         .collect();
     tokio::task::yield_now().await;
@@ -39,7 +39,7 @@
     let limiter = full_limiter().await;
     let start = Instant::now();
     for _ in 0..30 {
-        limiter.spend(1.0, Urgency::High).await;
+        limiter.acquire(1.0, Urgency::High).await;
     }
     let spent = start.elapsed().as_secs_f64();
     assert!(
@@ -47,9 +47,9 @@
         "20 beyond the burst at 10/s: {spent}"
     );
     let before = Instant::now();
-    limiter.spend(1.0, Urgency::Renewal).await;
+    limiter.acquire(1.0, Urgency::Renewal).await;
     assert_eq!(before.elapsed(), Duration::ZERO);
-    limiter.spend(1.0, Urgency::Low).await;
+    limiter.acquire(1.0, Urgency::Low).await;
     assert!(
         before.elapsed() > Duration::from_millis(600),
         "low urgency leaves half"
@@ -69,7 +69,7 @@
         loop {
             tokio::select! {
                 () = &mut process => break,
-                () = limiter.spend(1.0, Urgency::Normal) => spent += 1,
+                () = limiter.acquire(1.0, Urgency::Normal) => spent += 1,
             }
         }
     }
--- a/tests/shard_owners.rs
+++ b/tests/shard_owners.rs
@@ -7,7 +7,7 @@
 use copperfield::protocol::job::{JobOutcome, Phase};
 use copperfield::protocol::worker::{Heartbeat, TaskPhase, TaskStatus};
 use copperfield::settings::{Cluster, Tuning};
-use copperfield::storage::writer::Written;
+use copperfield::storage::writer::WriteOutcome;
 use copperfield::storage::{Snapshot, StoredRegistryPage, WorkerRecord};
 use copperfield_heartbeat_forwarder::{Action, HeartbeatForwarder};
 use copperfield_simulation::core_harness::stored;
@@ -311,7 +311,7 @@
         for effect in core.step(now, std::mem::take(&mut inputs)) {
             match effect {
                 Effect::Write(batch) => {
-                    let stored = |w| (w, Written::Stored { version: 60 });
+                    let stored = |w| (w, WriteOutcome::Stored { version: 60 });
                     inputs.push(Input::Written(batch.into_iter().map(stored).collect()));
                 }
                 Effect::SendCommands {
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -11,7 +11,7 @@
 use copperfield::protocol::peer::AdminRequest;
 use copperfield::protocol::worker::{Heartbeat, commands_body};
 use copperfield::settings::Tuning;
-use copperfield::storage::writer::{Write as Store, Written};
+use copperfield::storage::writer::{Write as Store, WriteOutcome};
 use copperfield::storage::{Snapshot, StoredJob, StoredRegistryPage, WorkerRecord};
 use serde_json::{Value, json};
 
@@ -126,7 +126,7 @@
                     // The state service of a trace takes every write at once.
                     let results = batch
                         .iter()
-                        .map(|w| (w.clone(), Written::Stored { version: 60 }))
+                        .map(|w| (w.clone(), WriteOutcome::Stored { version: 60 }))
                         .collect();
                     next.push(Input::Written(results));
                     let names: Vec<String> = batch
