--- a/crates/simulation/src/loopback.rs
+++ b/crates/simulation/src/loopback.rs
@@ -11,7 +11,7 @@
 
 use copperfield::protocol::MAX_BODY;
 use copperfield::transport::client::{Answer, HttpClient, Network};
-use copperfield::transport::server::{Incoming, Outgoing, bind, serve};
+use copperfield::transport::server::{ApiRequest, ApiResponse, bind, serve};
 use copperfield_http::Meter;
 use hyper::Method;
 use serde_json::{Value, json};
@@ -217,7 +217,7 @@
         asked.await.ok()
     }
 
-    async fn answer_state(self, request: Incoming) -> Outgoing {
+    async fn answer_state(self, request: ApiRequest) -> ApiResponse {
         let path = full_path(&request);
         if request.path == "/watch" {
             for _ in 0..200 {
@@ -237,7 +237,7 @@
         )
     }
 
-    async fn answer_cloud(self, request: Incoming) -> Outgoing {
+    async fn answer_cloud(self, request: ApiRequest) -> ApiResponse {
         let path = full_path(&request);
         let mut w = self.world();
         reply(
@@ -246,10 +246,10 @@
         )
     }
 
-    async fn answer_worker(self, name: String, request: Incoming) -> Outgoing {
+    async fn answer_worker(self, name: String, request: ApiRequest) -> ApiResponse {
         let mut w = self.world();
         if !w.site.workers.contains_key(&name) {
-            return Outgoing::error(503, "gone");
+            return ApiResponse::error(503, "gone");
         }
         let mut status = 200;
         if request.path == "/orders" {
@@ -382,11 +382,11 @@
     }
 }
 
-fn reply((status, value): (u16, Value)) -> Outgoing {
-    Outgoing::json(status, &value)
+fn reply((status, value): (u16, Value)) -> ApiResponse {
+    ApiResponse::json(status, &value)
 }
 
-fn full_path(request: &Incoming) -> String {
+fn full_path(request: &ApiRequest) -> String {
     match &request.query {
         Some(query) => format!("{}?{query}", request.path),
         None => request.path.clone(),
--- a/src/api/admin.rs
+++ b/src/api/admin.rs
@@ -10,14 +10,14 @@
 use super::{Api, CANCEL_DEADLINE};
 use crate::controller::commands::{AdminResponse, Command};
 use crate::protocol::peer::{AdminRequest, PeerReply, PeerRequest};
-use crate::transport::server::{Incoming, Outgoing};
+use crate::transport::server::{ApiRequest, ApiResponse};
 
 /// Longest time to a drain's deadline, in seconds.
 const MAX_DRAIN_DEADLINE_S: f64 = 1e6;
 
 impl Api {
     /// Checks the key of an operator's request.
-    pub(super) fn authorize(&self, request: &Incoming) -> Result<(), ApiError> {
+    pub(super) fn authorize(&self, request: &ApiRequest) -> Result<(), ApiError> {
         let operators = self.context.tuning.operators.as_ref();
         let key = &operators.ok_or(ApiError::NoSuchPath)?.key;
         let authorization = request.authorization.as_deref().unwrap_or_default();
@@ -29,7 +29,7 @@
     }
 
     /// Answers an operator, here or through the leader.
-    pub(super) async fn admin(&self, request: AdminRequest) -> Result<Outgoing, ApiError> {
+    pub(super) async fn admin(&self, request: AdminRequest) -> Result<ApiResponse, ApiError> {
         if let Some(answer) = self.admin_as_leader(request.clone()).await {
             return Ok(answer);
         }
@@ -42,7 +42,7 @@
     }
 
     /// `None` if this controller does not lead.
-    pub(super) async fn admin_as_leader(&self, request: AdminRequest) -> Option<Outgoing> {
+    pub(super) async fn admin_as_leader(&self, request: AdminRequest) -> Option<ApiResponse> {
         let response = self
             .handle
             .ask(|reply| Command::Admin { request, reply })
@@ -52,8 +52,8 @@
     }
 }
 
-fn answer(status: u16, body: Vec<u8>) -> Outgoing {
-    Outgoing {
+fn answer(status: u16, body: Vec<u8>) -> ApiResponse {
+    ApiResponse {
         status,
         body,
         retry_after_s: None,
@@ -61,7 +61,7 @@
 }
 
 /// What an operator asks by HTTP, at `page` below the operators' path.
-pub(super) fn parse_request(request: &Incoming, page: &str) -> Result<AdminRequest, ApiError> {
+pub(super) fn parse_request(request: &ApiRequest, page: &str) -> Result<AdminRequest, ApiError> {
     if request.method == Method::GET {
         return parse_get(request, page);
     }
@@ -75,7 +75,7 @@
     }
 }
 
-fn parse_get(request: &Incoming, page: &str) -> Result<AdminRequest, ApiError> {
+fn parse_get(request: &ApiRequest, page: &str) -> Result<AdminRequest, ApiError> {
     let query = request.query.as_deref().unwrap_or_default();
     match page {
         "nodes" => Ok(AdminRequest::Nodes {
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -17,7 +17,7 @@
 use crate::storage::store::{StoreError, put};
 use crate::storage::{LEADER, TERM_MARKER, job_key, terminal_key, terminal_record};
 use crate::transport::rate_limiter::Urgency;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// Before the leader is asked again to begin while another outcome of the job is being stored.
 const BEGIN_RETRY: Duration = Duration::from_millis(30);
@@ -34,7 +34,7 @@
 
 impl Api {
     /// Cancels a job, as its user asks.
-    pub(super) async fn cancel(&self, id: JobId) -> Result<Outgoing, ApiError> {
+    pub(super) async fn cancel(&self, id: JobId) -> Result<ApiResponse, ApiError> {
         match self.cancel_anywhere(id).await {
             Lookup::Terminal(outcome) => Ok(outcome_answer(id, outcome)),
             Lookup::NotFound => Err(ApiError::NoSuchJob),
--- a/src/api/error.rs
+++ b/src/api/error.rs
@@ -7,7 +7,7 @@
 use super::submission::CannotRun;
 use crate::protocol::job::InvalidField;
 use crate::protocol::worker::InvalidHeartbeat;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// Why a request is refused. The text is what the client reads as `error` in the body.
 #[derive(Debug, thiserror::Error)]
@@ -112,7 +112,7 @@
     }
 }
 
-impl From<ApiError> for Outgoing {
+impl From<ApiError> for ApiResponse {
     fn from(error: ApiError) -> Self {
         let answer = Self::error(error.status().as_u16(), &error.to_string());
         Self {
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -4,14 +4,14 @@
 
 use super::Api;
 use super::error::ApiError;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// A controller that neither the state service nor a peer answers for so long cannot take
 /// requests.
 const CUT_OFF_S: f64 = 6.0;
 
 impl Api {
-    pub(super) fn health(&self) -> Result<Outgoing, ApiError> {
+    pub(super) fn health(&self) -> Result<ApiResponse, ApiError> {
         let context = &self.context;
         let cut_off = context.store.since_last_answer_s() > CUT_OFF_S
             && !context.settings.peers.is_empty()
@@ -19,6 +19,6 @@
         if cut_off {
             return Err(ApiError::CutOff);
         }
-        Ok(Outgoing::json(200, &json!({"ok": true})))
+        Ok(ApiResponse::json(200, &json!({"ok": true})))
     }
 }
--- a/src/api/heartbeat.rs
+++ b/src/api/heartbeat.rs
@@ -9,14 +9,14 @@
 use super::error::ApiError;
 use crate::controller::commands::Command;
 use crate::protocol::worker::Heartbeat;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// The worker is to report to another controller.
 const REDIRECT: u16 = StatusCode::MISDIRECTED_REQUEST.as_u16();
 
 impl Api {
     /// Answers a heartbeat with commands, or with a redirect to another controller.
-    pub(super) async fn heartbeat(&self, body: &[u8]) -> Result<Outgoing, ApiError> {
+    pub(super) async fn heartbeat(&self, body: &[u8]) -> Result<ApiResponse, ApiError> {
         let heartbeat = Heartbeat::parse(body)?;
         if heartbeat.address.parse::<SocketAddr>().is_err() {
             return Err(ApiError::WorkerAddress);
@@ -28,7 +28,7 @@
         match answer {
             // Checked again as the answer leaves: the process may have been paused since.
             Some(answer) if answer.status == REDIRECT || self.context.may_answer() => Ok(answer),
-            _ => Ok(Outgoing::json(REDIRECT, &json!({}))),
+            _ => Ok(ApiResponse::json(REDIRECT, &json!({}))),
         }
     }
 }
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -15,7 +15,7 @@
 use crate::protocol::job::JobOutcome;
 use crate::protocol::peer::{Lookup, PeerReply, PeerRequest};
 use crate::storage::store::StoreError;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// Lookups that wait to be sent to the leader, at most.
 const MAX_PENDING_LOOKUPS: usize = 1024;
@@ -40,7 +40,7 @@
 
 impl Api {
     /// Answers a user who asks how a job stands.
-    pub(super) async fn answer_lookup(&self, id: JobId) -> Result<Outgoing, ApiError> {
+    pub(super) async fn answer_lookup(&self, id: JobId) -> Result<ApiResponse, ApiError> {
         match self.look_up(id).await {
             Lookup::Terminal(outcome) => Ok(outcome_answer(id, outcome)),
             Lookup::Live {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -33,7 +33,7 @@
 use crate::protocol::job::{JobOutcome, Phase};
 use crate::settings::{Settings, Tuning};
 use crate::transport::client::Network;
-use crate::transport::server::{Incoming, Outgoing};
+use crate::transport::server::{ApiRequest, ApiResponse};
 use error::ApiError;
 use lookup::LookupQueue;
 use routes::Route;
@@ -102,12 +102,12 @@
     }
 
     /// Answers a request to the public interface.
-    pub async fn public(self, request: Incoming) -> Outgoing {
+    pub async fn public(self, request: ApiRequest) -> ApiResponse {
         let answer = self.answer_public(&request).await;
-        answer.unwrap_or_else(Outgoing::from)
+        answer.unwrap_or_else(ApiResponse::from)
     }
 
-    async fn answer_public(&self, request: &Incoming) -> Result<Outgoing, ApiError> {
+    async fn answer_public(&self, request: &ApiRequest) -> Result<ApiResponse, ApiError> {
         if request.path.starts_with("/work") && self.context.may_be_stale() {
             return Err(ApiError::ProcessPaused);
         }
@@ -139,24 +139,24 @@
 /// The answer, or `late` if it does not come in time.
 async fn within(
     deadline: Duration,
-    answer: impl Future<Output = Result<Outgoing, ApiError>>,
+    answer: impl Future<Output = Result<ApiResponse, ApiError>>,
     late: ApiError,
-) -> Result<Outgoing, ApiError> {
+) -> Result<ApiResponse, ApiError> {
     timeout(deadline, answer).await.unwrap_or(Err(late))
 }
 
 /// The answer about a job of which nothing runs.
-fn outcome_answer(id: JobId, outcome: JobOutcome) -> Outgoing {
+fn outcome_answer(id: JobId, outcome: JobOutcome) -> ApiResponse {
     phase_answer(id, outcome.phase, outcome.done, 0)
 }
 
 /// The answer about a job: its phase, and how many of its tasks are completed and run.
-fn phase_answer(id: JobId, phase: Phase, done: u32, running: u32) -> Outgoing {
+fn phase_answer(id: JobId, phase: Phase, done: u32, running: u32) -> ApiResponse {
     let body = json!({
         "uid": id.to_string(),
         "phase": phase.spelling(),
         "done": done,
         "running": running,
     });
-    Outgoing::json(200, &body)
+    ApiResponse::json(200, &body)
 }
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -16,7 +16,7 @@
     AdminRequest, Lookup, PeerReply, PeerRequest, RelayedCommand, ShardStatus,
 };
 use crate::storage::store::call_peer;
-use crate::transport::server::{Incoming, Outgoing};
+use crate::transport::server::{ApiRequest, ApiResponse};
 
 /// For the answer of another controller to a request that it answers at once.
 pub(super) const PEER_DEADLINE: Duration = Duration::from_millis(700);
@@ -27,14 +27,14 @@
 
 impl Api {
     /// Answers a request of another controller.
-    pub async fn peer(self, request: Incoming) -> Outgoing {
+    pub async fn peer(self, request: ApiRequest) -> ApiResponse {
         self.context.record_peer_contact();
         let request = match decode(&request.body) {
             Ok(request) => request,
             Err(error) => return error.into(),
         };
         let reply = self.reply_to_peer(request).await;
-        Outgoing {
+        ApiResponse {
             status: 200,
             body: borsh::to_vec(&reply).expect("writing to memory never fails"),
             retry_after_s: None,
@@ -102,7 +102,7 @@
     async fn admin_for_peer(&self, request: AdminRequest) -> PeerReply {
         let response = timeout(CANCEL_DEADLINE, self.admin_as_leader(request)).await;
         match response.ok().flatten() {
-            Some(Outgoing { status, body, .. }) => PeerReply::AdminResponse { status, body },
+            Some(ApiResponse { status, body, .. }) => PeerReply::AdminResponse { status, body },
             None => PeerReply::Unable,
         }
     }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -15,7 +15,7 @@
 use crate::storage::store::{StoreError, put};
 use crate::storage::{job_key, job_record, terminal_key};
 use crate::transport::rate_limiter::Urgency;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// Writes may be queued for so long before a low-priority submission is refused.
 const LOW_PRIORITY_BACKLOG: Duration = Duration::from_millis(500);
@@ -39,7 +39,7 @@
 
 impl Api {
     /// Stores a submission, unless it is invalid, could never run, or is known already.
-    pub(super) async fn submit(&self, body: &[u8]) -> Result<Outgoing, ApiError> {
+    pub(super) async fn submit(&self, body: &[u8]) -> Result<ApiResponse, ApiError> {
         let value: Value = serde_json::from_slice(body)?;
         let spec = JobSpec::submitted(&value)?;
         let machine_types = self.machine_types().await?;
@@ -92,7 +92,11 @@
     }
 
     /// A job that was accepted once is known, whatever has changed since.
-    async fn answer_unrunnable(&self, id: JobId, reason: CannotRun) -> Result<Outgoing, ApiError> {
+    async fn answer_unrunnable(
+        &self,
+        id: JobId,
+        reason: CannotRun,
+    ) -> Result<ApiResponse, ApiError> {
         match self.context.store.outcome(id).await {
             Ok(None) => Err(reason.into()),
             Ok(Some(outcome)) => Ok(outcome_answer(id, outcome)),
@@ -119,7 +123,11 @@
         Ok(())
     }
 
-    async fn store_submission(&self, spec: &JobSpec, record: Value) -> Result<Outgoing, ApiError> {
+    async fn store_submission(
+        &self,
+        spec: &JobSpec,
+        record: Value,
+    ) -> Result<ApiResponse, ApiError> {
         let id = spec.id;
         let urgency = match spec.priority {
             Priority::Low => Urgency::Low,
@@ -154,7 +162,7 @@
         && spec.needs.fits_in(&machine_type.whole)
 }
 
-fn accepted(id: JobId) -> Outgoing {
+fn accepted(id: JobId) -> ApiResponse {
     let body = json!({"uid": id.to_string(), "phase": Phase::Pending.spelling()});
-    Outgoing::json(201, &body)
+    ApiResponse::json(201, &body)
 }
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -14,7 +14,7 @@
 use crate::protocol::peer::{AdminRequest, Lookup, Outcome, ShardStatus, ShardUpdate};
 use crate::protocol::worker::Heartbeat;
 use crate::storage::Snapshot;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// The leader's answer to an operator, as HTTP has it.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
         /// The heartbeat.
         heartbeat: Heartbeat,
         /// Receives the reply.
-        reply: oneshot::Sender<Outgoing>,
+        reply: oneshot::Sender<ApiResponse>,
     },
     /// The status of a shard owner, sent to the leader. The reply is `None` if this controller
     /// does not lead, or if a newer status of the same owner has been processed.
--- a/src/controller/context/mod.rs
+++ b/src/controller/context/mod.rs
@@ -19,7 +19,7 @@
 use crate::storage::store::Store;
 use crate::transport::client::Network;
 use crate::transport::rate_limiter::RateLimiter;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 pub use clock::ControllerClock;
 pub use leadership_state::LeadershipState;
@@ -182,13 +182,13 @@
     }
 
     /// Answers a worker that reports to the wrong controller with the right one, if it is known.
-    pub fn redirect_worker(&self, controller: Option<&str>) -> Outgoing {
+    pub fn redirect_worker(&self, controller: Option<&str>) -> ApiResponse {
         match controller.filter(|name| *name != self.settings.member) {
-            Some(controller) => Outgoing::json(
+            Some(controller) => ApiResponse::json(
                 MISDIRECTED_REQUEST,
                 &serde_json::json!({ "controller": controller }),
             ),
-            None => Outgoing::json(MISDIRECTED_REQUEST, &serde_json::json!({})),
+            None => ApiResponse::json(MISDIRECTED_REQUEST, &serde_json::json!({})),
         }
     }
 }
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -30,7 +30,7 @@
 use crate::settings::Switch;
 use crate::storage::Snapshot;
 use crate::storage::recovery::recover;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 const QUEUE_CAPACITY: usize = 2048;
 const BATCH_SIZE: usize = 128;
@@ -271,7 +271,7 @@
     fn handle_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
-        reply: oneshot::Sender<Outgoing>,
+        reply: oneshot::Sender<ApiResponse>,
         inputs: &mut Vec<Input>,
     ) {
         match &mut self.role {
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -15,7 +15,7 @@
 use crate::protocol::worker::{Heartbeat, commands_body};
 use crate::settings::Switch;
 use crate::storage::store::call_peer;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 const STATUS_DEADLINE: Duration = Duration::from_millis(700);
 /// Process numbers are drawn below this, so that a restarted process has another one.
@@ -35,7 +35,7 @@
     /// The heartbeat.
     pub heartbeat: Heartbeat,
     /// Receives the response.
-    pub reply: oneshot::Sender<Outgoing>,
+    pub reply: oneshot::Sender<ApiResponse>,
 }
 
 /// The state of a shard owner that does not lead.
@@ -81,7 +81,7 @@
     }
 
     /// Answers a worker's heartbeat, now or once the leader has answered.
-    pub fn handle_heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<Outgoing>) {
+    pub fn handle_heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<ApiResponse>) {
         let ticket = self.replies.register(PendingReply::Heartbeat(reply));
         let now_ms = self.context.now_ms();
         let actions = self.forwarder.handle_heartbeat(now_ms, ticket, heartbeat);
--- a/src/controller/leading.rs
+++ b/src/controller/leading.rs
@@ -10,7 +10,7 @@
 use crate::coordination::core::{Core, Effect, Input};
 use crate::protocol::JobId;
 use crate::protocol::peer::{Lookup, RelayedCommand};
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// The state of one term as leader.
 pub struct Leading {
@@ -101,7 +101,7 @@
                 self.replies.accept_heartbeat(ticket, body);
             }
             Effect::RefuseHeartbeat { ticket, reason } => {
-                let response = Outgoing::error(503, &reason.to_string());
+                let response = ApiResponse::error(503, &reason.to_string());
                 self.replies.answer_heartbeat(ticket, response);
             }
             Effect::RedirectWorker { ticket, controller } => {
--- a/src/controller/pending_replies.rs
+++ b/src/controller/pending_replies.rs
@@ -6,14 +6,14 @@
 
 use crate::controller::commands::{AdminResponse, BegunCancellation};
 use crate::protocol::peer::ShardUpdate;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// Where the answer to a request goes.
 ///
 /// A reply that is dropped signals to the requester that this controller does not answer: a worker is
 /// then redirected.
 pub enum PendingReply {
-    Heartbeat(oneshot::Sender<Outgoing>),
+    Heartbeat(oneshot::Sender<ApiResponse>),
     ShardStatus(oneshot::Sender<Option<ShardUpdate>>),
     Cancellation(oneshot::Sender<Option<BegunCancellation>>),
     Admin(oneshot::Sender<Option<AdminResponse>>),
@@ -41,7 +41,7 @@
     }
 
     /// Removes the request of a heartbeat, so that it can be answered later.
-    pub fn take_heartbeat(&mut self, ticket: u64) -> Option<oneshot::Sender<Outgoing>> {
+    pub fn take_heartbeat(&mut self, ticket: u64) -> Option<oneshot::Sender<ApiResponse>> {
         match self.by_ticket.remove(&ticket) {
             Some(PendingReply::Heartbeat(reply)) => Some(reply),
             _ => None,
@@ -50,7 +50,7 @@
 
     /// Answers a heartbeat with 200 and this body.
     pub fn accept_heartbeat(&mut self, ticket: u64, body: Vec<u8>) {
-        let response = Outgoing {
+        let response = ApiResponse {
             status: 200,
             body,
             retry_after_s: None,
@@ -59,7 +59,7 @@
     }
 
     /// Answers a heartbeat.
-    pub fn answer_heartbeat(&mut self, ticket: u64, response: Outgoing) {
+    pub fn answer_heartbeat(&mut self, ticket: u64, response: ApiResponse) {
         if let Some(reply) = self.take_heartbeat(ticket) {
             let _ = reply.send(response);
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 use copperfield::api::Api;
 use copperfield::protocol::{MAX_BODY, MAX_PEER_BODY};
 use copperfield::settings::{
-    LeaderTtlTooLong, Limits, Log, LogFormat, Settings, SettingsError, Tuning, tuning_beside,
+    LeaderTtlTooLong, Limits, Log, LogFormat, Settings, SettingsError, Tuning, default_tuning_path,
 };
 use copperfield::transport::client::HttpClient;
 use copperfield::transport::server::{bind, serve};
@@ -81,7 +81,7 @@
     fn load(&self) -> Result<(Settings, Tuning), LoadError> {
         let config = self.config.as_ref().ok_or(LoadError::ConfigMissing)?;
         let settings = Settings::load(config)?;
-        let tuning = match self.tuning.clone().or_else(|| tuning_beside(config)) {
+        let tuning = match self.tuning.clone().or_else(|| default_tuning_path(config)) {
             Some(path) => Tuning::load(&path)?,
             None => Tuning::default(),
         };
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -22,7 +22,7 @@
     CloudLimits, Cluster, External, Limits, Objective, Peer, Settings, StateLimits, Team, Workers,
 };
 pub use tuning::{
-    Class, Defragmentation, Log, LogFormat, Operators, Switch, Tuning, tuning_beside,
+    Class, Defragmentation, Log, LogFormat, Operators, Switch, Tuning, default_tuning_path,
 };
 
 fn read(path: &Path) -> Result<String, SettingsError> {
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -183,7 +183,7 @@
 }
 
 /// The operators' file beside the platform's: `settings.json` -> `settings.hcl`.
-pub fn tuning_beside(config: &Path) -> Option<PathBuf> {
+pub fn default_tuning_path(config: &Path) -> Option<PathBuf> {
     let path = config.with_extension("hcl");
     path.is_file().then_some(path)
 }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -18,7 +18,7 @@
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// A call that is under way.
-pub type Exchange<'a> = Pin<Box<dyn Future<Output = Result<Answer, CallError>> + Send + 'a>>;
+pub type CallFuture<'a> = Pin<Box<dyn Future<Output = Result<Answer, CallError>> + Send + 'a>>;
 
 /// How a controller reaches others, and the time of day that it shares with them. Tests put
 /// a simulated network in its place.
@@ -38,7 +38,7 @@
         path: &str,
         body: Vec<u8>,
         deadline: Duration,
-    ) -> Exchange<'_>;
+    ) -> CallFuture<'_>;
 }
 
 /// The real network.
@@ -67,7 +67,7 @@
         path: &str,
         body: Vec<u8>,
         deadline: Duration,
-    ) -> Exchange<'_> {
+    ) -> CallFuture<'_> {
         let path = path.to_string();
         Box::pin(async move {
             let exchange = self.pool.call(&method, to, &path, &body);
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -19,7 +19,7 @@
 
 /// A request as the layers above see it.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct ApiRequest {
     /// The method.
     pub method: Method,
     /// The path of the target, without the query.
@@ -34,7 +34,7 @@
 
 /// An answer as the layers above give it.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct ApiResponse {
     /// The status code.
     pub status: u16,
     /// The whole body, JSON.
@@ -43,7 +43,7 @@
     pub retry_after_s: Option<u32>,
 }
 
-impl Outgoing {
+impl ApiResponse {
     /// An answer with a JSON body.
     pub fn json(status: u16, value: &serde_json::Value) -> Self {
         Self {
@@ -114,8 +114,8 @@
     handler: H,
 ) -> std::io::Result<()>
 where
-    H: Fn(Incoming) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Outgoing> + Send + 'static,
+    H: Fn(ApiRequest) -> F + Clone + Send + Sync + 'static,
+    F: Future<Output = ApiResponse> + Send + 'static,
 {
     let service = warp::service(routes(max_body, handler));
     let config = ServerConfig {
@@ -151,8 +151,8 @@
     handler: H,
 ) -> impl Filter<Extract = (impl Reply,), Error = Infallible> + Clone + Send + Sync + 'static
 where
-    H: Fn(Incoming) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Outgoing> + Send + 'static,
+    H: Fn(ApiRequest) -> F + Clone + Send + Sync + 'static,
+    F: Future<Output = ApiResponse> + Send + 'static,
 {
     let with_body = warp::post()
         .or(warp::put())
@@ -171,7 +171,7 @@
         .and(without_body.or(with_body).unify())
         .then(
             move |method: Method, path: FullPath, query, authorization, body: Bytes| {
-                let answer = handler(Incoming {
+                let answer = handler(ApiRequest {
                     method,
                     path: path.as_str().to_string(),
                     query,
@@ -194,7 +194,7 @@
 
 /// The answer to a request that does not reach a handler.
 fn error_response(status: StatusCode, what: &str) -> Response<Bytes> {
-    let mut answer = Outgoing::error(status.as_u16(), what);
+    let mut answer = ApiResponse::error(status.as_u16(), what);
     answer.retry_after_s = (status == StatusCode::SERVICE_UNAVAILABLE).then_some(1);
     answer.into_response()
 }
@@ -209,5 +209,5 @@
     } else {
         (400, "malformed request")
     };
-    Ok(Outgoing::error(status, what).into_response())
+    Ok(ApiResponse::error(status, what).into_response())
 }
--- a/tests/api_answers.rs
+++ b/tests/api_answers.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use copperfield::api::Api;
 use copperfield::settings::{Operators, Settings, Tuning};
-use copperfield::transport::client::{Answer, CallError, Exchange, Network};
-use copperfield::transport::server::{Incoming, Outgoing};
+use copperfield::transport::client::{Answer, CallError, CallFuture, Network};
+use copperfield::transport::server::{ApiRequest, ApiResponse};
 use copperfield_simulation::state_service::StateService;
 use hyper::Method;
 use serde_json::{Value, json};
@@ -42,7 +42,7 @@
         path: &str,
         body: Vec<u8>,
         deadline: Duration,
-    ) -> Exchange<'_> {
+    ) -> CallFuture<'_> {
         let path = path.to_string();
         Box::pin(async move {
             let to = to.to_string();
@@ -112,7 +112,7 @@
         self.outside.state_reachable.store(false, Ordering::Relaxed);
     }
 
-    fn record(&mut self, request: &str, answer: &Outgoing) {
+    fn record(&mut self, request: &str, answer: &ApiResponse) {
         let body = String::from_utf8_lossy(&answer.body);
         let retry = answer.retry_after_s.map_or("-".into(), |s| s.to_string());
         let line = format!("{request} => {} {retry} {body}", answer.status);
@@ -128,7 +128,7 @@
             Some((path, query)) => (path, Some(query.to_string())),
             None => (path, None),
         };
-        let request = Incoming {
+        let request = ApiRequest {
             method: method.clone(),
             path: path_only.into(),
             query,
@@ -140,7 +140,7 @@
     }
 
     async fn send_as_peer(&mut self, body: &'static [u8]) {
-        let request = Incoming {
+        let request = ApiRequest {
             method: Method::POST,
             path: "/".into(),
             query: None,
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -12,8 +12,8 @@
 use copperfield::protocol::worker::{Exit, Heartbeat, TaskPhase, TaskStatus};
 use copperfield::protocol::{JobId, MAX_PEER_BODY};
 use copperfield::settings::{Settings, Tuning};
-use copperfield::transport::client::{Answer, Exchange, Network};
-use copperfield::transport::server::Incoming;
+use copperfield::transport::client::{Answer, CallFuture, Network};
+use copperfield::transport::server::ApiRequest;
 use copperfield_heartbeat_forwarder::HeartbeatForwarder;
 use copperfield_sharding::{ShardChange, ShardLease};
 use copperfield_simulation::cluster::Site;
@@ -81,7 +81,7 @@
         path: &str,
         body: Vec<u8>,
         _deadline: Duration,
-    ) -> Exchange<'_> {
+    ) -> CallFuture<'_> {
         let path = path.to_string();
         Box::pin(async move {
             if to == CLOUD.parse().expect("an address") {
@@ -114,10 +114,10 @@
     serde_json::from_value(value).expect("valid settings")
 }
 
-fn heartbeat(worker: usize) -> Incoming {
+fn heartbeat(worker: usize) -> ApiRequest {
     let body = json!({"host": format!("vm-{worker:06}"), "address": "10.1.0.1:9000", "flavor": "small",
         "region": "a", "tenure": 1, "counter": 1, "fence": 0, "shards": []});
-    Incoming {
+    ApiRequest {
         method: Method::POST,
         path: "/hello".into(),
         query: None,
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -14,7 +14,7 @@
 use copperfield::storage::store::Store;
 use copperfield::storage::writer::{Write, completed, write};
 use copperfield::storage::{self, DrainRecord, FencedWorker, JobRecord, WorkerRecord};
-use copperfield::transport::client::{Answer, Exchange, Network};
+use copperfield::transport::client::{Answer, CallFuture, Network};
 use copperfield_fencing::timestamp;
 use hyper::Method;
 use serde::Serialize;
@@ -219,7 +219,7 @@
         path: &str,
         body: Vec<u8>,
         _deadline: Duration,
-    ) -> Exchange<'_> {
+    ) -> CallFuture<'_> {
         let body = String::from_utf8(body).expect("text");
         let line = format!("{method} {path} {body}");
         self.0.lock().expect("no panic").push(line);
--- a/tests/pinned_exchange.rs
+++ b/tests/pinned_exchange.rs
@@ -10,8 +10,8 @@
 
 use copperfield::api::Api;
 use copperfield::settings::{Settings, Tuning};
-use copperfield::transport::client::{Answer, Exchange, Network};
-use copperfield::transport::server::Incoming;
+use copperfield::transport::client::{Answer, CallFuture, Network};
+use copperfield::transport::server::ApiRequest;
 use copperfield_simulation::state_service::StateService;
 use hyper::Method;
 use serde_json::{Value, json};
@@ -213,7 +213,7 @@
         path: &str,
         body: Vec<u8>,
         deadline: Duration,
-    ) -> Exchange<'_> {
+    ) -> CallFuture<'_> {
         let path = path.to_string();
         Box::pin(async move {
             sleep(Duration::from_millis(2)).await;
@@ -263,7 +263,7 @@
         Some((path, query)) => (path, Some(query.to_string())),
         None => (path, None),
     };
-    let request = Incoming {
+    let request = ApiRequest {
         method: method.clone(),
         path: path_only.to_string(),
         query,
--- a/tests/server_sockets.rs
+++ b/tests/server_sockets.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use copperfield::transport::server::{Outgoing, bind, serve};
+use copperfield::transport::server::{ApiResponse, bind, serve};
 use copperfield_http::Meter;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -27,7 +27,7 @@
 async fn stalled_clients_hold_no_more_than_their_share_of_sockets() {
     let listener = bind(([127, 0, 0, 1], 0).into()).await.expect("a port");
     let address = listener.local_addr().expect("bound");
-    let handler = |_| async { Outgoing::json(200, &json!({"ok": true})) };
+    let handler = |_| async { ApiResponse::json(200, &json!({"ok": true})) };
     let meter = Meter::new(1 << 20);
     let server = tokio::spawn(serve(listener, MAX_CONNECTIONS, 1 << 16, meter, handler));
     let mut stalled = Vec::new();
--- a/tests/simulated_cluster/network.rs
+++ b/tests/simulated_cluster/network.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use copperfield::transport::client::{Answer, CallError, Exchange, Network, within};
-use copperfield::transport::server::Incoming;
+use copperfield::transport::client::{Answer, CallError, CallFuture, Network, within};
+use copperfield::transport::server::ApiRequest;
 use hyper::Method;
 use rand::Rng;
 use serde_json::{Value, json};
@@ -58,7 +58,7 @@
         path: &str,
         body: Vec<u8>,
         deadline: Duration,
-    ) -> Exchange<'_> {
+    ) -> CallFuture<'_> {
         let path = path.to_string();
         Box::pin(async move {
             if !self.alive.load(Ordering::Relaxed) {
@@ -299,7 +299,7 @@
         thaw(&world, &to).await;
         let authorized = path.starts_with("/operator/");
         let authorization = authorized.then(|| format!("Bearer {OPERATOR_KEY}"));
-        let request = Incoming {
+        let request = ApiRequest {
             method,
             path,
             query: None,
