--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -330,7 +330,7 @@
         let drains = self.drains.iter().map(|(node, record)| StoredDrain {
             worker: node.clone(),
             record: Some(*record),
-            left_s: record.until_ms.map(|at| at as f64 / 1000.0 - self.now),
+            deadline_in_s: record.until_ms.map(|at| at as f64 / 1000.0 - self.now),
             version: self.revision,
         });
         let now_ms = (self.now * 1000.0) as u64;
@@ -781,8 +781,8 @@
 pub fn fixed_fleet() -> Tuning {
     Tuning {
         fleet_max: 1,
-        idle_return_s: 1e6,
-        deserted_return_s: 1e6,
+        scale_in_idle_s: 1e6,
+        scale_in_idle_no_jobs_s: 1e6,
         ..Tuning::default()
     }
 }
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -38,7 +38,7 @@
                 at_ms: 0,
                 until_ms: None,
             })),
-            deadline: stored.left_s.map(|left_s| self.now + left_s),
+            deadline: stored.deadline_in_s.map(|in_s| self.now + in_s),
             version: stored.version,
             ..Drain::default()
         };
--- a/src/coordination/migration/estimates.rs
+++ b/src/coordination/migration/estimates.rs
@@ -82,8 +82,8 @@
             && !instance.unacknowledged
             && instance.stop.is_none()
             && (draining || has_run_long_enough || !(has_objective || job.is_service()))
-            && (job.is_service() || saves || lost_s < settings.lost_work_s)
-            && migrated_at.is_none_or(|time| self.now - time > settings.again_after_s)
+            && (job.is_service() || saves || lost_s < settings.max_lost_work_s)
+            && migrated_at.is_none_or(|time| self.now - time > settings.migration_cooldown_s)
     }
 
     /// The longest expected time from the order to stop a task of a job until it is certainly gone.
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -100,7 +100,7 @@
         for &m in missing.secured {
             placed_by_zone[self.workers[m].zone as usize] += 1;
         }
-        let saved_s = settings.worth_s.min(missing.comes_free_in_s);
+        let saved_s = settings.max_saved_wait_s.min(missing.comes_free_in_s);
         Some(defrag::WaitingJob {
             needs: job.spec.needs,
             priority: job.spec.priority as u8,
@@ -120,7 +120,7 @@
     fn cheapest_place_price(&self, ix: u32) -> Option<f64> {
         let job = &self.jobs[ix];
         let needs = &job.spec.needs;
-        let owned_price = self.config.tuning.owned_price;
+        let running_price_factor = self.config.tuning.running_price_factor;
         let is_allowed = |kind: &u32| {
             job.types
                 .as_ref()
@@ -133,7 +133,7 @@
             .filter(|instance_type| needs.fits_in(&instance_type.whole))
             .map(|instance_type| {
                 instance_type.price / SECONDS_PER_HOUR
-                    * owned_price
+                    * running_price_factor
                     * needs.share_of(&instance_type.whole)
             })
             .reduce(f64::min)
@@ -215,7 +215,7 @@
         let price = if worker.spot {
             kind.spot_price
         } else {
-            kind.price * self.config.tuning.owned_price
+            kind.price * self.config.tuning.running_price_factor
         };
         defrag::Worker {
             zone: worker.zone,
@@ -260,12 +260,14 @@
 
     fn job_for_planner(&self, ix: u32, migrating: u32) -> defrag::Job {
         let job = &self.jobs[ix];
-        let away_share = self.config.tuning.defragmentation.away_share;
+        let max_migrating_share = self.config.tuning.defragmentation.max_migrating_share;
         let gang = self.is_multi_task_gang(ix);
         let max_migrating = if gang {
             job.spec.tasks
         } else {
-            (f64::from(job.active) * away_share).floor().max(1.0) as u32
+            (f64::from(job.active) * max_migrating_share)
+                .floor()
+                .max(1.0) as u32
         };
         defrag::Job {
             needs: job.spec.needs,
--- a/src/coordination/migration/progress.rs
+++ b/src/coordination/migration/progress.rs
@@ -27,9 +27,8 @@
         for job_id in failed_for {
             self.migrations.record_failure(job_id, self.now);
         }
-        let again_after_s = self.config.tuning.defragmentation.again_after_s;
-        self.migrations
-            .forget_migrated_before(self.now, again_after_s);
+        let cooldown_s = self.config.tuning.defragmentation.migration_cooldown_s;
+        self.migrations.forget_migrated_before(self.now, cooldown_s);
     }
 
     fn finish_migration(&mut self, migration: &TaskMigration, outcome: MigrationOutcome) {
--- a/src/coordination/objectives.rs
+++ b/src/coordination/objectives.rs
@@ -46,7 +46,7 @@
         .filter(|objective| objective.class.as_deref() == Some(&spec.class))
         .filter_map(|objective| match objective.kind.as_str() {
             "finished" => objective.within_s,
-            "deadline" => Some(spec.deadline_s? * objective.times.unwrap_or(1.0)),
+            "deadline" => Some(spec.deadline_s? * objective.deadline_factor.unwrap_or(1.0)),
             _ => None,
         })
         .reduce(f64::max)
--- a/src/coordination/placement/value.rs
+++ b/src/coordination/placement/value.rs
@@ -50,7 +50,7 @@
         let price_per_hour = if worker.spot {
             instance_type.spot_price
         } else {
-            instance_type.price * tuning.owned_price
+            instance_type.price * tuning.running_price_factor
         };
         let price_per_s = price_per_hour / SECONDS_PER_HOUR;
         let mut occupied_s = work_s + fetch_s;
@@ -83,7 +83,7 @@
             .min(free_share(room.gpus, whole.gpus).max(MIN_GPU_HEADROOM));
         let last_heartbeat_at = self.workers[m].last_heartbeat_at;
         let age_s = last_heartbeat_at.map_or(0.0, |at| self.now - at);
-        let excess = headroom - tuning.headroom_kappa * age_s - tuning.headroom_h0;
+        let excess = headroom - tuning.headroom_decay_per_s * age_s - tuning.headroom_midpoint;
         1.0 / (1.0 + (-GATE_STEEPNESS * excess).exp())
     }
 
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -45,16 +45,16 @@
             .iter()
             .any(|(_, job)| is_live(job) && job.waiting() > 0);
         // While any job is live, more jobs can be expected, so the idle time has its own setting.
-        let idle_return_s = if self.jobs.iter().any(|(_, job)| is_live(job)) {
-            self.config.tuning.idle_return_s
+        let min_idle_s = if self.jobs.iter().any(|(_, job)| is_live(job)) {
+            self.config.tuning.scale_in_idle_s
         } else {
-            self.config.tuning.deserted_return_s
+            self.config.tuning.scale_in_idle_no_jobs_s
         };
         for (_, worker) in self.workers.iter_mut() {
             if !is_empty(worker) {
                 continue;
             }
-            let idle = worker.idle_since.is_some_and(|t| now - t > idle_return_s);
+            let idle = worker.idle_since.is_some_and(|t| now - t > min_idle_s);
             let unused = idle && !waiting && !worker.draining;
             let faulty = worker.quarantined_until > now
                 && worker.quarantine_count >= QUARANTINES_BEFORE_RETURN;
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -189,20 +189,20 @@
         let max_migrations = f64::from(defragmentation.max_migrations);
         [
             range("auction_cap", f64::from(self.auction_cap), 1.0..=1e6),
-            range("headroom_h0", self.headroom_h0, -1.0..=1.0),
-            range("headroom_kappa", self.headroom_kappa, 0.0..=1.0),
+            range("headroom_h0", self.headroom_midpoint, -1.0..=1.0),
+            range("headroom_kappa", self.headroom_decay_per_s, 0.0..=1.0),
             range("slot_cpus", self.slot_cpus, 0.1..=64.0),
-            range("owned_price", self.owned_price, 0.01..=10.0),
+            range("owned_price", self.running_price_factor, 0.01..=10.0),
             range("spot_mean_life_s", self.spot_mean_life_s, 1.0..=1e9),
-            range("idle_return_s", self.idle_return_s, 1.0..=1e9),
-            range("deserted_return_s", self.deserted_return_s, 1.0..=1e9),
+            range("idle_return_s", self.scale_in_idle_s, 1.0..=1e9),
+            range("deserted_return_s", self.scale_in_idle_no_jobs_s, 1.0..=1e9),
             range("fleet_max", f64::from(self.fleet_max), 0.0..=1e6),
             range("leader_ttl_ms", self.leader_ttl_ms as f64, 500.0..=60_000.0),
             range("defragmentation.most_moves", max_migrations, 1.0..=1000.0),
-            range("defragmentation.lost_work_s", defragmentation.lost_work_s, 0.0..=1e6),
-            range("defragmentation.again_after_s", defragmentation.again_after_s, 10.0..=1e6),
-            range("defragmentation.away_share", defragmentation.away_share, 0.0..=1.0),
-            range("defragmentation.worth_s", defragmentation.worth_s, 0.0..=1e6),
+            range("defragmentation.lost_work_s", defragmentation.max_lost_work_s, 0.0..=1e6),
+            range("defragmentation.again_after_s", defragmentation.migration_cooldown_s, 10.0..=1e6),
+            range("defragmentation.away_share", defragmentation.max_migrating_share, 0.0..=1.0),
+            range("defragmentation.worth_s", defragmentation.max_saved_wait_s, 0.0..=1e6),
         ]
     }
 
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -105,7 +105,8 @@
     pub within_s: Option<f64>,
     /// Of deadlines: the multiple that is still worth something.
     #[serde(default)]
-    pub times: Option<f64>,
+    #[serde(rename = "times")]
+    pub deadline_factor: Option<f64>,
 }
 
 /// Times agreed with the workers.
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -16,20 +16,25 @@
     /// Bids one batch may make before the greedy assignment takes over.
     pub auction_cap: u32,
     /// Headroom at which the bid gate is half open.
-    pub headroom_h0: f64,
+    #[serde(rename = "headroom_h0")]
+    pub headroom_midpoint: f64,
     /// Headroom lost per second of heartbeat age.
-    pub headroom_kappa: f64,
+    #[serde(rename = "headroom_kappa")]
+    pub headroom_decay_per_s: f64,
     /// CPUs per priced slot.
     pub slot_cpus: f64,
     /// Share of the nominal price at which workers that are already up are
     /// priced in bids.
-    pub owned_price: f64,
+    #[serde(rename = "owned_price")]
+    pub running_price_factor: f64,
     /// Expected seconds between losses of a spot worker; prices risk in bids.
     pub spot_mean_life_s: f64,
     /// Seconds an empty worker is kept before it is scaled in.
-    pub idle_return_s: f64,
+    #[serde(rename = "idle_return_s")]
+    pub scale_in_idle_s: f64,
     /// The same while no job is unfinished.
-    pub deserted_return_s: f64,
+    #[serde(rename = "deserted_return_s")]
+    pub scale_in_idle_no_jobs_s: f64,
     /// Most workers the fleet may hold, 0 for no limit of our own.
     pub fleet_max: u32,
     /// Length of the leader's lease.
@@ -51,13 +56,13 @@
     fn default() -> Self {
         Self {
             auction_cap: 4000,
-            headroom_h0: 0.05,
-            headroom_kappa: 0.01,
+            headroom_midpoint: 0.05,
+            headroom_decay_per_s: 0.01,
             slot_cpus: 1.0,
-            owned_price: 1.0,
+            running_price_factor: 1.0,
             spot_mean_life_s: 900.0,
-            idle_return_s: 240.0,
-            deserted_return_s: 25.0,
+            scale_in_idle_s: 240.0,
+            scale_in_idle_no_jobs_s: 25.0,
             fleet_max: 0,
             leader_ttl_ms: 2500,
             sharding: Switch::On,
@@ -90,14 +95,18 @@
     #[serde(rename = "most_moves")]
     pub max_migrations: u32,
     /// A task without checkpoints is migrated only while it would lose less work than this.
-    pub lost_work_s: f64,
+    #[serde(rename = "lost_work_s")]
+    pub max_lost_work_s: f64,
     /// The same task is not migrated again within this time.
-    pub again_after_s: f64,
+    #[serde(rename = "again_after_s")]
+    pub migration_cooldown_s: f64,
     /// Share of a job's tasks that may be migrating at once; at least one may.
-    pub away_share: f64,
+    #[serde(rename = "away_share")]
+    pub max_migrating_share: f64,
     /// What a place on a whole worker is worth: the seconds of waiting that it spares,
     /// paid in seconds of work that migrations lose.
-    pub worth_s: f64,
+    #[serde(rename = "worth_s")]
+    pub max_saved_wait_s: f64,
 }
 
 impl Default for Defragmentation {
@@ -105,10 +114,10 @@
         Self {
             enabled: false,
             max_migrations: 16,
-            lost_work_s: 30.0,
-            again_after_s: 300.0,
-            away_share: 0.1,
-            worth_s: 60.0,
+            max_lost_work_s: 30.0,
+            migration_cooldown_s: 300.0,
+            max_migrating_share: 0.1,
+            max_saved_wait_s: 60.0,
         }
     }
 }
--- a/src/storage/recovery.rs
+++ b/src/storage/recovery.rs
@@ -165,7 +165,7 @@
         drains.push(StoredDrain {
             worker,
             record,
-            left_s: until_ms.map(|at| (at as f64 - context.unix_ms() as f64) / 1000.0),
+            deadline_in_s: until_ms.map(|at| (at as f64 - context.unix_ms() as f64) / 1000.0),
             version: item.version,
         });
     }
--- a/src/storage/snapshot.rs
+++ b/src/storage/snapshot.rs
@@ -79,7 +79,7 @@
     /// `None` if the record does not parse: the worker drains, without a deadline.
     pub record: Option<DrainRecord>,
     /// How long until the deadline, by the time of day; negative once it has passed.
-    pub left_s: Option<f64>,
+    pub deadline_in_s: Option<f64>,
     /// The version of its key.
     pub version: u64,
 }
--- a/tests/migration_random.rs
+++ b/tests/migration_random.rs
@@ -279,7 +279,7 @@
             "limits": {"max_sockets": 1000}, "clock_error_ms": 25});
         let mut tuning = fixed_fleet();
         tuning.defragmentation.enabled = true;
-        tuning.defragmentation.again_after_s = 30.0;
+        tuning.defragmentation.migration_cooldown_s = 30.0;
         let mut harness =
             CoreHarness::with_tuning(TYPES, settings, 50, Snapshot::default(), tuning);
         for (i, name) in WORKERS.into_iter().enumerate() {
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -364,7 +364,7 @@
             "{} {class} {} {}",
             quoted(&o.kind),
             or_dash(o.within_s),
-            or_dash(o.times)
+            or_dash(o.deadline_factor)
         ));
     }
     let w = &c.workers;
@@ -390,22 +390,22 @@
     let d = &t.defragmentation;
     let mut all = vec![
         t.auction_cap.to_string(),
-        t.headroom_h0.to_string(),
-        t.headroom_kappa.to_string(),
+        t.headroom_midpoint.to_string(),
+        t.headroom_decay_per_s.to_string(),
         t.slot_cpus.to_string(),
-        t.owned_price.to_string(),
+        t.running_price_factor.to_string(),
         t.spot_mean_life_s.to_string(),
-        t.idle_return_s.to_string(),
-        t.deserted_return_s.to_string(),
+        t.scale_in_idle_s.to_string(),
+        t.scale_in_idle_no_jobs_s.to_string(),
         t.fleet_max.to_string(),
         t.leader_ttl_ms.to_string(),
         (t.sharding == Switch::On).to_string(),
         d.enabled.to_string(),
         d.max_migrations.to_string(),
-        d.lost_work_s.to_string(),
-        d.again_after_s.to_string(),
-        d.away_share.to_string(),
-        d.worth_s.to_string(),
+        d.max_lost_work_s.to_string(),
+        d.migration_cooldown_s.to_string(),
+        d.max_migrating_share.to_string(),
+        d.max_saved_wait_s.to_string(),
     ];
     for (name, class) in &t.class {
         all.push(format!(
--- a/tests/wire_fingerprint.rs
+++ b/tests/wire_fingerprint.rs
@@ -468,7 +468,7 @@
             (1.0, 5.0, "sweep", 30, json!({"cpus": 2.0})),
             (4.0, 40.0, "sweep", 2, json!({"cpus": 1.0})),
         ],
-        tune: |t| t.idle_return_s = 8.0,
+        tune: |t| t.scale_in_idle_s = 8.0,
         until_s: 90.0,
         ..Day::default()
     }
@@ -531,8 +531,8 @@
     let variant = |name, day: Day, tune| Day { name, tune, ..day };
     let longer_lease = variant("lease-length", normal(), |t| t.leader_ttl_ms += 1);
     let fewer_bids = variant("auction-cap", normal(), |t| t.auction_cap = 2);
-    let older_reports = variant("headroom", placement(), |t| t.headroom_kappa = 0.011);
-    let sooner_returned = variant("idle-time", scale_in(), |t| t.idle_return_s = 7.0);
+    let older_reports = variant("headroom", placement(), |t| t.headroom_decay_per_s = 0.011);
+    let sooner_returned = variant("idle-time", scale_in(), |t| t.scale_in_idle_s = 7.0);
     for (day, pinned) in [
         (longer_lease, NORMAL),
         (fewer_bids, NORMAL),
