--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -11,7 +11,7 @@
     CancelDecision, Config, Core, Effect, Input, Outcome, ScaleOutOutcome,
 };
 use copperfield::settings::{Cluster, Tuning};
-use copperfield::storage::writer::{Write, Written};
+use copperfield::storage::writer::{Write, WriteOutcome};
 use copperfield::storage::{
     DrainRecord, FencedWorker, Snapshot, StoredDrain, StoredFencingPage, StoredJob, StoredProgress,
     StoredRegistryPage, bitmap::TaskBitmap,
@@ -330,7 +330,7 @@
         let drains = self.drains.iter().map(|(node, record)| StoredDrain {
             worker: node.clone(),
             record: Some(*record),
-            left_s: record.until_ms.map(|at| at as f64 / 1000.0 - self.now),
+            deadline_in_s: record.until_ms.map(|at| at as f64 / 1000.0 - self.now),
             version: self.revision,
         });
         let now_ms = (self.now * 1000.0) as u64;
@@ -711,7 +711,7 @@
                     self.largest_value = self.largest_value.max(value.to_string().len());
                     self.progress_records.insert((*job, *chunk), value.clone());
                 }
-                Write::DropProgress { job, chunk, .. } => {
+                Write::DeleteProgress { job, chunk, .. } => {
                     self.progress_records.remove(&(*job, *chunk));
                 }
                 Write::Finish { job, .. } => {
@@ -731,7 +731,7 @@
                 }
             }
             let version = self.revision;
-            results.push((write, Written::Stored { version }));
+            results.push((write, WriteOutcome::Stored { version }));
         }
         self.scheduled_inputs
             .push((self.now + 0.05, Input::Written(results)));
@@ -781,8 +781,8 @@
 pub fn fixed_fleet() -> Tuning {
     Tuning {
         fleet_max: 1,
-        idle_return_s: 1e6,
-        deserted_return_s: 1e6,
+        scale_in_idle_s: 1e6,
+        scale_in_idle_no_jobs_s: 1e6,
         ..Tuning::default()
     }
 }
