--- a/crates/fencing/src/page.rs
+++ b/crates/fencing/src/page.rs
@@ -1,37 +1,39 @@
-//! One page of the record: which workers it is to name, which it may name, and its write in flight.
+//! One page of the record: the workers that it should name, those that its stored value may name,
+//! and the write in flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::record::FencedEntry;
 
-/// Of a name with its time in a stored page: quotes, colon, comma and 13 digits.
-const BYTES_PER_ENTRY: usize = 18;
-/// The braces around all entries.
-const BYTES_AROUND: usize = 2;
+/// Bytes of an entry in a stored page besides the worker's name: quotes, colon, comma and the 13
+/// digits of the time.
+const ENTRY_OVERHEAD_BYTES: usize = 18;
+/// Bytes of a stored page without entries: the braces.
+const EMPTY_PAGE_BYTES: usize = 2;
 
-/// One page, as it is wanted and as it may be stored.
+/// The wanted contents of a page and its possible stored contents.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Page {
-    /// The workers that it is to name, and when each was last answered.
+    /// The workers that the page should name, and when each was last answered.
     wanted: BTreeMap<String, u64>,
     /// The workers that the stored value may name.
     possibly_stored: BTreeSet<String>,
     version: u64,
-    /// When it is to be written, if it differs from what is stored.
+    /// When the next write is due; `None` if no write is needed.
     due_ms: Option<u64>,
     /// The workers that the write in flight names.
     writing: Option<BTreeSet<String>>,
-    /// What is stored does not parse: it may name any worker until it is written anew.
+    /// The stored value does not parse, so it may name any worker until it is overwritten.
     unreadable: bool,
 }
 
 impl Page {
-    /// Restores what an earlier leader stored; `None` if that does not parse.
+    /// Restores a page that an earlier leader stored. `entries` is `None` if it does not parse.
     pub(crate) fn restore(&mut self, version: u64, entries: Option<Vec<FencedEntry>>, now_ms: u64) {
         self.version = version;
         let Some(entries) = entries else {
             self.unreadable = true;
-            return self.due_by(now_ms);
+            return self.schedule_write(now_ms);
         };
         self.possibly_stored = entries.iter().map(|e| e.worker.clone()).collect();
         self.wanted = entries
@@ -40,17 +42,17 @@
             .collect();
     }
 
-    /// Whether it is to name a worker.
+    /// Whether the page should name a worker.
     pub(crate) fn wants(&self, worker: &str) -> bool {
         self.wanted.contains_key(worker)
     }
 
-    /// The workers that it is to name.
+    /// The workers that the page should name.
     pub(crate) fn wanted_workers(&self) -> impl Iterator<Item = &str> {
         self.wanted.keys().map(String::as_str)
     }
 
-    /// Whether the stored value may name a worker, for all that can be read of it.
+    /// Whether the stored value may name a worker. False for any worker if it does not parse.
     pub(crate) fn possibly_names(&self, worker: &str) -> bool {
         self.possibly_stored.contains(worker)
     }
@@ -60,45 +62,45 @@
         self.unreadable || self.possibly_names(worker)
     }
 
-    /// Whether one worker more fits.
+    /// Whether an entry for this worker fits.
     pub(crate) fn has_room_for(&self, worker: &str, max_bytes: usize) -> bool {
-        !self.unreadable && self.bytes() + worker.len() + BYTES_PER_ENTRY <= max_bytes
+        !self.unreadable && self.size_bytes() + worker.len() + ENTRY_OVERHEAD_BYTES <= max_bytes
     }
 
-    fn bytes(&self) -> usize {
-        let entries = self.wanted.keys().map(|w| w.len() + BYTES_PER_ENTRY);
-        entries.sum::<usize>() + BYTES_AROUND
+    fn size_bytes(&self) -> usize {
+        let entries = self.wanted.keys().map(|w| w.len() + ENTRY_OVERHEAD_BYTES);
+        entries.sum::<usize>() + EMPTY_PAGE_BYTES
     }
 
-    /// Has a worker named, in a write that leaves by `due_ms`.
+    /// Adds a worker, with a write that is due at `due_ms` at the latest.
     pub(crate) fn add(&mut self, worker: &str, answered_at_ms: u64, due_ms: u64) {
         self.wanted.insert(worker.to_string(), answered_at_ms);
-        self.due_by(due_ms);
+        self.schedule_write(due_ms);
     }
 
-    /// Has a worker named no more, in a write that leaves by `due_ms` if one is needed.
+    /// Removes a worker, with a write that is due at `due_ms` at the latest if one is needed.
     pub(crate) fn remove(&mut self, worker: &str, due_ms: u64) {
         self.wanted.remove(worker);
-        let leaving = self.writing.as_ref().is_some_and(|w| !w.contains(worker));
-        if self.possibly_names(worker) && !leaving {
-            self.due_by(due_ms);
+        let removal_in_flight = self.writing.as_ref().is_some_and(|w| !w.contains(worker));
+        if self.possibly_names(worker) && !removal_in_flight {
+            self.schedule_write(due_ms);
         } else if self.wanted.is_empty() && self.possibly_stored.is_empty() && !self.unreadable {
             self.due_ms = None;
         }
     }
 
-    /// Whether a write is to begin now: there is one at a time.
+    /// Whether a write should begin now. At most one write is in flight at a time.
     pub(crate) fn is_due(&self, now_ms: u64) -> bool {
         self.due_ms.is_some_and(|due| due <= now_ms) && self.writing.is_none()
     }
 
-    /// Begins a write, which may be carried out from here on. Returns the version that guards it
-    /// and what it names.
+    /// Begins a write. From now on the stored value may be the new one. Returns the version that
+    /// guards the write, and its entries.
     pub(crate) fn begin_write(&mut self) -> (u64, Vec<FencedEntry>) {
         self.due_ms = None;
-        let names: BTreeSet<String> = self.wanted.keys().cloned().collect();
-        self.possibly_stored.extend(names.iter().cloned());
-        self.writing = Some(names);
+        let written: BTreeSet<String> = self.wanted.keys().cloned().collect();
+        self.possibly_stored.extend(written.iter().cloned());
+        self.writing = Some(written);
         let entries = self.wanted.iter().map(|(worker, &answered_at_ms)| {
             let worker = worker.clone();
             FencedEntry {
@@ -109,7 +111,7 @@
         (self.version, entries.collect())
     }
 
-    /// The write in flight was acknowledged.
+    /// Records that the write in flight was acknowledged.
     pub(crate) fn confirm_write(&mut self, version: u64) {
         self.version = version;
         self.unreadable = false;
@@ -118,14 +120,14 @@
         }
     }
 
-    /// The write in flight may or may not have been carried out.
+    /// Schedules another write after one of unknown outcome, whose workers stay fenced.
     pub(crate) fn retry_write(&mut self, version: u64, now_ms: u64) {
         self.version = version;
         self.writing = None;
-        self.due_by(now_ms);
+        self.schedule_write(now_ms);
     }
 
-    fn due_by(&mut self, at_ms: u64) {
+    fn schedule_write(&mut self, at_ms: u64) {
         self.due_ms = Some(self.due_ms.map_or(at_ms, |due| due.min(at_ms)));
     }
 }
--- a/crates/fencing/src/record.rs
+++ b/crates/fencing/src/record.rs
@@ -1,45 +1,46 @@
-//! Which workers are fenced, and what to write next.
+//! Determines which workers are fenced and which pages to write next.
 //!
-//! Times are milliseconds on the owner's steady clock. A worker that the stored value *may* name
-//! is fenced: from before a write that names it leaves until one without it is acknowledged.
+//! Times are milliseconds on the leader's monotonic clock. A worker is fenced as long as the stored
+//! value *may* name it: from before a write that names it is sent until a write without it is
+//! acknowledged.
 
 use crate::page::Page;
 
-/// Larger pages are rewritten whole for one worker more.
+/// Upper bound on the size of a page. Pages are kept small, as every change rewrites a whole page.
 const MAX_PAGE_BYTES: usize = 8 * 1024;
 
-/// One worker of a page.
+/// The entry of a worker in a page.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct FencedEntry {
     /// The worker's name.
     pub worker: String,
-    /// When it was last answered.
+    /// When the worker was last answered.
     pub answered_at_ms: u64,
 }
 
-/// A page as it is to be written.
+/// A write of a page.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct PageWrite {
     /// The page's number.
     pub page: u32,
-    /// The version that the stored page has now, 0 if there is none.
+    /// The current version of the stored page, which guards the write; 0 if the page does not exist.
     pub version: u64,
-    /// The workers that it names.
+    /// The workers that the page will name.
     pub entries: Vec<FencedEntry>,
 }
 
-/// A page as a new leader finds it.
+/// A stored page as a new leader reads it.
 #[derive(Debug, Clone)]
 pub struct StoredPage {
     /// The page's number.
     pub page: u32,
     /// The stored page's version.
     pub version: u64,
-    /// The workers that it names; `None` if it does not parse.
+    /// The workers that the page names; `None` if it does not parse.
     pub entries: Option<Vec<FencedEntry>>,
 }
 
-/// The record of one leader.
+/// The fencing record of one leader.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct FencingRecord {
     max_page_bytes: usize,
@@ -47,7 +48,7 @@
 }
 
 impl FencingRecord {
-    /// `value_bytes`: what the state service takes as one value at most.
+    /// Creates an empty record. `value_bytes` is the maximum size of a value in the state service.
     pub fn new(value_bytes: usize) -> Self {
         Self {
             max_page_bytes: (value_bytes * 9 / 10).min(MAX_PAGE_BYTES),
@@ -55,55 +56,55 @@
         }
     }
 
-    /// Restores what an earlier leader stored: its fenced workers stay fenced.
+    /// Restores a page that an earlier leader stored. Its workers stay fenced.
     pub fn restore(&mut self, stored: StoredPage, now_ms: u64) {
         let page = self.page(stored.page);
         page.restore(stored.version, stored.entries, now_ms);
     }
 
-    /// An unresponsive worker, last answered at `answered_at_ms`, is to be on the record by a
-    /// write that leaves at `due_ms`. If it is there already, its entry stays.
+    /// Adds an unresponsive worker that was last answered at `answered_at_ms`, with a write that is
+    /// due at `due_ms`. An entry that the worker already has is kept.
     pub fn fence(&mut self, worker: &str, answered_at_ms: u64, due_ms: u64) {
         if self.pages.iter().any(|page| page.wants(worker)) {
             return;
         }
         let max_bytes = self.max_page_bytes;
         let has_room = |page: &Page| page.has_room_for(worker, max_bytes);
-        // Back to the page that may name it already: it must not be on two.
-        let known = self.pages.iter().position(|p| p.possibly_names(worker));
-        let number = match known {
-            // Full by now: fenced once the page names it no more.
+        // A page that may already name the worker is reused, because two pages must not name it.
+        let previous = self.pages.iter().position(|p| p.possibly_names(worker));
+        let number = match previous {
+            // That page has become full. The worker is added once the page no longer names it.
             Some(number) if !has_room(&self.pages[number]) => return,
             Some(number) => number,
             None => {
-                let free = self.pages.iter().position(has_room);
-                free.unwrap_or(self.pages.len())
+                let with_room = self.pages.iter().position(has_room);
+                with_room.unwrap_or(self.pages.len())
             }
         };
         let page = self.page(number as u32);
         page.add(worker, answered_at_ms, due_ms);
     }
 
-    /// A worker that has sent a heartbeat, or holds nothing any more, is to be off the record by a
-    /// write that leaves at `due_ms`. It stays fenced until that is acknowledged.
+    /// Removes a worker that has sent a heartbeat or has no task instances any more, with a write
+    /// that is due at `due_ms`. The worker stays fenced until that write is acknowledged.
     pub fn release(&mut self, worker: &str, due_ms: u64) {
         for page in &mut self.pages {
             page.remove(worker, due_ms);
         }
     }
 
-    /// Whether the stored record may name a worker: then it is given no answer and no start.
+    /// Whether the stored record may name a worker. Such a worker gets no answers and no starts.
     pub fn is_fenced(&self, worker: &str) -> bool {
         self.pages.iter().any(|page| page.fences(worker))
     }
 
-    /// The workers that the record is to name.
+    /// The workers that the record should name.
     pub fn wanted_workers(&self) -> impl Iterator<Item = &str> {
         self.pages.iter().flat_map(Page::wanted_workers)
     }
 
-    /// The pages that are to be written now, at most `limit` of them. The workers that they name
-    /// are fenced from here on, and one write of a page is in flight at a time.
+    /// Begins the writes of the pages that are due, at most `limit` of them. The workers that they
+    /// name are fenced from now on. At most one write of each page is in flight at a time.
     pub fn begin_due_writes(&mut self, now_ms: u64, limit: usize) -> Vec<PageWrite> {
         (0..)
             .zip(&mut self.pages)
@@ -120,13 +121,15 @@
             .collect()
     }
 
-    /// A write was acknowledged: workers that the page names no more may be answered again.
+    /// Records that a write was acknowledged. Workers that the page no longer names may be answered
+    /// again.
     pub fn confirm_write(&mut self, page: u32, version: u64) {
         self.page(page).confirm_write(version);
     }
 
-    /// A write may or may not have been carried out. `version` is the page's as read since: the
-    /// next write is guarded by it, so that the lost one cannot be applied after that.
+    /// Schedules a page to be written again after a write of unknown outcome. `version` is the
+    /// version of the stored page as read afterwards. It guards the next write, so that the earlier
+    /// one cannot be applied after it.
     pub fn retry_write(&mut self, page: u32, version: u64, now_ms: u64) {
         self.page(page).retry_write(version, now_ms);
     }
--- a/crates/leadership/src/fencing_token.rs
+++ b/crates/leadership/src/fencing_token.rs
@@ -1,12 +1,12 @@
 //! The fencing token of a term.
 
-/// Identifies a term: the version of the leader key that its leader wrote. A later term has a
-/// greater token.
+/// Identifies a term by the version of the leader key that its leader wrote. Later terms have
+/// greater tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(u64);
 
 impl FencingToken {
-    /// The token of the term whose leader key has this version.
+    /// Returns the token of the term whose leader key has this version.
     pub fn new(version: u64) -> Self {
         Self(version)
     }
--- a/crates/leadership/src/lease.rs
+++ b/crates/leadership/src/lease.rs
@@ -1,16 +1,16 @@
-//! How long this controller's own term is valid.
+//! The lease of this controller's own term.
 
 use crate::FencingToken;
 
-/// The term that this controller leads, if any, and until when it may act on it.
+/// The term that this controller leads, if any, and the time until which it may act as leader.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct LeaderLease {
     ttl_ms: u64,
     margin_ms: u64,
     token: Option<FencingToken>,
     valid_until_ms: u64,
-    /// The end of the last extension by peers. It outlives the term: answers may have gone out
-    /// until then.
+    /// The end of the last extension by the votes of all peers. It is kept when the term ends,
+    /// because answers may have been sent until this time.
     extended_until_ms: u64,
 }
 
@@ -27,26 +27,26 @@
 
     pub(crate) fn begin(&mut self, token: FencingToken, requested_at_ms: u64) {
         self.token = Some(token);
-        self.valid_until_ms = self.end_of_request(requested_at_ms);
+        self.valid_until_ms = self.validity_end_ms(requested_at_ms);
     }
 
     pub(crate) fn record_renewal(&mut self, requested_at_ms: u64) {
-        let until_ms = self.end_of_request(requested_at_ms);
+        let until_ms = self.validity_end_ms(requested_at_ms);
         self.valid_until_ms = self.valid_until_ms.max(until_ms);
     }
 
     pub(crate) fn extend_by_peers(&mut self, requested_at_ms: u64, now_ms: u64) -> bool {
-        let unbroken = self.valid_for_ms(now_ms) > 0;
-        if unbroken {
-            let until_ms = self.end_of_request(requested_at_ms);
+        let still_valid = self.valid_for_ms(now_ms) > 0;
+        if still_valid {
+            let until_ms = self.validity_end_ms(requested_at_ms);
             self.extended_until_ms = self.extended_until_ms.max(until_ms);
             self.valid_until_ms = self.valid_until_ms.max(until_ms);
         }
-        unbroken
+        still_valid
     }
 
-    /// Until when a lease is valid that was asked for at this time.
-    fn end_of_request(&self, requested_at_ms: u64) -> u64 {
+    /// When the validity of a lease ends that was requested at `requested_at_ms`.
+    fn validity_end_ms(&self, requested_at_ms: u64) -> u64 {
         (requested_at_ms + self.ttl_ms).saturating_sub(self.margin_ms)
     }
 
@@ -59,7 +59,7 @@
         self.token
     }
 
-    /// Whether a term with this token is newer than the one led here; any is, if none is.
+    /// Whether the term of `token` is newer than the one led here. Always true if no term is led.
     pub(crate) fn is_older_than(&self, token: FencingToken) -> bool {
         self.token.is_none_or(|own| own < token)
     }
--- a/crates/leadership/src/vote.rs
+++ b/crates/leadership/src/vote.rs
@@ -1,6 +1,6 @@
 //! The vote of this controller that extends another leader's lease.
 
-/// What a controller answers to a leader that asks for a vote to extend its lease.
+/// The reply of a controller to a leader that requests its vote to extend the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Vote {
     /// The voter will not campaign for one TTL.
@@ -10,22 +10,22 @@
 }
 
 impl Vote {
-    /// Whether the leader has this vote.
+    /// Whether the vote was granted.
     pub fn is_granted(self) -> bool {
         self == Self::Granted
     }
 }
 
-/// Whether the state service answers this controller, as far as it knows.
+/// Whether the state service answers this controller, as far as the controller knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum StoreReachability {
-    /// It does, or nothing shows that it does not.
+    /// It answers, or there is no evidence that it does not.
     Reachable,
-    /// Its last direct request was refused or unanswered, a moment ago.
+    /// The most recent direct request was refused or not answered.
     Unreachable,
 }
 
-/// Until when the last vote binds this controller.
+/// The time until which the last vote binds this controller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct VoteRecord {
     binding_until_ms: u64,
--- a/crates/leadership/src/vote_blockers.rs
+++ b/crates/leadership/src/vote_blockers.rs
@@ -1,13 +1,13 @@
-//! Activities during which this controller grants no vote.
+//! Activities during which this controller grants no votes.
 
-/// What goes on at this controller and must not overlap with a vote.
+/// The activities in progress at this controller that must not overlap with a vote.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct VoteBlockers {
-    /// A campaign is out, or its outcome is not known yet.
+    /// A campaign is in progress or its outcome is not known yet.
     campaigning: bool,
-    /// It is being confirmed that earlier votes bind nobody.
+    /// A check is in progress that no leader relies on earlier votes.
     confirming_no_leader: bool,
-    /// Cancellations that are being stored without a leader.
+    /// Number of cancellations that are being stored without a leader.
     leaderless_cancellations: u32,
 }
 
