--- a/crates/fencing/src/record.rs
+++ b/crates/fencing/src/record.rs
@@ -23,7 +23,8 @@
 pub struct PageWrite {
     /// The page's number.
     pub page: u32,
-    /// The current version of the stored page, which guards the write; 0 if the page does not exist.
+    /// The current version of the stored page, which guards the write; 0 if the page does not
+    /// exist.
     pub version: u64,
     /// The workers that the page will name.
     pub entries: Vec<FencedEntry>,
--- a/crates/fencing/src/timestamp.rs
+++ b/crates/fencing/src/timestamp.rs
@@ -15,7 +15,8 @@
 }
 
 /// Returns the wall-clock time, in Unix milliseconds, of an event that happened `age_ms` ago, or a
-/// slightly later time. `unix_ms`, the current wall-clock time, must be read after the age is taken.
+/// slightly later time. `unix_ms`, the current wall-clock time, must be read after the age is
+/// taken.
 pub fn from_age(age_ms: u64, unix_ms: u64) -> u64 {
     unix_ms.saturating_sub(min_true_age(age_ms)) + 1
 }
--- a/crates/fencing/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -1,70 +1,76 @@
-//! Every interleaving of a small world, with the record's own code in it.
+//! Explores the interleavings of a small model that runs the code of the fencing record.
 //!
-//! Two controllers, one worker, one state service, the time of day. Any of these may happen at
-//! any moment: a heartbeat, an answer that leaves late or is lost, a write that is carried out
-//! late or never, or whose acknowledgement is lost, a crash and a restart, an outage in which the
-//! other controller votes for a lease extension, a failover during a failover. Clocks of the two
-//! controllers are off by as much as the bound allows, in opposite directions.
+//! The model has two controllers, one worker and one state service. At any time there may be a
+//! heartbeat, an answer that is sent late or lost, a write that is processed late or never or whose
+//! acknowledgement is lost, a crash and a restart, an outage during which the other controller
+//! votes for a lease extension, or a failover during a failover. The wall clocks of the two
+//! controllers have the greatest error that the bound allows, in opposite directions.
 //!
-//! The property: when a leader takes the lease of a worker that holds tasks for expired, it is
-//! expired. All short histories are explored, breadth first; the world has too many states for all
-//! long ones, so those are walked at random, seeded. Planted mistakes must each be found.
+//! The property: when a leader considers the lease of a worker that holds tasks expired, it has
+//! expired. All short histories are explored breadth first. There are too many long histories to
+//! explore all of them, so they are covered by seeded random walks. Each planted mistake must be
+//! found.
 
 use copperfield_fencing::{FencedEntry, FencingRecord, PageWrite, StoredPage, timestamp};
 use copperfield_model_checker::{after, effort, explore, walk};
 
-/// Milliseconds a step; everything below is a multiple of it, but for what `timestamp` adds.
-const STEP: u64 = 1000;
-/// Of a worker.
-const LEASE: u64 = 3 * STEP;
-/// Of the leader key.
-const TTL: u64 = 2 * STEP;
-/// Bounds the time of day. A whole step, so that disregarding it shows.
-const CLOCK_ERROR: u64 = STEP;
-/// Of a process between two readings of its clocks.
-const PAUSE: u64 = 2 * STEP;
-const HORIZON: u64 = 9 * STEP;
-const DAY: u64 = 1_000_000;
+/// Duration of a step in milliseconds. All times are multiples of it, except for what `timestamp`
+/// adds.
+const STEP_MS: u64 = 1000;
+/// Duration of a worker's lease.
+const WORKER_LEASE_MS: u64 = 3 * STEP_MS;
+/// TTL of the leader key.
+const LEADER_TTL_MS: u64 = 2 * STEP_MS;
+/// Bound on the error of wall clocks. It is a whole step, so that a mistake of ignoring it is
+/// found.
+const CLOCK_ERROR_MS: u64 = STEP_MS;
+/// Duration of a process pause between reading the two clocks.
+const PAUSE_MS: u64 = 2 * STEP_MS;
+/// The time at which a history ends.
+const HORIZON_MS: u64 = 9 * STEP_MS;
+/// Wall-clock time at the start of a history.
+const START_UNIX_MS: u64 = 1_000_000;
 const WORKER: &str = "m";
-/// The record's only page.
+/// The only page of the record.
 const PAGE: u32 = 0;
-const PAGE_BYTES: usize = 1000;
+const MAX_VALUE_BYTES: usize = 1000;
 
-/// What may be done wrong.
+/// A mistake planted in the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Mistake {
     None,
-    /// A worker is answered when its removal has been sent, not when it is acknowledged.
-    AnswersBeforeTheAcknowledgement,
-    /// Only what is known to be stored fences, not a write without an answer.
-    ForgetsALostWrite,
-    /// The reader disregards the error of all clocks.
-    DisregardsTheClocks,
-    /// A controller that has voted for a lease extension counts on the record all the same.
-    DisregardsItsVote,
-    /// One that led by the other's vote, and leads again, remembers only votes of its own. This
-    /// program did so until this model found it.
-    ForgetsItsExtendedLease,
-    /// One that restarts takes it that it had not voted.
-    ForgetsItsVoteInARestart,
-    /// The next leader does not restore whom the record fences.
-    DropsFencedWorkers,
-    /// A write of an earlier leader is carried out after the next has read the record.
-    DoesNotGuardByTheLeaderKey,
-    /// The writer reads the time of day first and the age after a pause.
-    ReadsTheClockBeforeThePause,
+    /// A worker is answered once its removal from the record was sent, not once it is acknowledged.
+    AnswersBeforeAcknowledgement,
+    /// Only workers known to be stored are fenced, not those named by a write of unknown outcome.
+    IgnoresLostWrites,
+    /// The reader ignores the error of the wall clocks.
+    IgnoresClockError,
+    /// A controller relies on the record alone although it has voted for a lease extension.
+    IgnoresOwnVote,
+    /// A controller that led under an extended lease and leads again remembers only votes that it
+    /// granted itself. This model found the fault in an earlier version.
+    ForgetsOwnLeaseExtension,
+    /// A process assumes that no earlier process of its controller has voted.
+    RestartForgetsVotes,
+    /// The next leader does not restore the fenced workers of the record.
+    DoesNotRestoreFencedWorkers,
+    /// Writes are not guarded by the leader key, so a write of an earlier leader may be processed
+    /// after the next leader has read the record.
+    WritesNotGuardedByLeaderKey,
+    /// The writer reads the wall clock first, and takes the age after a pause.
+    ReadsWallClockBeforeAge,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Leader {
     controller: usize,
-    /// Valid until then; renewed or extended by the other controller's vote.
+    /// Until when the leader is valid, by a renewal or by the vote of the other controller.
     valid_until: u64,
     lease_extended_until: u64,
     record: FencingRecord,
-    /// Last answer to the worker, the election if there was none.
+    /// When the worker was last answered, or the time of the election if it was not answered yet.
     answered_at: u64,
-    /// The worker's lease was taken for expired, and its tasks were given to somebody else.
+    /// The leader considered the worker's lease expired and gave its tasks to another worker.
     expired_worker: bool,
 }
 
@@ -72,21 +78,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Stored {
     version: u64,
-    /// Of the worker, if it is named.
+    /// The worker's timestamp, if the page names the worker.
     timestamp: Option<u64>,
 }
 
-/// A write that waits for its end, with the worker's timestamp if it names it.
+/// A write whose sender waits for its outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct InFlight {
     page: PageWrite,
+    /// The worker's timestamp, if the write names the worker.
     timestamp: Option<u64>,
 }
 
-/// A write whose sender waits for it no more, and that may still be carried out.
+/// A write whose sender no longer waits for its outcome. It may still be processed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Abandoned {
-    /// Of the leader key when it was sent.
+    /// The fencing token of the leader that sent it.
     token: u8,
     version: u64,
     timestamp: Option<u64>,
@@ -96,29 +103,29 @@
 struct World {
     mistake: Mistake,
     now: u64,
-    /// The worker counts its lease from here.
+    /// The time from which the worker counts its lease.
     leased_from: u64,
-    /// Whether its incarnation holds tasks: a new one holds none until it is answered.
+    /// Whether the worker's incarnation holds tasks. A new one holds none until it is answered.
     holds_tasks: bool,
-    /// An answer that was decided and has not left yet, or is under way: the heartbeat's time.
+    /// When the heartbeat was sent whose answer is delayed at the leader or in flight.
     answer: Option<u64>,
     leader: Option<Leader>,
-    /// When the leader key ends, if nobody renews it.
-    key_ends: u64,
-    /// Until when each controller's vote may be acted on, as far as it knows.
+    /// When the leader key expires unless it is renewed.
+    key_expires_at: u64,
+    /// For each controller, until when a leader may rely on its vote, as far as it knows.
     vote_binding_until: [u64; 2],
     outage: bool,
     stored: Stored,
     in_flight: Option<InFlight>,
     abandoned: Option<Abandoned>,
-    /// Of the leader key: what was sent under an earlier one fails.
+    /// The fencing token of the last election. Writes sent under an earlier token fail.
     token: u8,
-    /// The version in an acknowledgement that has not arrived yet.
+    /// The stored version in an acknowledgement that is in flight.
     acknowledgement: Option<u64>,
     remaining: Remaining,
 }
 
-/// How often what costs many states may still happen.
+/// How many more of the events that multiply the number of states may occur.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Remaining {
     crashes: u8,
@@ -128,8 +135,8 @@
     writes: u8,
 }
 
-/// Takes one away; false if there was none.
-fn spend(remaining: &mut u8) -> bool {
+/// Decrements a counter. Returns false if it was already zero.
+fn take_one(remaining: &mut u8) -> bool {
     let any = *remaining > 0;
     *remaining = remaining.saturating_sub(1);
     any
@@ -144,7 +151,7 @@
             holds_tasks: true,
             answer: None,
             leader: None,
-            key_ends: 0,
+            key_expires_at: 0,
             vote_binding_until: [0; 2],
             outage: false,
             stored: Stored {
@@ -165,11 +172,11 @@
         }
     }
 
-    /// A controller's time of day: one is ahead, the other behind.
-    fn time_of_day(&self, controller: usize) -> u64 {
+    /// The wall clock of a controller. One is ahead of the true time, the other behind.
+    fn unix_ms(&self, controller: usize) -> u64 {
         match controller {
-            0 => DAY + self.now + CLOCK_ERROR,
-            _ => DAY + self.now - CLOCK_ERROR,
+            0 => START_UNIX_MS + self.now + CLOCK_ERROR_MS,
+            _ => START_UNIX_MS + self.now - CLOCK_ERROR_MS,
         }
     }
 
@@ -178,11 +185,11 @@
         self.leader.as_mut().filter(|l| now < l.valid_until)
     }
 
-    // ---- time and leaders ----
+    // ---- Time and leaders ----
 
     fn pass_time(&mut self) -> bool {
-        self.now += STEP;
-        self.now <= HORIZON
+        self.now += STEP_MS;
+        self.now <= HORIZON_MS
     }
 
     fn renew(&mut self) -> bool {
@@ -190,14 +197,15 @@
         let Some(leader) = self.leader.as_mut().filter(|_| !self.outage) else {
             return false;
         };
-        let useful = now < self.key_ends && leader.valid_until < now + TTL;
-        leader.valid_until = now + TTL;
-        self.key_ends = now + TTL;
+        let useful = now < self.key_expires_at && leader.valid_until < now + LEADER_TTL_MS;
+        leader.valid_until = now + LEADER_TTL_MS;
+        self.key_expires_at = now + LEADER_TTL_MS;
         useful
     }
 
     fn campaign(&mut self, controller: usize) -> bool {
-        let free = self.now >= self.key_ends && self.now >= self.vote_binding_until[controller];
+        let free =
+            self.now >= self.key_expires_at && self.now >= self.vote_binding_until[controller];
         let follows = self
             .leader
             .as_ref()
@@ -205,7 +213,7 @@
         if self.outage || !free || !follows {
             return false;
         }
-        self.key_ends = self.now + TTL;
+        self.key_expires_at = self.now + LEADER_TTL_MS;
         self.elect(controller);
         true
     }
@@ -214,7 +222,7 @@
         let (record, answered_at) = self.read_record(controller);
         self.leader = Some(Leader {
             controller,
-            valid_until: self.now + TTL,
+            valid_until: self.now + LEADER_TTL_MS,
             lease_extended_until: 0,
             record,
             answered_at,
@@ -227,24 +235,25 @@
         self.acknowledgement = None;
     }
 
-    /// What a new leader starts from: the record, and when the worker was last answered.
+    /// Reads the stored record as a new leader. Returns the restored record and the latest time at
+    /// which the worker can have been answered.
     fn read_record(&self, controller: usize) -> (FencingRecord, u64) {
         let Stored { version, timestamp } = self.stored;
         let mut answered_at = self.now;
         if let Some(timestamp) = timestamp {
             let error = match self.mistake {
-                Mistake::DisregardsTheClocks => 0,
-                _ => CLOCK_ERROR,
+                Mistake::IgnoresClockError => 0,
+                _ => CLOCK_ERROR_MS,
             };
-            let age = timestamp::min_age(timestamp, self.time_of_day(controller), error);
+            let age = timestamp::min_age(timestamp, self.unix_ms(controller), error);
             answered_at = self.now.saturating_sub(age);
-            if self.mistake != Mistake::DisregardsItsVote {
+            if self.mistake != Mistake::IgnoresOwnVote {
                 answered_at = answered_at.max(self.vote_binding_until[controller]);
             }
         }
-        let mut record = FencingRecord::new(PAGE_BYTES);
+        let mut record = FencingRecord::new(MAX_VALUE_BYTES);
         if version > 0 {
-            let named = timestamp.filter(|_| self.mistake != Mistake::DropsFencedWorkers);
+            let named = timestamp.filter(|_| self.mistake != Mistake::DoesNotRestoreFencedWorkers);
             let entry = named.map(|_| FencedEntry {
                 worker: WORKER.to_string(),
                 answered_at_ms: answered_at,
@@ -267,18 +276,18 @@
             self.abandon_write();
         }
         self.acknowledgement = None;
-        // It starts anew, and may have voted just before.
-        self.vote_binding_until[leader.controller] = self.now + TTL;
-        spend(&mut self.remaining.crashes)
+        // Its next process must assume that it granted a vote just before the crash.
+        self.vote_binding_until[leader.controller] = self.now + LEADER_TTL_MS;
+        take_one(&mut self.remaining.crashes)
     }
 
     fn resign(&mut self) -> bool {
-        self.key_ends = self.now;
+        self.key_expires_at = self.now;
         self.acknowledgement = None;
         if self.in_flight.is_some() {
             self.abandon_write();
         }
-        self.leader.take().is_some() && spend(&mut self.remaining.crashes)
+        self.leader.take().is_some() && take_one(&mut self.remaining.crashes)
     }
 
     fn restart_follower(&mut self) -> bool {
@@ -286,21 +295,21 @@
             return false;
         };
         let binding_until = match self.mistake {
-            Mistake::ForgetsItsVoteInARestart => self.now,
-            _ => self.now + TTL,
+            Mistake::RestartForgetsVotes => self.now,
+            _ => self.now + LEADER_TTL_MS,
         };
         self.vote_binding_until[1 - leader.controller] = binding_until;
-        spend(&mut self.remaining.crashes)
+        take_one(&mut self.remaining.crashes)
     }
 
     fn begin_outage(&mut self) -> bool {
         self.outage = true;
-        spend(&mut self.remaining.outages)
+        take_one(&mut self.remaining.outages)
     }
 
     fn end_outage(&mut self) -> bool {
-        // Every lease has its full time again.
-        self.key_ends = self.now + TTL;
+        // After an outage every lease starts again with its full TTL.
+        self.key_expires_at = self.now + LEADER_TTL_MS;
         std::mem::take(&mut self.outage)
     }
 
@@ -309,24 +318,25 @@
         let Some(leader) = self.leader.as_mut().filter(|_| self.outage) else {
             return false;
         };
-        let possible = now < leader.valid_until && leader.lease_extended_until < now + TTL;
-        leader.valid_until = leader.valid_until.max(now + TTL);
-        leader.lease_extended_until = now + TTL;
-        self.vote_binding_until[1 - leader.controller] = now + TTL;
-        if self.mistake != Mistake::ForgetsItsExtendedLease {
-            self.vote_binding_until[leader.controller] = now + TTL;
+        let possible =
+            now < leader.valid_until && leader.lease_extended_until < now + LEADER_TTL_MS;
+        leader.valid_until = leader.valid_until.max(now + LEADER_TTL_MS);
+        leader.lease_extended_until = now + LEADER_TTL_MS;
+        self.vote_binding_until[1 - leader.controller] = now + LEADER_TTL_MS;
+        if self.mistake != Mistake::ForgetsOwnLeaseExtension {
+            self.vote_binding_until[leader.controller] = now + LEADER_TTL_MS;
         }
         possible
     }
 
-    // ---- the worker ----
+    // ---- The worker ----
 
     fn receive_heartbeat(&mut self) -> bool {
         let (now, mistake, stored) = (self.now, self.mistake, self.stored);
-        if self.valid_leader().is_none() || !spend(&mut self.remaining.heartbeats) {
+        if self.valid_leader().is_none() || !take_one(&mut self.remaining.heartbeats) {
             return false;
         }
-        if now >= self.leased_from + LEASE {
+        if now >= self.leased_from + WORKER_LEASE_MS {
             self.leased_from = now;
             self.holds_tasks = false;
             self.answer = None;
@@ -334,16 +344,16 @@
         let holds_tasks = self.holds_tasks;
         let leader = self.valid_leader().expect("checked above");
         if leader.expired_worker && holds_tasks {
-            // Of an incarnation whose lease was taken for expired: refused.
+            // Refused: the lease of this incarnation was considered expired.
             return true;
         }
-        // What is due is due at once, so that moments past make no states of their own.
+        // Writes are due immediately, so that past due times do not multiply the number of states.
         leader.record.release(WORKER, 0);
         let fenced = match mistake {
-            Mistake::AnswersBeforeTheAcknowledgement => {
+            Mistake::AnswersBeforeAcknowledgement => {
                 leader.record.wanted_workers().next().is_some()
             }
-            Mistake::ForgetsALostWrite => stored.timestamp.is_some(),
+            Mistake::IgnoresLostWrites => stored.timestamp.is_some(),
             _ => leader.record.is_fenced(WORKER),
         };
         if !fenced || now < leader.lease_extended_until {
@@ -359,14 +369,15 @@
         let Some(sent_at) = self.answer.take() else {
             return false;
         };
-        // The worker counts from when it sent the heartbeat, and drops what comes too late.
-        if self.now < self.leased_from + LEASE {
+        // The worker counts its lease from when it sent the heartbeat, and ignores an answer that
+        // arrives after its lease has expired.
+        if self.now < self.leased_from + WORKER_LEASE_MS {
             self.leased_from = sent_at.max(self.leased_from);
         }
         true
     }
 
-    fn fence_worker(&mut self) -> bool {
+    fn add_worker_to_record(&mut self) -> bool {
         let before = self.clone();
         let Some(leader) = self.valid_leader() else {
             return false;
@@ -375,26 +386,26 @@
         *self != before
     }
 
-    fn expire_lease(&mut self) -> bool {
+    fn expire_worker_lease(&mut self) -> bool {
         let now = self.now;
         let Some(leader) = self.valid_leader() else {
             return false;
         };
-        let newly = now >= leader.answered_at + LEASE && !leader.expired_worker;
+        let newly = now >= leader.answered_at + WORKER_LEASE_MS && !leader.expired_worker;
         leader.expired_worker = newly;
         newly
     }
 
-    // ---- writes ----
+    // ---- Writes ----
 
-    /// Sends what is due; the process is paused between the two readings of its clocks.
+    /// Sends a due write. The process is paused for `pause` between reading its two clocks.
     fn send_write(&mut self, pause: u64) -> bool {
-        let waits = self.in_flight.is_some() || self.acknowledgement.is_some();
-        if waits || self.abandoned.is_some() {
+        let earlier_write_pending = self.in_flight.is_some() || self.acknowledgement.is_some();
+        if earlier_write_pending || self.abandoned.is_some() {
             return false;
         }
         let before = self.now;
-        if self.valid_leader().is_none() || !spend(&mut self.remaining.writes) {
+        if self.valid_leader().is_none() || !take_one(&mut self.remaining.writes) {
             return false;
         }
         let leader = self.valid_leader().expect("checked above");
@@ -402,35 +413,36 @@
         let Some(page) = leader.record.begin_due_writes(before, 1).pop() else {
             return false;
         };
-        let day_before = self.time_of_day(controller);
+        let unix_ms_before = self.unix_ms(controller);
         self.now += pause;
-        let (aged_at, day) = match self.mistake {
-            Mistake::ReadsTheClockBeforeThePause => (self.now, day_before),
-            _ => (before, self.time_of_day(controller)),
+        let (age_taken_at, unix_ms) = match self.mistake {
+            Mistake::ReadsWallClockBeforeAge => (self.now, unix_ms_before),
+            _ => (before, self.unix_ms(controller)),
         };
         let timestamp = page.entries.first().map(|entry| {
-            let age = aged_at.saturating_sub(entry.answered_at_ms);
-            timestamp::from_age(age, day)
+            let age = age_taken_at.saturating_sub(entry.answered_at_ms);
+            timestamp::from_age(age, unix_ms)
         });
         self.in_flight = Some(InFlight { page, timestamp });
         true
     }
 
-    fn send_write_after_a_pause(&mut self) -> bool {
-        self.now + PAUSE <= HORIZON && self.send_write(PAUSE)
+    fn send_write_after_pause(&mut self) -> bool {
+        self.now + PAUSE_MS <= HORIZON_MS && self.send_write(PAUSE_MS)
     }
 
-    /// Stored if nothing has come between, as the guard has it.
+    /// Stores the page if its version still is the one that guards the write. Returns whether it
+    /// was stored.
     fn apply(&mut self, version: u64, timestamp: Option<u64>) -> bool {
-        let fits = self.stored.version == version;
-        if fits {
+        let guard_holds = self.stored.version == version;
+        if guard_holds {
             let version = version + 1;
             self.stored = Stored { version, timestamp };
         }
-        fits
+        guard_holds
     }
 
-    fn carry_out_write(&mut self) -> bool {
+    fn process_write(&mut self) -> bool {
         let Some(InFlight { page, timestamp }) = self.in_flight.take().filter(|_| !self.outage)
         else {
             return false;
@@ -438,7 +450,7 @@
         if self.apply(page.version, timestamp) {
             self.acknowledgement = Some(self.stored.version);
         } else if let Some(leader) = &mut self.leader {
-            // The guard fails, which the leader learns at once.
+            // The guard does not hold. The leader learns this immediately.
             leader.record.retry_write(PAGE, self.stored.version, 0);
         }
         true
@@ -452,7 +464,7 @@
         true
     }
 
-    /// The write in flight has no sender any more that waits for it.
+    /// Marks the write in flight as one whose sender no longer waits for its outcome.
     fn abandon_write(&mut self) {
         let token = self.token;
         self.abandoned = self.in_flight.take().map(|write| Abandoned {
@@ -474,7 +486,8 @@
         self.acknowledgement.take().is_some() && self.read_back()
     }
 
-    /// Without an answer the page is read back, and written again under the version found.
+    /// After a write of unknown outcome, reads the page back and schedules a write guarded by its
+    /// current version.
     fn read_back(&mut self) -> bool {
         let version = self.stored.version;
         let leader = self
@@ -482,24 +495,25 @@
             .as_mut()
             .expect("only a leader waits for a write");
         leader.record.retry_write(PAGE, version, 0);
-        spend(&mut self.remaining.losses)
+        take_one(&mut self.remaining.losses)
     }
 
-    fn carry_out_abandoned_write(&mut self) -> bool {
+    fn process_abandoned_write(&mut self) -> bool {
         let Some(write) = self.abandoned.take().filter(|_| !self.outage) else {
             return false;
         };
-        if write.token == self.token || self.mistake == Mistake::DoesNotGuardByTheLeaderKey {
+        if write.token == self.token || self.mistake == Mistake::WritesNotGuardedByLeaderKey {
             self.apply(write.version, write.timestamp);
         }
         true
     }
 }
 
-/// What may happen, by what it is called. False if it cannot happen now.
+/// A step of the model: its name, and a function that takes it or returns false if it is not
+/// possible.
 type Step = (&'static str, fn(&mut World) -> bool);
 
-/// Random walks choose by position, so the order decides what a seed finds.
+/// Random walks choose steps by position, so the order determines which histories a seed covers.
 const STEPS: [Step; 21] = [
     ("time passes", World::pass_time),
     ("the leader renews", World::renew),
@@ -510,16 +524,22 @@
     ("the follower restarts", World::restart_follower),
     ("an outage begins", World::begin_outage),
     ("the outage ends", World::end_outage),
-    ("the follower votes for an extension", World::extend_lease),
-    ("a heartbeat comes", World::receive_heartbeat),
+    (
+        "the follower votes for a lease extension",
+        World::extend_lease,
+    ),
+    ("a heartbeat arrives", World::receive_heartbeat),
     ("the answer arrives", World::receive_answer),
-    ("the worker is put on the record", World::fence_worker),
-    ("a write leaves", |w| w.send_write(0)),
     (
-        "a write leaves after a pause",
-        World::send_write_after_a_pause,
+        "the worker is added to the record",
+        World::add_worker_to_record,
+    ),
+    ("a write is sent", |w| w.send_write(0)),
+    (
+        "a write is sent after a pause",
+        World::send_write_after_pause,
     ),
-    ("the write is carried out", World::carry_out_write),
+    ("the write is processed", World::process_write),
     (
         "the acknowledgement arrives",
         World::receive_acknowledgement,
@@ -527,10 +547,13 @@
     ("the write times out", World::time_out_write),
     ("the acknowledgement is lost", World::lose_acknowledgement),
     (
-        "an abandoned write is carried out",
-        World::carry_out_abandoned_write,
+        "an abandoned write is processed",
+        World::process_abandoned_write,
+    ),
+    (
+        "the worker's lease is considered expired",
+        World::expire_worker_lease,
     ),
-    ("the lease is taken for expired", World::expire_lease),
 ];
 
 impl copperfield_model_checker::World for World {
@@ -544,17 +567,17 @@
 
     fn broken(&self) -> bool {
         let expired = self.leader.as_ref().is_some_and(|l| l.expired_worker);
-        expired && self.holds_tasks && self.now < self.leased_from + LEASE
+        expired && self.holds_tasks && self.now < self.leased_from + WORKER_LEASE_MS
     }
 }
 
 #[test]
-fn a_lease_that_is_taken_for_expired_is_expired() {
+fn a_worker_lease_considered_expired_has_expired() {
     let states = 150_000 * effort();
     let depth =
         explore(World::new(Mistake::None), states as usize).unwrap_or_else(|h| panic!("{h:#?}"));
     println!("{states} states, all histories of up to {depth} steps");
-    assert!(depth >= 8, "only to a depth of {depth}");
+    assert!(depth >= 8, "explored to a depth of {depth} only");
     let walks = 60_000 * effort();
     let steps =
         walk(&World::new(Mistake::None), walks, usize::MAX).unwrap_or_else(|h| panic!("{h:#?}"));
@@ -565,52 +588,53 @@
 fn each_planted_mistake_is_found() {
     use Mistake::*;
     for mistake in [
-        AnswersBeforeTheAcknowledgement,
-        ForgetsALostWrite,
-        DisregardsTheClocks,
-        DisregardsItsVote,
-        DropsFencedWorkers,
-        DoesNotGuardByTheLeaderKey,
-        ReadsTheClockBeforeThePause,
+        AnswersBeforeAcknowledgement,
+        IgnoresLostWrites,
+        IgnoresClockError,
+        IgnoresOwnVote,
+        DoesNotRestoreFencedWorkers,
+        WritesNotGuardedByLeaderKey,
+        ReadsWallClockBeforeAge,
     ] {
         let found = walk(&World::new(mistake), 400_000, usize::MAX);
-        let history = found.expect_err(&format!("{mistake:?} is not found"));
+        let history = found.expect_err(&format!("the planted mistake {mistake:?} was not found"));
         println!("{mistake:?}: {} steps", history.len());
     }
 }
 
-/// Too long histories to be met at random, from where they become interesting.
+/// These mistakes show only in histories that are too long for random walks to find. The search
+/// begins after the given steps.
 #[test]
-fn votes_are_remembered_over_restarts_and_by_leaders_that_acted_on_them() {
-    let fenced = [
+fn votes_bind_after_restarts_and_bind_leaders_that_relied_on_them() {
+    let record_stored = [
         "controller 1 is elected",
-        "the worker is put on the record",
-        "a write leaves",
-        "the write is carried out",
+        "the worker is added to the record",
+        "a write is sent",
+        "the write is processed",
         "time passes",
     ];
-    let acts_itself = [
+    let leads_again = [
         "time passes",
         "controller 0 is elected",
         "an outage begins",
-        "the follower votes for an extension",
+        "the follower votes for a lease extension",
         "the outage ends",
         "time passes",
-        "a heartbeat comes",
+        "a heartbeat arrives",
     ];
     let restarts = [
         "an outage begins",
-        "the follower votes for an extension",
+        "the follower votes for a lease extension",
         "the follower restarts",
     ];
     for (mistake, history) in [
-        (Mistake::ForgetsItsExtendedLease, &acts_itself[..]),
-        (Mistake::ForgetsItsVoteInARestart, &restarts[..]),
+        (Mistake::ForgetsOwnLeaseExtension, &leads_again[..]),
+        (Mistake::RestartForgetsVotes, &restarts[..]),
     ] {
-        let history = [&fenced[..], history].concat();
+        let history = [&record_stored[..], history].concat();
         let search = |mistake: Mistake| explore(after(World::new(mistake), &history), 100_000);
         search(Mistake::None).unwrap_or_else(|h| panic!("{h:#?}"));
-        let found = search(mistake).expect_err("found");
+        let found = search(mistake).expect_err("the planted mistake was not found");
         println!("{mistake:?}: {found:?}");
     }
 }
--- a/crates/fencing/tests/record.rs
+++ b/crates/fencing/tests/record.rs
@@ -1,4 +1,4 @@
-//! The rules of the fencing record one by one, and random histories of writes that may be lost.
+//! Tests each rule of the fencing record, and random histories of writes that may be lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,13 +21,13 @@
 fn a_worker_is_fenced_from_the_write_until_its_removal_is_acknowledged() {
     let mut record = FencingRecord::new(8192);
     record.fence("vm-1", 100, 0);
-    assert!(!record.is_fenced("vm-1"), "nothing has left yet");
+    assert!(!record.is_fenced("vm-1"), "no write was sent yet");
     assert_eq!(record.begin_due_writes(0, 9).len(), 1);
-    assert!(record.is_fenced("vm-1"), "the write may be carried out");
+    assert!(record.is_fenced("vm-1"), "the write may be stored");
     record.release("vm-1", 1);
     assert!(
         record.begin_due_writes(1, 9).is_empty(),
-        "one write at a time"
+        "a write of this page is in flight"
     );
     record.confirm_write(0, 7);
     assert_eq!(record.begin_due_writes(1, 9)[0].version, 7);
@@ -36,7 +36,7 @@
     assert!(!record.is_fenced("vm-1"));
 }
 
-/// The lost write may have been carried out, so its workers stay fenced whatever is wanted.
+/// A lost write may have been stored, so its workers stay fenced even after they are released.
 #[test]
 fn a_lost_write_fences_its_workers() {
     let mut record = FencingRecord::new(8192);
@@ -58,7 +58,7 @@
     assert!(record.is_fenced("vm-1") && !record.is_fenced("vm-2"));
     assert!(
         record.begin_due_writes(10, 9).is_empty(),
-        "nothing has changed"
+        "the stored page is up to date"
     );
     let unreadable = StoredPage {
         page: 1,
@@ -72,7 +72,7 @@
     assert!(record.is_fenced("vm-1") && !record.is_fenced("vm-2"));
 }
 
-/// The state service beside the record: what each page names, and its version.
+/// The state service: the workers that each stored page names, and the page's version.
 #[derive(Default)]
 struct Store {
     workers: BTreeMap<u32, BTreeSet<String>>,
@@ -92,17 +92,17 @@
 }
 
 proptest! {
-    /// Whatever happens, no page is larger than a value may be, and a worker that the stored
-    /// value names is fenced. Writes may be lost, before or after they are carried out.
+    /// No page exceeds the maximum size of a value, and every worker that a stored page names is
+    /// fenced. Writes may be lost before or after they are stored.
     #[test]
     fn a_stored_worker_is_fenced(steps in prop::collection::vec((0u8..5, 0usize..400), 1..300)) {
         let mut record = FencingRecord::new(2048);
         let mut store = Store::default();
         let mut in_flight: Vec<PageWrite> = Vec::new();
         let mut clock = 0;
-        for (step, number) in steps {
+        for (step, choice) in steps {
             clock += 1;
-            let worker = format!("vm-{number:06}");
+            let worker = format!("vm-{choice:06}");
             match step {
                 0 | 1 => record.fence(&worker, clock, clock),
                 2 => record.release(&worker, clock),
@@ -111,10 +111,10 @@
                     prop_assert_eq!(store.version(write.page), write.version);
                     let bytes: usize = write.entries.iter().map(|e| e.worker.len() + 18).sum();
                     prop_assert!(bytes <= 2048);
-                    if number % 3 > 0 {
+                    if choice % 3 > 0 {
                         store.apply(&write, clock);
                     }
-                    if number % 3 == 1 {
+                    if choice % 3 == 1 {
                         record.confirm_write(write.page, clock);
                     } else {
                         record.retry_write(write.page, store.version(write.page), clock);
@@ -122,7 +122,7 @@
                 }
             }
             for worker in store.workers.values().flatten() {
-                prop_assert!(record.is_fenced(worker), "{worker} is stored and not fenced");
+                prop_assert!(record.is_fenced(worker), "{worker} is stored but not fenced");
             }
         }
     }
--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -77,8 +77,8 @@
         self.lease.token() == Some(token)
     }
 
-    /// Whether this process leads any term, even if its lease has expired. A process that leads none
-    /// does not rely on any vote granted so far, and will not rely on one later.
+    /// Whether this process leads any term, even if its lease has expired. A process that leads
+    /// none does not rely on any vote granted so far, and will not rely on one later.
     pub fn is_leading(&self) -> bool {
         self.lease.token().is_some()
     }
@@ -106,9 +106,9 @@
         self.vote.is_binding(now_ms)
     }
 
-    /// The latest time at which a leader may have sent answers under a lease extended by votes. This
-    /// covers the votes of this process and of earlier processes of this controller, and extensions
-    /// of this controller's own lease.
+    /// The latest time at which a leader may have sent answers under a lease extended by votes.
+    /// This covers the votes of this process and of earlier processes of this controller, and
+    /// extensions of this controller's own lease.
     pub fn vote_binding_until_ms(&self) -> u64 {
         let vote_ms = self.vote.binding_until_ms();
         vote_ms.max(self.lease.extended_until_ms())
@@ -118,9 +118,9 @@
     /// vote forbids this controller to campaign for one TTL.
     ///
     /// A token newer than this controller's own shows that its own leader key is gone, so its own
-    /// term, whose lease has expired, ends here. Otherwise a leader that alone lost contact with the
-    /// state service would deny its successor its vote for as long as its own expired lease could
-    /// still be renewed.
+    /// term, whose lease has expired, ends here. Otherwise a leader that alone lost contact with
+    /// the state service would deny its successor its vote for as long as its own expired lease
+    /// could still be renewed.
     pub fn vote_to_extend_lease(
         &mut self,
         now_ms: u64,
--- a/crates/leadership/tests/cancellation/main.rs
+++ b/crates/leadership/tests/cancellation/main.rs
@@ -1,12 +1,12 @@
-//! A job that was reported as cancelled ends, with the code of this package in the model: users,
-//! leaders whose lease peers extend, shard owners, processes that end, and transactions that land
-//! late.
+//! Checks in a model that a job ends once it was reported as cancelled. The model runs the code of
+//! this crate and covers lease extensions by votes, shard owners, crashes, and transactions that
+//! are committed late.
 //!
-//! One worker runs the only task of one job. Whoever may answer it renews its lease, and stops
-//! the task if it knows that the job is to end. Leaders also send direct messages, which renew no
-//! lease and may be late or lost. The property: if users were answered at t that
-//! the job is cancelled, the task is gone after t + a shard owner's lease + the worker's lease. That
-//! is the invariant of docs/notes/cancellation.md; each planted mistake breaks it.
+//! One worker runs the only task of one job. A controller that answers the worker renews its lease,
+//! and stops the task if it knows that the job is ending. Leaders also send direct messages, which
+//! renew no lease and may be late or lost. The property: if a user was told at time t that the job
+//! is cancelled, the task has ended by t + shard lease + worker lease. This is the invariant of
+//! docs/notes/cancellation.md. Each planted mistake must break it.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -27,15 +27,15 @@
     }
 }
 
-/// The lease of controller 0 has expired, the state service ended its key, and controller 1 has
-/// cancelled.
-const CANCELLED_WITHOUT_A_LEADER: [&str; 8] = [
+/// The lease of controller 0 expires, the state service ends its leader key, and controller 1
+/// cancels the job without a leader. The last step is possible only with the planted mistake.
+const CANCELLED_WITHOUT_LEADER: [&str; 8] = [
     "time passes",
     "controller 0 answers the worker as the leader",
     "time passes",
-    "the lease of the key ends",
+    "the leader key expires",
     "controller 1 cancels without a leader",
-    "the transaction is committed and acknowledged",
+    "the transaction is processed and acknowledged",
     "an outage begins",
     "controller 0 extends its lease by votes",
 ];
@@ -55,15 +55,18 @@
         CancellationNotGuarded,
     ] {
         let found = walk(&CancellationWorld::new(mistake), 400_000, 80);
-        let found = found.expect_err(&format!("{mistake:?} is not found"));
+        let found = found.expect_err(&format!("the planted mistake {mistake:?} was not found"));
         println!("{mistake:?}: {found:?}");
     }
-    // Chance does not get there. The last step is what the program as it is does not do.
-    let expired = &CANCELLED_WITHOUT_A_LEADER[..7];
-    explore(after(CancellationWorld::new(None), expired), 60_000)
-        .unwrap_or_else(|history| fail(&history));
+    // Random histories do not reach this case. Without the mistake the last step is not possible.
+    let without_extension = &CANCELLED_WITHOUT_LEADER[..7];
+    explore(
+        after(CancellationWorld::new(None), without_extension),
+        60_000,
+    )
+    .unwrap_or_else(|history| fail(&history));
     let revived = CancellationWorld::new(VotesReviveExpiredLease);
-    let revived = after(revived, &CANCELLED_WITHOUT_A_LEADER);
-    let found = explore(revived, 600_000).expect_err("it is not found");
+    let revived = after(revived, &CANCELLED_WITHOUT_LEADER);
+    let found = explore(revived, 600_000).expect_err("the planted mistake was not found");
     println!("VotesReviveExpiredLease: {found:?}");
 }
--- a/crates/leadership/tests/cancellation/steps.rs
+++ b/crates/leadership/tests/cancellation/steps.rs
@@ -1,9 +1,9 @@
-//! What may happen next in the model.
+//! The steps of the model.
 
 use copperfield_leadership::{FencingToken, StoreReachability, Vote};
 use copperfield_model_checker::Successors;
 
-use crate::common::{TTL, of};
+use crate::common::{TTL, controller_step};
 use crate::world::{
     CancellationWorld, DirectMessage, Guard, HORIZON, JobView, LeaderKey, Mistake, ShardLease,
     Transaction,
@@ -18,77 +18,93 @@
             w.expire_worker_lease();
             w.now <= HORIZON
         });
-        steps.add("the lease of the key ends", |w| {
-            let over = w.leader_key.is_some_and(|key| w.now >= key.lease_ends);
-            let ends = over && !w.faults.is_outage();
+        steps.add("the leader key expires", |w| {
+            let expired = w.leader_key.is_some_and(|key| w.now >= key.expires_at);
+            let ends = expired && !w.faults.is_outage();
             w.leader_key = w.leader_key.filter(|_| !ends);
             ends
         });
         steps.add("an outage begins", |w| w.faults.begin_outage());
         steps.add("the outage ends", |w| {
             if let Some(key) = &mut w.leader_key {
-                key.lease_ends = w.now + TTL;
+                key.expires_at = w.now + TTL;
             }
             w.faults.end_outage()
         });
     }
 
     pub fn add_transaction_steps(&self, steps: &mut Steps) {
-        steps.add("the transaction is committed and acknowledged", |w| {
+        steps.add("the transaction is processed and acknowledged", |w| {
             let outcome = w.commit();
             if let Some((transaction, committed)) = outcome {
                 w.acknowledge(transaction, Some(committed));
             }
             outcome.is_some()
         });
-        steps.add("the transaction is committed, the answer lost", |w| {
-            let outcome = w.commit();
-            if let Some((transaction, _)) = outcome {
-                w.acknowledge(transaction, None);
-            }
-            outcome.is_some()
-        });
-        steps.add("the transaction times out, and may still land", |w| {
-            let before = w.controllers.clone();
-            if let Some(transaction) = w.in_flight {
-                w.acknowledge(transaction, None);
-            }
-            before != w.controllers
-        });
+        steps.add(
+            "the transaction is processed but the acknowledgement is lost",
+            |w| {
+                let outcome = w.commit();
+                if let Some((transaction, _)) = outcome {
+                    w.acknowledge(transaction, None);
+                }
+                outcome.is_some()
+            },
+        );
+        steps.add(
+            "the transaction times out but may still be processed",
+            |w| {
+                let before = w.controllers.clone();
+                if let Some(transaction) = w.in_flight {
+                    w.acknowledge(transaction, None);
+                }
+                before != w.controllers
+            },
+        );
     }
 
     pub fn add_fault_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "alone is refused"), |w| w.faults.refuse(c));
-        steps.add(of!(c, "is served again"), |w| w.faults.serve_again(c));
-        steps.add(of!(c, "ends and restarts"), |w| {
+        steps.add(
+            controller_step!(c, "is cut off from the state service"),
+            |w| w.faults.cut_off(c),
+        );
+        steps.add(
+            controller_step!(c, "is reconnected to the state service"),
+            |w| w.faults.reconnect(c),
+        );
+        steps.add(controller_step!(c, "crashes and restarts"), |w| {
             w.controllers[c] = w.controllers[c].restarted(w.now);
             w.faults.crash()
         });
     }
 
     pub fn add_election_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "wins"), |w| w.win(c));
-        steps.add(of!(c, "recovers what is stored"), |w| w.recover(c));
-        steps.add(of!(c, "renews"), |w| w.renew(c));
-        steps.add(of!(c, "extends its lease by votes"), |w| {
+        steps.add(controller_step!(c, "wins an election"), |w| w.win(c));
+        steps.add(controller_step!(c, "reads the stored state"), |w| {
+            w.read_stored_state(c)
+        });
+        steps.add(controller_step!(c, "renews"), |w| w.renew(c));
+        steps.add(controller_step!(c, "extends its lease by votes"), |w| {
             w.extend_by_votes(c)
         });
-        steps.add(of!(c, "transfers leadership"), |w| w.transfer(c));
+        steps.add(controller_step!(c, "transfers leadership"), |w| {
+            w.transfer(c)
+        });
     }
 
     fn win(&mut self, c: usize) -> bool {
         let clock = self.clock(c);
         let controller = &mut self.controllers[c];
         let leadership = &mut controller.process.leadership;
-        let free = !leadership.is_leading() && !leadership.has_binding_vote(clock);
-        if !self.faults.serves(c) || self.leader_key.is_some() || !free {
+        let may_campaign = !leadership.is_leading() && !leadership.has_binding_vote(clock);
+        if !self.faults.can_reach_store(c) || self.leader_key.is_some() || !may_campaign {
             return false;
         }
         self.term_marker += 1;
         self.leader_key = Some(LeaderKey {
             controller: c,
             version: self.term_marker,
-            lease_ends: self.now + TTL,
+            expires_at: self.now + TTL,
         });
         leadership.begin_leading(FencingToken::from(u64::from(self.term_marker)), clock);
         if self.mistake != Mistake::RecoversBeforeElection {
@@ -97,7 +113,7 @@
         true
     }
 
-    fn recover(&mut self, c: usize) -> bool {
+    fn read_stored_state(&mut self, c: usize) -> bool {
         let controller = &mut self.controllers[c];
         let leads = controller.process.leadership.is_leading();
         let may_read = leads || self.mistake == Mistake::RecoversBeforeElection;
@@ -107,22 +123,22 @@
         } else {
             JobView::Running
         };
-        may_read && unread && self.faults.serves(c)
+        may_read && unread && self.faults.can_reach_store(c)
     }
 
     fn renew(&mut self, c: usize) -> bool {
-        let (clock, served) = (self.clock(c), self.faults.serves(c));
-        let Some(key) = self.leader_key.as_mut().filter(|_| served) else {
+        let (clock, reachable) = (self.clock(c), self.faults.can_reach_store(c));
+        let Some(key) = self.leader_key.as_mut().filter(|_| reachable) else {
             return false;
         };
         let leadership = &mut self.controllers[c].process.leadership;
         let leads = leadership.leads(FencingToken::from(u64::from(key.version)));
-        let prolongs = key.controller == c && leads && key.lease_ends < self.now + TTL;
-        if prolongs {
-            key.lease_ends = self.now + TTL;
+        let extends = key.controller == c && leads && key.expires_at < self.now + TTL;
+        if extends {
+            key.expires_at = self.now + TTL;
             leadership.record_renewal(clock);
         }
-        prolongs
+        extends
     }
 
     fn extend_by_votes(&mut self, c: usize) -> bool {
@@ -131,8 +147,9 @@
         let Some(token) = self.token(c) else {
             return false;
         };
-        let served = self.faults.serves(peer) && self.mistake != Mistake::VotesThoughStoreReachable;
-        let store = if served {
+        let reachable =
+            self.faults.can_reach_store(peer) && self.mistake != Mistake::VotesThoughStoreReachable;
+        let store = if reachable {
             StoreReachability::Reachable
         } else {
             StoreReachability::Unreachable
@@ -154,8 +171,8 @@
         let peer = 1 - c;
         let own_key = self.leader_key.filter(|key| key.controller == c);
         let peer_leads = self.controllers[peer].process.leadership.is_leading();
-        let ready = self.faults.serves(peer) && !peer_leads;
-        let Some(key) = own_key.filter(|_| ready && !self.faults.serves(c)) else {
+        let ready = self.faults.can_reach_store(peer) && !peer_leads;
+        let Some(key) = own_key.filter(|_| ready && !self.faults.can_reach_store(c)) else {
             return false;
         };
         let leader = &mut self.controllers[c].process.leadership;
@@ -168,15 +185,21 @@
     }
 
     pub fn add_cancellation_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "cancels as the leader"), |w| w.cancel_as_leader(c));
-        steps.add(of!(c, "cancels without a leader"), |w| {
-            w.cancel_without_leader(c)
+        steps.add(controller_step!(c, "cancels as the leader"), |w| {
+            w.cancel_as_leader(c)
         });
-        steps.add(of!(c, "reads the outcome and answers the user"), |w| {
-            let news = w.cancellation_stored && w.reported_at.is_none() && w.faults.serves(c);
-            w.reported_at.get_or_insert(w.now);
-            news
+        steps.add(controller_step!(c, "cancels without a leader"), |w| {
+            w.cancel_without_leader(c)
         });
+        steps.add(
+            controller_step!(c, "reads the outcome and answers the user"),
+            |w| {
+                let unreported =
+                    w.cancellation_stored && w.reported_at.is_none() && w.faults.can_reach_store(c);
+                w.reported_at.get_or_insert(w.now);
+                unreported
+            },
+        );
     }
 
     fn cancel_as_leader(&mut self, c: usize) -> bool {
@@ -192,12 +215,12 @@
 
     fn cancel_without_leader(&mut self, c: usize) -> bool {
         let clock = self.clock(c);
-        let no_key = self.faults.serves(c) && self.leader_key.is_none();
-        let pending = self.in_flight.is_none() && !self.cancellation_stored;
+        let no_key = self.faults.can_reach_store(c) && self.leader_key.is_none();
+        let can_send = self.in_flight.is_none() && !self.cancellation_stored;
         let controller = &mut self.controllers[c];
         let leadership = &mut controller.process.leadership;
-        let free = !leadership.is_leading() && !controller.cancels_without_leader;
-        if !no_key || !pending || !free || !leadership.begin_leaderless_cancellation(clock) {
+        let idle = !leadership.is_leading() && !controller.cancels_without_leader;
+        if !no_key || !can_send || !idle || !leadership.begin_leaderless_cancellation(clock) {
             return false;
         }
         controller.cancels_without_leader = true;
@@ -214,10 +237,11 @@
     }
 
     pub fn add_worker_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "answers the worker as the leader"), |w| {
-            w.answer_as_leader(c)
-        });
-        steps.add(of!(c, "grants its peer a shard lease"), |w| {
+        steps.add(
+            controller_step!(c, "answers the worker as the leader"),
+            |w| w.answer_as_leader(c),
+        );
+        steps.add(controller_step!(c, "grants its peer a shard lease"), |w| {
             w.grant_shard_lease(c)
         });
     }
@@ -230,23 +254,24 @@
         if view == JobView::Unread && self.mistake != Mistake::AnswersBeforeRecovery {
             return false;
         }
-        let withheld = match self.mistake {
+        let omits_stop = match self.mistake {
             Mistake::RenewsTaskUntilOutcomeIsKnown => view == JobView::Cancelling,
             Mistake::StopWaitsForDirectMessage => self.message.is_some_and(|m| m.sender == c),
-            Mistake::OvertakenHeartbeatGetsNoStop => self.overtaken_at == Some(c),
+            Mistake::OvertakenHeartbeatGetsNoStop => self.leader_with_newer_answer == Some(c),
             _ => false,
         };
-        let was_overtaken = std::mem::take(&mut self.overtaken_at).is_some();
-        self.answer_worker(token, view.is_ending() && !withheld) || was_overtaken
+        let was_overtaken = std::mem::take(&mut self.leader_with_newer_answer).is_some();
+        self.answer_worker(token, view.is_ending() && !omits_stop) || was_overtaken
     }
 
     pub fn add_message_steps(&self, steps: &mut Steps) {
         for c in 0..self.controllers.len() {
-            steps.add(of!(c, "sends the worker a direct message"), |w| {
-                w.send_message(c)
-            });
+            steps.add(
+                controller_step!(c, "sends the worker a direct message"),
+                |w| w.send_message(c),
+            );
         }
-        steps.add("the direct message is carried out", Self::deliver_message);
+        steps.add("the direct message is delivered", Self::deliver_message);
         steps.add("the direct message is lost", |w| w.message.take().is_some());
     }
 
@@ -255,17 +280,17 @@
             return false;
         };
         let stops_task = self.controllers[c].view.is_ending();
-        let is_free = self.message.is_none();
+        let none_in_flight = self.message.is_none();
         self.message.get_or_insert(DirectMessage {
             sender: c,
             token,
             stops_task,
         });
-        is_free
+        none_in_flight
     }
 
-    /// The worker executes the message unless it knows a newer leader. The answer reaches the
-    /// sender before the heartbeat that the worker has sent before.
+    /// The worker executes the direct message unless it has seen a newer token. Its answer reaches
+    /// the sender before a heartbeat that the worker sent earlier.
     fn deliver_message(&mut self) -> bool {
         let Some(message) = self.message.take() else {
             return false;
@@ -273,7 +298,7 @@
         if message.token >= self.worker.token {
             self.worker.token = message.token;
             self.worker.runs_task &= !message.stops_task;
-            self.overtaken_at = Some(message.sender);
+            self.leader_with_newer_answer = Some(message.sender);
         }
         true
     }
@@ -284,12 +309,12 @@
         let Some(token) = self.token(c).filter(|_| valid_for > 0) else {
             return false;
         };
-        let goes_on = match self.mistake {
+        let grants_anyway = match self.mistake {
             Mistake::RenewsShardLeaseAfterCancellation => true,
             Mistake::GrantsShardLeaseForOrphanedTask => controller.view == JobView::EndedBefore,
             _ => false,
         };
-        if controller.view == JobView::Unread || (controller.view.is_ending() && !goes_on) {
+        if controller.view == JobView::Unread || (controller.view.is_ending() && !grants_anyway) {
             return false;
         }
         let excess = match self.mistake {
--- a/crates/leadership/tests/cancellation/world.rs
+++ b/crates/leadership/tests/cancellation/world.rs
@@ -1,68 +1,70 @@
-//! Two controllers, one state service, one worker with one task.
+//! The state of the model: two controllers, one state service, and one worker with one task.
 
 use copperfield_leadership::FencingToken;
 use copperfield_model_checker::{Successors, World};
 
 use crate::common::{Faults, Process, TTL};
 
-/// The worker stops the task if nobody renews its lease for as long.
+/// The worker stops the task if its lease is not renewed for longer than this.
 const WORKER_LEASE: u64 = 2;
-/// How long a shard owner answers on after the last contact with its leader.
+/// Upper bound on how long a shard owner may answer after the last contact with its leader.
 const SHARD_LEASE: u64 = TTL;
-/// When a history ends.
+/// The time at which a history ends.
 pub const HORIZON: u64 = 10;
 
 /// A mistake planted in the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Mistake {
     None,
-    /// A job whose cancellation is of unknown outcome runs on. This program did so.
+    /// While the outcome of a cancellation is unknown, answers keep the task running. An earlier
+    /// version had this fault.
     RenewsTaskUntilOutcomeIsKnown,
     /// A leader answers workers before it has read the stored state.
     AnswersBeforeRecovery,
-    /// It leads on what it has read before it was elected.
+    /// A leader relies on stored state that it read before it was elected.
     RecoversBeforeElection,
-    /// A shard owner answers on its shard lease for longer than its leader is valid.
+    /// A shard lease lasts longer than the leader that granted it is valid.
     ShardLeaseOutlivesLeader,
-    /// The shard lease for the worker is renewed though the job there is to end.
+    /// The shard lease for a worker is renewed although the job that it runs is ending.
     RenewsShardLeaseAfterCancellation,
-    /// A shard lease is granted for a worker whose task is of a job that had ended before the leader
-    /// was elected. This program did so.
+    /// A shard lease is granted for a worker that runs a task of a job that ended before the leader
+    /// was elected. An earlier version had this fault.
     GrantsShardLeaseForOrphanedTask,
-    /// While a direct message is out, answers renew the lease without the stop. This program did so.
+    /// While a direct message is in flight, answers renew the lease without stopping the task. An
+    /// earlier version had this fault.
     StopWaitsForDirectMessage,
-    /// The answer to a heartbeat that a direct answer has overtaken renews the lease without the
-    /// stop. This program did so.
+    /// The answer to a heartbeat that was overtaken by the answer to a direct message renews the
+    /// lease without stopping the task. An earlier version had this fault.
     OvertakenHeartbeatGetsNoStop,
-    /// The leader's transaction is not guarded by its key.
+    /// The leader's cancellation is not guarded by its leader key.
     CancellationNotGuarded,
-    /// Votes make a leader valid again whose lease has expired.
+    /// Votes make a leader valid again after its lease has expired.
     VotesReviveExpiredLease,
-    /// Controllers that the state service serves grant votes, on evidence of long ago. That is no
-    /// danger: a vote forbids the voter to lead and to cancel, whatever it was granted for.
+    /// Controllers that can reach the state service grant votes on outdated evidence. This is not a
+    /// fault: a vote forbids the voter to lead and to cancel, whatever reason it was granted for.
     VotesThoughStoreReachable,
 }
 
-/// What a leader knows of the job.
+/// What a leader knows about the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum JobView {
     Unread,
     Running,
-    /// A transaction that cancels it was sent; its outcome is unknown.
+    /// A transaction that cancels the job was sent, and its outcome is unknown.
     Cancelling,
     Ended,
-    /// It had ended before this leader was elected: a task of it is orphaned.
+    /// The job ended before this leader was elected, so a task of it is orphaned.
     EndedBefore,
 }
 
 impl JobView {
-    /// Whether a task of the job is to stop.
+    /// Whether tasks of the job should stop.
     pub fn is_ending(self) -> bool {
         matches!(self, Self::Cancelling | Self::Ended | Self::EndedBefore)
     }
 }
 
-/// A direct message to the worker. It may arrive at any time, and renews no lease.
+/// A direct message to the worker. It may arrive at any time and renews no lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct DirectMessage {
     pub sender: usize,
@@ -101,19 +103,20 @@
 pub struct LeaderKey {
     pub controller: usize,
     pub version: u8,
-    pub lease_ends: u64,
+    pub expires_at: u64,
 }
 
-/// What guards a cancellation.
+/// The guard of a transaction that cancels the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Guard {
     /// The leader key has this version.
     LeaderKey(u8),
-    /// There is no leader key, and nobody was elected since the term marker had this version.
+    /// There is no leader key, and no controller was elected since the term marker had this
+    /// version.
     NoLeaderSince(u8),
 }
 
-/// A cancellation on its way to the state service.
+/// A cancellation in flight to the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Transaction {
     pub controller: usize,
@@ -121,16 +124,17 @@
     pub guard: Guard,
 }
 
-/// The worker, as long as it runs the task.
+/// The worker and whether it still runs the task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Worker {
     pub runs_task: bool,
     lease_renewed_at: u64,
-    /// The greatest fencing token that it has seen.
+    /// The greatest fencing token that the worker has seen.
     pub token: u8,
 }
 
-/// Until when the other controller may answer the worker under the token of its leader.
+/// The shard lease that a leader granted to the other controller: until when that controller may
+/// answer the worker under the leader's token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ShardLease {
     pub token: u8,
@@ -147,20 +151,20 @@
     pub term_marker: u8,
     pub cancellation_stored: bool,
     pub in_flight: Option<Transaction>,
-    /// When the first user received the answer that the job is cancelled.
+    /// When a user was first told that the job is cancelled.
     pub reported_at: Option<u64>,
     pub worker: Worker,
     pub shard_lease: ShardLease,
-    /// The direct message that is out, or held up by the network.
+    /// The direct message in flight, which the network may delay.
     pub message: Option<DirectMessage>,
-    /// The leader that has had an answer to a direct message, which is newer than the heartbeat
-    /// that the worker waits with.
-    pub overtaken_at: Option<usize>,
+    /// The leader that received an answer to a direct message, if that answer is newer than the
+    /// heartbeat that the worker waits to have answered.
+    pub leader_with_newer_answer: Option<usize>,
     pub faults: Faults,
 }
 
 impl CancellationWorld {
-    /// Controller 0 leads and knows the job, and the worker reports to it.
+    /// Controller 0 leads and knows that the job is running on the worker.
     pub fn new(mistake: Mistake) -> Self {
         let mut controllers = vec![
             Controller::new(JobView::Running),
@@ -178,7 +182,7 @@
             leader_key: Some(LeaderKey {
                 controller: 0,
                 version: 1,
-                lease_ends: TTL,
+                expires_at: TTL,
             }),
             term_marker: 1,
             cancellation_stored: false,
@@ -191,7 +195,7 @@
             },
             shard_lease: ShardLease { token: 0, until: 0 },
             message: None,
-            overtaken_at: None,
+            leader_with_newer_answer: None,
             faults: Faults::new(2, 3, 2),
         }
     }
@@ -211,13 +215,13 @@
         (1..=self.term_marker).find(|token| leadership.leads(FencingToken::from(u64::from(*token))))
     }
 
-    /// Time passes for the worker.
+    /// Ends the task if the worker's lease has expired.
     pub fn expire_worker_lease(&mut self) {
         self.worker.runs_task &= self.now <= self.worker.lease_renewed_at + WORKER_LEASE;
     }
 
-    /// A controller answers the worker: its lease is renewed, and the task perhaps stopped.
-    /// Whether this changes anything.
+    /// Delivers a controller's answer to the worker, which renews the worker's lease and may stop
+    /// the task. Returns whether this changes the worker.
     pub fn answer_worker(&mut self, token: u8, stops_task: bool) -> bool {
         let worker = &mut self.worker;
         if token < worker.token || !worker.runs_task {
@@ -230,17 +234,19 @@
         *worker != before
     }
 
-    /// The state service commits the transaction if it serves and the guard holds; whether it did.
+    /// Processes the transaction in flight, unless there is an outage: the state service commits it
+    /// if its guard holds. Returns the transaction and whether it was committed.
     pub fn commit(&mut self) -> Option<(Transaction, bool)> {
         let transaction = self.in_flight.filter(|_| !self.faults.is_outage())?;
         let unguarded = self.mistake == Mistake::CancellationNotGuarded;
-        let committed = !self.cancellation_stored && (unguarded || self.holds(transaction.guard));
+        let committed =
+            !self.cancellation_stored && (unguarded || self.guard_holds(transaction.guard));
         self.cancellation_stored |= committed;
         self.in_flight = None;
         Some((transaction, committed))
     }
 
-    fn holds(&self, guard: Guard) -> bool {
+    fn guard_holds(&self, guard: Guard) -> bool {
         let key_version = self.leader_key.map(|key| key.version);
         match guard {
             Guard::LeaderKey(version) => key_version == Some(version),
@@ -248,7 +254,7 @@
         }
     }
 
-    /// The sender learns the outcome of its transaction; `None`: that it is unknown.
+    /// Reports the outcome of a transaction to its sender; `None` if the outcome is unknown.
     pub fn acknowledge(&mut self, transaction: Transaction, committed: Option<bool>) {
         let leads = self.token(transaction.controller).is_some();
         let controller = &mut self.controllers[transaction.controller];
@@ -285,7 +291,10 @@
     }
 
     fn broken(&self) -> bool {
-        let ends_by = |reported_at| reported_at + SHARD_LEASE + WORKER_LEASE;
-        self.worker.runs_task && self.reported_at.is_some_and(|at| self.now > ends_by(at))
+        let must_end_by = |reported_at| reported_at + SHARD_LEASE + WORKER_LEASE;
+        self.worker.runs_task
+            && self
+                .reported_at
+                .is_some_and(|at| self.now > must_end_by(at))
     }
 }
--- a/crates/leadership/tests/common/mod.rs
+++ b/crates/leadership/tests/common/mod.rs
@@ -1,15 +1,15 @@
-//! What the models of this package have in common: processes that restart, a state service that
-//! fails, and names of steps.
+//! Shared by the models of this crate: processes that restart, faults of the state service, and
+//! helpers to name steps and explore histories.
 
 use copperfield_leadership::Leadership;
 use copperfield_model_checker::{History, World, explore, walk};
 
-/// A controller's lease and vote last that many steps of a model, without a margin: the state
-/// service ends no lease early.
+/// How many steps of a model a controller's lease or vote lasts. There is no margin, as the
+/// modelled state service never ends a lease early.
 pub const TTL: u64 = 2;
 
-/// The name of a step of one controller.
-macro_rules! of {
+/// Returns the name of a step of one controller.
+macro_rules! controller_step {
     ($controller:expr, $step:literal) => {
         [
             concat!("controller 0 ", $step),
@@ -18,12 +18,12 @@
         ][$controller]
     };
 }
-pub(crate) use of;
+pub(crate) use controller_step;
 
-/// One process of a controller, on a clock of its own.
+/// One process of a controller, with its own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Process {
-    /// Counts the processes of the controller.
+    /// Number of earlier processes of the same controller.
     pub number: u8,
     pub leadership: Leadership,
     started_at: u64,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The process that starts at once after this one has ended, and knows nothing.
+    /// The process that replaces this one immediately after it has ended, without any of its state.
     pub fn restarted(&self, now: u64) -> Self {
         Self {
             number: self.number + 1,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The time on the clock of the process, which starts with it.
+    /// The time on the clock of the process, counted from the start of the process.
     pub fn clock(&self, now: u64) -> u64 {
         now - self.started_at
     }
@@ -57,13 +57,13 @@
     }
 }
 
-/// What may still fail, and what has failed.
+/// The faults in effect, and how many more may occur.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Faults {
-    /// The state service answers nobody.
+    /// Whether the state service answers no controller.
     outage: bool,
-    /// By controller: the state service refuses this one.
-    refused: Vec<bool>,
+    /// For each controller, whether it alone cannot reach the state service.
+    cut_off: Vec<bool>,
     service_faults_left: u8,
     crashes_left: u8,
 }
@@ -72,7 +72,7 @@
     pub fn new(controllers: usize, service_faults: u8, crashes: u8) -> Self {
         Self {
             outage: false,
-            refused: vec![false; controllers],
+            cut_off: vec![false; controllers],
             service_faults_left: service_faults,
             crashes_left: crashes,
         }
@@ -83,8 +83,8 @@
     }
 
     /// Whether the state service answers this controller.
-    pub fn serves(&self, controller: usize) -> bool {
-        !self.outage && !self.refused[controller]
+    pub fn can_reach_store(&self, controller: usize) -> bool {
+        !self.outage && !self.cut_off[controller]
     }
 
     pub fn begin_outage(&mut self) -> bool {
@@ -95,13 +95,13 @@
         std::mem::take(&mut self.outage)
     }
 
-    pub fn refuse(&mut self, controller: usize) -> bool {
-        let refused = std::mem::replace(&mut self.refused[controller], true);
-        !refused && take_one(&mut self.service_faults_left)
+    pub fn cut_off(&mut self, controller: usize) -> bool {
+        let cut_off = std::mem::replace(&mut self.cut_off[controller], true);
+        !cut_off && take_one(&mut self.service_faults_left)
     }
 
-    pub fn serve_again(&mut self, controller: usize) -> bool {
-        std::mem::take(&mut self.refused[controller])
+    pub fn reconnect(&mut self, controller: usize) -> bool {
+        std::mem::take(&mut self.cut_off[controller])
     }
 
     pub fn crash(&mut self) -> bool {
@@ -109,28 +109,28 @@
     }
 }
 
-/// Takes one of a number of things that are left, if there is one.
+/// Decrements a counter. Returns false if it was already zero.
 pub fn take_one(left: &mut u8) -> bool {
     let any = *left > 0;
     *left = left.saturating_sub(1);
     any
 }
 
-/// Explores all histories up to a number of worlds. Fails if one breaks the property, or if the
-/// depth to which all were explored is less than `least_depth`.
+/// Explores all histories until `states` states were seen. Fails if a history breaks the property,
+/// or if the depth to which all histories were explored is less than `least_depth`.
 pub fn assert_holds_in_all_histories<W: World>(start: W, states: u64, least_depth: usize) {
     let depth = explore(start, states as usize).unwrap_or_else(|history| fail(&history));
     println!("{states} states, all histories of up to {depth} steps");
-    assert!(depth >= least_depth, "only to a depth of {depth}");
+    assert!(depth >= least_depth, "explored to a depth of {depth} only");
 }
 
-/// Fails if one of this many random histories breaks the property.
+/// Fails if one of `walks` random histories of up to `limit` steps breaks the property.
 pub fn assert_holds_in_random_histories<W: World>(start: &W, walks: u64, limit: usize) {
     let steps = walk(start, walks, limit).unwrap_or_else(|history| fail(&history));
     println!("{walks} random histories of {steps} steps");
 }
 
-/// Fails with the history that breaks the property.
+/// Fails and prints a history that breaks the property.
 pub fn fail(history: &History) -> ! {
     panic!("{history:#?}")
 }
--- a/crates/leadership/tests/model/main.rs
+++ b/crates/leadership/tests/model/main.rs
@@ -1,12 +1,13 @@
-//! Every history of a small world, with the code of this package in it.
+//! Explores the histories of a small model that runs the code of this crate.
 //!
-//! There are two or three controllers and one state service. A transaction is carried out late or
-//! never, and its outcome may be lost. The state service may refuse any controller alone, or all
-//! in an outage. A process may end between any two steps; the next process of its controller
-//! starts at once and knows nothing, while what the last one has sent is still on its way.
+//! The model has two or three controllers and one state service. A transaction may be processed
+//! late or never, and its outcome may be lost. The state service may refuse a single controller, or
+//! all of them in an outage. A process may crash between any two steps. The next process of its
+//! controller starts immediately without any of its state, while messages of the previous one are
+//! in flight.
 //!
-//! The properties: no two controllers are valid leaders at one time; and no cancellation is stored
-//! without a leader while somebody is valid. Planted mistakes must each be found.
+//! The properties: no two controllers are valid leaders at the same time, and no cancellation is
+//! stored without a leader while a leader is valid. Each planted mistake must be found.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -21,7 +22,7 @@
 use world::LeadershipWorld;
 
 #[test]
-fn nobody_leads_beside_another_and_nothing_is_cancelled_beside_a_leader() {
+fn valid_terms_overlap_neither_each_other_nor_a_leaderless_cancellation() {
     for (controllers, least_depth) in [(2, 7), (3, 5)] {
         println!("{controllers} controllers:");
         let start = LeadershipWorld::new(controllers, Mistake::None);
@@ -30,95 +31,106 @@
     }
 }
 
-/// Controller 0 leads until 2, and its next process would know.
-const LEADS: [&str; 5] = [
+/// Controller 0 is elected at 0 and leads until 2. Its term is confirmed in the term marker, so its
+/// next process may remove the key.
+const CONTROLLER_0_LEADS: [&str; 5] = [
     "controller 0 campaigns",
-    "a transaction is carried out",
-    "controller 0 is answered",
-    "a transaction is carried out",
-    "controller 0 is answered",
+    "a transaction is processed",
+    "controller 0 receives an outcome",
+    "a transaction is processed",
+    "controller 0 receives an outcome",
 ];
-/// Controller 0 campaigns at 0 and wins at 1, while a campaign of controller 1 is in flight since 1.
+/// Controller 0 campaigns at 0 and wins at 1, while a campaign that controller 1 sent at 1 is in
+/// flight.
 const BOTH_CAMPAIGN: [&str; 5] = [
     "controller 0 campaigns",
     "time passes",
     "controller 1 campaigns",
-    "a transaction is carried out",
-    "controller 0 is answered",
+    "a transaction is processed",
+    "controller 0 receives an outcome",
 ];
-const ALL_REFUSED: [&str; 2] = [
-    "controller 0 alone is refused",
-    "controller 1 alone is refused",
+const BOTH_CUT_OFF: [&str; 2] = [
+    "controller 0 is cut off from the state service",
+    "controller 1 is cut off from the state service",
 ];
-const EXTENDED_BY_VOTE: [&str; 2] = [
+const CONTROLLER_1_VOTES: [&str; 2] = [
     "controller 0 requests votes",
     "controller 1 grants its vote",
 ];
-/// The key of controller 0 is gone, and controller 1 may cancel without a leader.
-const KEY_EXPIRED: [&str; 3] = ["time passes", "time passes", "the lease of the key ends"];
-const CANCELS_WITHOUT_LEADER: [&str; 3] = [
-    "controller 1 is asked to cancel",
-    "controller 1 reads a record for that",
-    "controller 1 reads a record for that",
+/// The leader key of controller 0 expires, and controller 1 may cancel without a leader.
+const KEY_EXPIRED: [&str; 3] = ["time passes", "time passes", "the leader key expires"];
+const CONTROLLER_1_SENDS_CANCELLATION: [&str; 3] = [
+    "controller 1 begins a cancellation without a leader",
+    "controller 1 reads a guard of the cancellation",
+    "controller 1 reads a guard of the cancellation",
 ];
-const OTHER_WINS: [&str; 3] = [
+const CONTROLLER_1_WINS: [&str; 3] = [
     "controller 1 campaigns",
-    "a transaction is carried out",
-    "controller 1 is answered",
+    "a transaction is processed",
+    "controller 1 receives an outcome",
 ];
-const LEADS_AGAIN: [&str; 4] = [
+const CONTROLLER_0_WINS_AGAIN: [&str; 4] = [
     "controller 0 steps down",
     "controller 0 campaigns",
-    "a transaction is carried out",
-    "controller 0 is answered",
+    "a transaction is processed",
+    "controller 0 receives an outcome",
 ];
-/// Then controller 1 does not know what its last process sent, and nobody else does.
-const SUCCESSOR_RESTARTS: [&str; 1] = ["controller 1 ends and restarts"];
-const TRANSFERRED: [&str; 1] = ["controller 1 is ready for transfer, and the leader steps down"];
-/// Controller 0 restarts at once and is about to remove its own key.
-const FINDS_OWN_KEY: [&str; 2] = [
-    "controller 0 ends and restarts",
-    "controller 0 sees its own name on the key",
+/// After that, no process knows what the previous process of controller 1 sent.
+const CONTROLLER_1_RESTARTS: [&str; 1] = ["controller 1 crashes and restarts"];
+const TRANSFER_SENT: [&str; 1] = ["controller 1 is sent a leadership transfer"];
+/// Controller 0 restarts immediately and finds its own key, which it may then remove.
+const CONTROLLER_0_FINDS_OWN_KEY: [&str; 2] = [
+    "controller 0 crashes and restarts",
+    "controller 0 finds its own leader key",
 ];
 
-/// Random histories rarely get to where votes matter, so each mistake is searched for from there.
-/// It must be found, and the program as it is must hold in the histories from there.
+/// Random histories rarely reach states in which votes matter, so the search for each planted
+/// mistake begins in such a state. The mistake must be found from there, and without it the
+/// properties must hold.
 #[test]
 fn each_planted_mistake_is_found() {
     use Mistake::*;
     let cases: &[(Mistake, &[&[&str]])] = &[
         (
             RestartForgetsVotes,
-            &[&LEADS, &ALL_REFUSED, &["time passes"], &EXTENDED_BY_VOTE],
+            &[
+                &CONTROLLER_0_LEADS,
+                &BOTH_CUT_OFF,
+                &["time passes"],
+                &CONTROLLER_1_VOTES,
+            ],
         ),
         (
             RemovesKeyOfUnconfirmedTerm,
             &[
                 &BOTH_CAMPAIGN,
-                &SUCCESSOR_RESTARTS,
-                &ALL_REFUSED,
-                &EXTENDED_BY_VOTE,
-                &["time passes", "the lease of the key ends"],
-                // The confirmation by controller 0, in vain, and the campaign of the process before.
-                &[
-                    "a transaction is carried out",
-                    "a transaction is carried out",
-                ],
-                &["controller 1 is served again"],
+                &CONTROLLER_1_RESTARTS,
+                &BOTH_CUT_OFF,
+                &CONTROLLER_1_VOTES,
+                &["time passes", "the leader key expires"],
+                // The confirmation by controller 0, which fails as its key is gone, and the
+                // campaign of the previous process of controller 1.
+                &["a transaction is processed", "a transaction is processed"],
+                &["controller 1 is reconnected to the state service"],
             ],
         ),
         (
             RemovalIgnoresKeyVersion,
-            &[&LEADS, &FINDS_OWN_KEY, &KEY_EXPIRED, &OTHER_WINS],
+            &[
+                &CONTROLLER_0_LEADS,
+                &CONTROLLER_0_FINDS_OWN_KEY,
+                &KEY_EXPIRED,
+                &CONTROLLER_1_WINS,
+            ],
         ),
         (
             ReleasesVotesBeforeRemoval,
             &[
-                &LEADS,
-                &FINDS_OWN_KEY,
+                &CONTROLLER_0_LEADS,
+                &CONTROLLER_0_FINDS_OWN_KEY,
                 &KEY_EXPIRED,
-                &OTHER_WINS,
-                &ALL_REFUSED,
+                &CONTROLLER_1_WINS,
+                &BOTH_CUT_OFF,
                 &[
                     "time passes",
                     "controller 1 requests votes",
@@ -129,44 +141,50 @@
         (
             VotesDuringKeyRemoval,
             &[
-                &LEADS,
+                &CONTROLLER_0_LEADS,
                 &["time passes", "controller 0 renews", "time passes"],
-                &FINDS_OWN_KEY,
+                &CONTROLLER_0_FINDS_OWN_KEY,
+                &[
+                    "controller 0 removes its own leader key",
+                    "a transaction is processed",
+                ],
+                &["controller 1 campaigns", "a transaction is processed"],
                 &[
-                    "controller 0 removes that key",
-                    "a transaction is carried out",
+                    "controller 1 receives an outcome",
+                    "a transaction is processed",
                 ],
-                &["controller 1 campaigns", "a transaction is carried out"],
-                &["controller 1 is answered", "a transaction is carried out"],
-                &ALL_REFUSED,
+                &BOTH_CUT_OFF,
                 &["time passes", "controller 1 requests votes"],
             ],
         ),
-        (VotesDuringCampaign, &[&BOTH_CAMPAIGN, &ALL_REFUSED]),
+        (VotesDuringCampaign, &[&BOTH_CAMPAIGN, &BOTH_CUT_OFF]),
         (
             IgnoresCampaignNonce,
             &[
                 &[
                     "controller 0 campaigns",
-                    "a transaction times out, and may still land",
+                    "a transaction times out but may still be processed",
                 ],
                 &[
                     "time passes",
                     "controller 0 campaigns",
-                    "a transaction is carried out",
+                    "a transaction is processed",
                 ],
             ],
         ),
         (
             ConfirmsWithOnePeer,
             &[
-                &LEADS,
-                &ALL_REFUSED,
-                &["controller 2 alone is refused", "time passes"],
-                &EXTENDED_BY_VOTE,
+                &CONTROLLER_0_LEADS,
+                &BOTH_CUT_OFF,
+                &[
+                    "controller 2 is cut off from the state service",
+                    "time passes",
+                ],
+                &CONTROLLER_1_VOTES,
                 &["controller 2 grants its vote"],
-                &SUCCESSOR_RESTARTS,
-                &["time passes", "the lease of the key ends"],
+                &CONTROLLER_1_RESTARTS,
+                &["time passes", "the leader key expires"],
             ],
         ),
         (
@@ -174,12 +192,15 @@
             &[
                 &[
                     "controller 0 campaigns",
-                    "controller 1 asks whether nobody leads",
-                    "controller 0 confirms not to lead",
+                    "controller 1 begins a no-leader confirmation",
+                    "controller 0 confirms that it does not lead",
+                ],
+                &CONTROLLER_0_LEADS[1..],
+                &BOTH_CUT_OFF,
+                &[
+                    "controller 2 is cut off from the state service",
+                    "time passes",
                 ],
-                &LEADS[1..],
-                &ALL_REFUSED,
-                &["controller 2 alone is refused", "time passes"],
                 &[
                     "controller 0 requests votes",
                     "controller 2 grants its vote",
@@ -189,65 +210,67 @@
         (
             VotesReviveExpiredLease,
             &[
-                &LEADS,
+                &CONTROLLER_0_LEADS,
                 &KEY_EXPIRED,
-                &CANCELS_WITHOUT_LEADER,
-                &SUCCESSOR_RESTARTS,
+                &CONTROLLER_1_SENDS_CANCELLATION,
+                &CONTROLLER_1_RESTARTS,
             ],
         ),
         (
             CancellationGuardedByMissingKeyOnly,
             &[
-                &LEADS,
+                &CONTROLLER_0_LEADS,
                 &KEY_EXPIRED,
-                &CANCELS_WITHOUT_LEADER,
-                &SUCCESSOR_RESTARTS,
-                &LEADS_AGAIN,
-                &ALL_REFUSED,
+                &CONTROLLER_1_SENDS_CANCELLATION,
+                &CONTROLLER_1_RESTARTS,
+                &CONTROLLER_0_WINS_AGAIN,
+                &BOTH_CUT_OFF,
             ],
         ),
         (
             ReadsKeyBeforeTermMarker,
             &[
-                &LEADS,
+                &CONTROLLER_0_LEADS,
                 &KEY_EXPIRED,
-                &CANCELS_WITHOUT_LEADER[..2],
-                &LEADS_AGAIN,
-                &["controller 1 reads a record for that"],
-                &SUCCESSOR_RESTARTS,
+                &CONTROLLER_1_SENDS_CANCELLATION[..2],
+                &CONTROLLER_0_WINS_AGAIN,
+                &["controller 1 reads a guard of the cancellation"],
+                &CONTROLLER_1_RESTARTS,
             ],
         ),
         (
             VotesDuringLeaderlessCancellation,
             &[
-                &LEADS,
+                &CONTROLLER_0_LEADS,
                 &["time passes", "controller 0 renews", "time passes"],
-                &CANCELS_WITHOUT_LEADER[..2],
-                &ALL_REFUSED,
+                &CONTROLLER_1_SENDS_CANCELLATION[..2],
+                &BOTH_CUT_OFF,
             ],
         ),
     ];
     let transfers: &[(Mistake, &[&[&str]])] = &[
         (
-            LeadsOnAfterTransfer,
-            &[&LEADS, &["controller 0 alone is refused"]],
+            KeepsLeadingAfterTransfer,
+            &[
+                &CONTROLLER_0_LEADS,
+                &["controller 0 is cut off from the state service"],
+            ],
         ),
-        // The transfer is late: its receiver has led, and has voted for the next leader, before it
-        // arrives.
+        // The transfer arrives late, after its receiver has led and then voted for the next leader.
         (
             SuccessorReleasesVotesBeforeRemoval,
             &[
-                &LEADS,
-                &["controller 0 alone is refused"],
-                &TRANSFERRED,
-                &["controller 0 is served again"],
+                &CONTROLLER_0_LEADS,
+                &["controller 0 is cut off from the state service"],
+                &TRANSFER_SENT,
+                &["controller 0 is reconnected to the state service"],
                 &KEY_EXPIRED,
-                &LEADS[..3],
-                &ALL_REFUSED,
+                &CONTROLLER_0_LEADS[..3],
+                &BOTH_CUT_OFF,
                 &["time passes"],
-                &EXTENDED_BY_VOTE,
-                &["time passes", "the lease of the key ends"],
-                &["controller 1 is served again"],
+                &CONTROLLER_1_VOTES,
+                &["time passes", "the leader key expires"],
+                &["controller 1 is reconnected to the state service"],
             ],
         ),
     ];
@@ -259,53 +282,73 @@
         };
         let from = |mistake| after(LeadershipWorld::new(controllers, mistake), &history);
         explore(from(None), 60_000).unwrap_or_else(|history| fail(&history));
-        let mut wrong = from(*mistake);
+        let mut start = from(*mistake);
         if *mistake == VotesDuringConfirmation {
-            // What the program as it is would not do.
-            wrong = after(wrong, &["controller 1 grants its vote"]);
+            // This step is possible only with the mistake.
+            start = after(start, &["controller 1 grants its vote"]);
         }
-        let found = explore(wrong, 600_000);
-        let found = found.expect_err(&format!("{mistake:?} is not found"));
+        let found = explore(start, 600_000);
+        let found = found.expect_err(&format!("the planted mistake {mistake:?} was not found"));
         println!("{mistake:?}: {found:?}");
     }
 }
 
-/// The model proves nothing if nobody in it can lead again at once.
+/// Guards against a model that holds only because no restarted controller can lead again
+/// immediately.
 #[test]
-fn a_leader_that_restarts_at_once_leads_at_once() {
+fn a_leader_that_restarts_can_lead_again_immediately() {
     let removed = [
-        "controller 0 removes that key",
-        "a transaction is carried out",
-        "controller 0 is answered",
+        "controller 0 removes its own leader key",
+        "a transaction is processed",
+        "controller 0 receives an outcome",
     ];
-    let history = [&LEADS[..], &FINDS_OWN_KEY, &removed, &LEADS[..3]].concat();
+    let history = [
+        &CONTROLLER_0_LEADS[..],
+        &CONTROLLER_0_FINDS_OWN_KEY,
+        &removed,
+        &CONTROLLER_0_LEADS[..3],
+    ]
+    .concat();
     let world = after(LeadershipWorld::new(2, Mistake::None), &history);
     assert_eq!((world.now, world.is_valid_leader(0)), (0, true));
     assert_eq!(world.controllers[0].process.number, 1);
 }
 
-/// A leadership transfer is worth nothing unless the successor is valid before the lease of the
-/// last leader would have expired, and unless a suspended leader votes for its successor.
+/// A leadership transfer is useful only if the successor is valid before the lease of the previous
+/// leader would have expired. A leader whose term is suspended must also vote for its successor.
 #[test]
-fn the_successor_of_a_transfer_leads_at_once_and_gets_votes() {
-    let taken_up = [
-        "controller 1 takes up a transfer",
-        "a transaction is carried out",
-        "controller 1 is answered",
+fn the_successor_of_a_transfer_leads_immediately_and_receives_votes() {
+    let accepted = [
+        "controller 1 accepts a leadership transfer",
+        "a transaction is processed",
+        "controller 1 receives an outcome",
     ];
-    let refused = ["controller 0 alone is refused"];
-    let history = [&LEADS[..], &refused, &TRANSFERRED, &taken_up, &OTHER_WINS].concat();
+    let cut_off = ["controller 0 is cut off from the state service"];
+    let history = [
+        &CONTROLLER_0_LEADS[..],
+        &cut_off,
+        &TRANSFER_SENT,
+        &accepted,
+        &CONTROLLER_1_WINS,
+    ]
+    .concat();
     let world = after(LeadershipWorld::new(2, Mistake::None), &history);
     assert_eq!((world.now, world.is_valid_leader(1)), (0, true));
     let mut expired = after(
         LeadershipWorld::new(2, Mistake::None),
-        &[&LEADS[..], &refused, &KEY_EXPIRED, &OTHER_WINS].concat(),
+        &[
+            &CONTROLLER_0_LEADS[..],
+            &cut_off,
+            &KEY_EXPIRED,
+            &CONTROLLER_1_WINS,
+        ]
+        .concat(),
     );
     assert!(
         expired.controllers[0].process.leadership.is_leading(),
         "suspended"
     );
     let newer = expired.leader_key.expect("controller 1 has won").version;
-    assert!(expired.vote(0, newer));
+    assert!(expired.answer_vote_request(0, newer));
     assert!(!expired.controllers[0].process.leadership.is_leading());
 }
--- a/crates/leadership/tests/model/mistakes.rs
+++ b/crates/leadership/tests/model/mistakes.rs
@@ -1,37 +1,39 @@
-//! Mistakes that can be planted in the model.
+//! The mistakes that can be planted in the model.
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Mistake {
     None,
     /// A process assumes that no earlier process of its controller has voted.
     RestartForgetsVotes,
-    /// Any key under its own name is removed, also one that landed after its process had ended.
+    /// A controller removes any leader key under its own name, even one that was written after the
+    /// process that requested it had ended.
     RemovesKeyOfUnconfirmedTerm,
-    /// The removal is not guarded by the key's version.
+    /// The removal of a leader key is not guarded by the key's version.
     RemovalIgnoresKeyVersion,
-    /// Votes are released when the removal is sent, not when it is acknowledged.
+    /// Votes are released when the removal of a leader key is sent, not when it is acknowledged.
     ReleasesVotesBeforeRemoval,
-    /// Votes are granted while a removal is in flight.
+    /// Votes are granted while the removal of a leader key is in flight.
     VotesDuringKeyRemoval,
     /// Votes are granted while a campaign is in flight.
     VotesDuringCampaign,
-    /// It is enough that one peer confirms that it does not lead.
+    /// Votes are released once a single peer has confirmed that it does not lead.
     ConfirmsWithOnePeer,
-    /// Votes are granted while the peers are asked for that confirmation.
+    /// Votes are granted while the peers are asked to confirm that they do not lead.
     VotesDuringConfirmation,
-    /// An earlier campaign of the process that lands late is taken for the current one.
+    /// An earlier campaign of the process that is committed late is treated as the current one.
     IgnoresCampaignNonce,
-    /// Votes make a leader valid again whose lease has expired.
+    /// Votes make a leader valid again after its lease has expired.
     VotesReviveExpiredLease,
-    /// A cancellation without a leader is guarded by the missing key alone. This program did so,
-    /// and granted no vote for three minutes, which a restart forgot.
+    /// A cancellation without a leader is guarded by the missing leader key alone. An earlier
+    /// version did this and granted no votes for three minutes instead, but a restart lost that
+    /// state.
     CancellationGuardedByMissingKeyOnly,
-    /// The term marker is read after the key was seen missing.
+    /// The term marker is read after the leader key was found missing, instead of before.
     ReadsKeyBeforeTermMarker,
     /// Votes are granted while a cancellation without a leader is in flight.
     VotesDuringLeaderlessCancellation,
-    /// A leader that transfers leadership leads on until it hears who is next.
-    LeadsOnAfterTransfer,
-    /// The successor releases its votes before the key is removed.
+    /// A leader that transfers leadership keeps leading until it learns of the next leader.
+    KeepsLeadingAfterTransfer,
+    /// The successor of a transfer releases its votes before the leader key is removed.
     SuccessorReleasesVotesBeforeRemoval,
 }
--- a/crates/leadership/tests/model/steps.rs
+++ b/crates/leadership/tests/model/steps.rs
@@ -1,12 +1,12 @@
-//! What may happen next in the model.
+//! The steps of the model.
 
 use copperfield_model_checker::Successors;
 
-use crate::common::{of, take_one};
+use crate::common::{controller_step, take_one};
 use crate::mistakes::Mistake;
 use crate::world::{
     Acknowledgement, Activity, CAMPAIGNS, HORIZON, LeadershipWorld, PeerSet, Transfer, VoteRequest,
-    Write, lease_end, token,
+    Write, lease_expiry, token,
 };
 
 type Steps<'a> = Successors<'a, LeadershipWorld>;
@@ -18,9 +18,9 @@
             w.now += 1;
             w.now <= HORIZON
         });
-        steps.add("the lease of the key ends", |w| {
-            let over = w.leader_key.is_some_and(|key| w.now >= key.lease_ends);
-            let ends = over && !w.faults.is_outage();
+        steps.add("the leader key expires", |w| {
+            let expired = w.leader_key.is_some_and(|key| w.now >= key.expires_at);
+            let ends = expired && !w.faults.is_outage();
             if ends {
                 w.leader_key = None;
                 w.last_version += 1;
@@ -29,27 +29,27 @@
         });
         steps.add("an outage begins", |w| w.faults.begin_outage());
         steps.add("the outage ends", |w| {
-            w.restart_all_leases();
+            w.restart_leases();
             w.faults.end_outage()
         });
     }
 
-    /// After an outage every lease has its full time again.
-    fn restart_all_leases(&mut self) {
-        let restarted = lease_end(self.now);
+    /// After an outage every lease starts again with its full TTL.
+    fn restart_leases(&mut self) {
+        let restarted = lease_expiry(self.now);
         if let Some(key) = &mut self.leader_key {
-            key.lease_ends = restarted;
+            key.expires_at = restarted;
         }
         for transaction in &mut self.in_flight {
-            if let Write::Campaign { lease_ends, .. } = &mut transaction.write {
-                *lease_ends = restarted;
+            if let Write::Campaign { expires_at, .. } = &mut transaction.write {
+                *expires_at = restarted;
             }
         }
     }
 
     pub fn add_transaction_steps(&self, steps: &mut Steps) {
         for i in 0..self.in_flight.len() {
-            steps.add("a transaction is carried out", |w| {
+            steps.add("a transaction is processed", |w| {
                 let transaction = w.in_flight.remove(i);
                 if w.faults.is_outage() {
                     return false;
@@ -62,7 +62,7 @@
                 w.acknowledgements.sort();
                 true
             });
-            steps.add("a transaction times out, and may still land", |w| {
+            steps.add("a transaction times out but may still be processed", |w| {
                 let before = w.controllers.clone();
                 w.acknowledge(w.in_flight[i], None);
                 before != w.controllers
@@ -73,12 +73,12 @@
     pub fn add_acknowledgement_steps(&self, steps: &mut Steps) {
         for (i, acknowledgement) in self.acknowledgements.iter().enumerate() {
             let c = acknowledgement.transaction.controller;
-            steps.add(of!(c, "is answered"), |w| {
+            steps.add(controller_step!(c, "receives an outcome"), |w| {
                 let ack = w.acknowledgements.remove(i);
                 w.acknowledge(ack.transaction, Some(ack.committed));
                 true
             });
-            steps.add("an answer is lost", |w| {
+            steps.add("an outcome is lost", |w| {
                 let ack = w.acknowledgements.remove(i);
                 w.acknowledge(ack.transaction, None);
                 true
@@ -87,12 +87,18 @@
     }
 }
 
-/// One controller's processes and elections.
+/// Processes and elections of one controller.
 impl LeadershipWorld {
     pub fn add_fault_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "alone is refused"), |w| w.faults.refuse(c));
-        steps.add(of!(c, "is served again"), |w| w.faults.serve_again(c));
-        steps.add(of!(c, "ends and restarts"), |w| {
+        steps.add(
+            controller_step!(c, "is cut off from the state service"),
+            |w| w.faults.cut_off(c),
+        );
+        steps.add(
+            controller_step!(c, "is reconnected to the state service"),
+            |w| w.faults.reconnect(c),
+        );
+        steps.add(controller_step!(c, "crashes and restarts"), |w| {
             let mut restarted = w.controllers[c].restarted(w.now);
             if w.mistake == Mistake::RestartForgetsVotes {
                 restarted.process.leadership.release_vote(0);
@@ -103,14 +109,14 @@
     }
 
     pub fn add_campaign_step(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "campaigns"), |w| w.campaign(c));
+        steps.add(controller_step!(c, "campaigns"), |w| w.campaign(c));
     }
 
     fn campaign(&mut self, c: usize) -> bool {
         let clock = self.clock(c);
         let controller = &mut self.controllers[c];
-        let may_write = self.faults.serves(c) && self.leader_key.is_none();
-        if !may_write || !controller.is_free() || !take_one(&mut self.campaigns_left) {
+        let may_write = self.faults.can_reach_store(c) && self.leader_key.is_none();
+        if !may_write || !controller.is_idle() || !take_one(&mut self.campaigns_left) {
             return false;
         }
         let leadership = &mut controller.process.leadership;
@@ -124,25 +130,27 @@
             sent_at: clock,
             nonce,
         };
-        let lease_ends = lease_end(self.now);
-        self.send(c, Write::Campaign { nonce, lease_ends });
+        let expires_at = lease_expiry(self.now);
+        self.send(c, Write::Campaign { nonce, expires_at });
         true
     }
 
     pub fn add_key_removal_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "sees its own name on the key"), |w| {
+        steps.add(controller_step!(c, "finds its own leader key"), |w| {
             w.find_own_key(c)
         });
-        steps.add(of!(c, "removes that key"), |w| w.remove_own_key(c));
+        steps.add(controller_step!(c, "removes its own leader key"), |w| {
+            w.remove_own_key(c)
+        });
     }
 
     fn find_own_key(&mut self, c: usize) -> bool {
-        let any = self.mistake == Mistake::RemovesKeyOfUnconfirmedTerm;
+        let accepts_any = self.mistake == Mistake::RemovesKeyOfUnconfirmedTerm;
         let confirmed_token = self.term_marker.confirmed_token;
         let own_key = self.leader_key.filter(|key| key.controller == c);
-        let own_key = own_key.filter(|key| any || key.version == confirmed_token);
+        let own_key = own_key.filter(|key| accepts_any || key.version == confirmed_token);
         let controller = &mut self.controllers[c];
-        let may_read = self.faults.serves(c) && controller.is_free();
+        let may_read = self.faults.can_reach_store(c) && controller.is_idle();
         let Some(key) = own_key.filter(|_| may_read) else {
             return false;
         };
@@ -168,34 +176,42 @@
     }
 
     pub fn add_confirmation_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "asks whether nobody leads"), |w| {
-            let clock = w.clock(c);
-            let controller = &mut w.controllers[c];
-            let free = controller.is_free();
-            let leadership = &mut controller.process.leadership;
-            leadership.begin_no_leader_confirmation();
-            controller.activity = Activity::NoLeaderConfirmation {
-                confirmed: PeerSet::EMPTY,
-            };
-            free && leadership.has_binding_vote(clock)
-        });
+        steps.add(
+            controller_step!(c, "begins a no-leader confirmation"),
+            |w| {
+                let clock = w.clock(c);
+                let controller = &mut w.controllers[c];
+                let idle = controller.is_idle();
+                let leadership = &mut controller.process.leadership;
+                leadership.begin_no_leader_confirmation();
+                controller.activity = Activity::NoLeaderConfirmation {
+                    confirmed: PeerSet::EMPTY,
+                };
+                idle && leadership.has_binding_vote(clock)
+            },
+        );
         for peer in self.peers(c) {
-            steps.add(of!(peer, "confirms not to lead"), |w| {
-                w.confirm_no_leader(peer, c)
-            });
+            steps.add(
+                controller_step!(peer, "confirms that it does not lead"),
+                |w| w.confirm_no_leader(peer, c),
+            );
         }
-        steps.add(of!(c, "asks in vain"), |w| {
-            let controller = &mut w.controllers[c];
-            let asks = matches!(controller.activity, Activity::NoLeaderConfirmation { .. });
-            if asks {
-                controller.process.leadership.end_no_leader_confirmation();
-                controller.activity = Activity::None;
-            }
-            asks
-        });
+        steps.add(
+            controller_step!(c, "abandons its no-leader confirmation"),
+            |w| {
+                let controller = &mut w.controllers[c];
+                let confirming =
+                    matches!(controller.activity, Activity::NoLeaderConfirmation { .. });
+                if confirming {
+                    controller.process.leadership.end_no_leader_confirmation();
+                    controller.activity = Activity::None;
+                }
+                confirming
+            },
+        );
     }
 
-    /// A peer confirms to the controller that asks that it does not lead.
+    /// A peer confirms to controller `c`, which asked for it, that it does not lead.
     fn confirm_no_leader(&mut self, peer: usize, c: usize) -> bool {
         let clock = self.clock(c);
         let peer_leads = self.controllers[peer].process.leadership.is_leading();
@@ -218,11 +234,11 @@
     }
 }
 
-/// A leader's term.
+/// The term of a leader.
 impl LeadershipWorld {
     pub fn add_term_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "renews"), |w| w.renew(c));
-        steps.add(of!(c, "steps down"), |w| {
+        steps.add(controller_step!(c, "renews"), |w| w.renew(c));
+        steps.add(controller_step!(c, "steps down"), |w| {
             let Some(version) = w.token(c) else {
                 return false;
             };
@@ -236,25 +252,29 @@
     }
 
     fn renew(&mut self, c: usize) -> bool {
-        let (clock, served) = (self.clock(c), self.faults.serves(c));
-        let prolonged = lease_end(self.now);
-        let Some(key) = self.leader_key.as_mut().filter(|_| served) else {
+        let (clock, reachable) = (self.clock(c), self.faults.can_reach_store(c));
+        let renewed_expiry = lease_expiry(self.now);
+        let Some(key) = self.leader_key.as_mut().filter(|_| reachable) else {
             return false;
         };
         let leadership = &mut self.controllers[c].process.leadership;
         let own = key.controller == c && leadership.leads(token(key.version));
-        let changes = key.lease_ends < prolonged || !leadership.is_valid(clock);
+        let changes = key.expires_at < renewed_expiry || !leadership.is_valid(clock);
         if own && changes {
-            key.lease_ends = prolonged;
+            key.expires_at = renewed_expiry;
             leadership.record_renewal(clock);
         }
         own && changes
     }
 
     pub fn add_vote_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "requests votes"), |w| w.request_votes(c));
+        steps.add(controller_step!(c, "requests votes"), |w| {
+            w.request_votes(c)
+        });
         for peer in self.peers(c) {
-            steps.add(of!(peer, "grants its vote"), |w| w.grant_vote(peer, c));
+            steps.add(controller_step!(peer, "grants its vote"), |w| {
+                w.grant_vote(peer, c)
+            });
         }
     }
 
@@ -270,10 +290,10 @@
         });
         let before = std::mem::replace(&mut controller.vote_request, request);
         let changes = before != controller.vote_request;
-        leads && may_extend && !self.faults.serves(c) && changes
+        leads && may_extend && !self.faults.can_reach_store(c) && changes
     }
 
-    /// A peer grants its vote to the leader that asks.
+    /// A peer grants its vote to leader `c`, which requested it.
     fn grant_vote(&mut self, peer: usize, c: usize) -> bool {
         let request = self.controllers[c].vote_request.as_ref();
         if request.is_none_or(|request| request.granted.contains(peer)) {
@@ -282,7 +302,7 @@
         let Some(leader) = self.token(c) else {
             return false;
         };
-        if !self.vote(peer, leader) {
+        if !self.answer_vote_request(peer, leader) {
             return false;
         }
         let all = PeerSet::peers_of(c, self.controllers.len());
@@ -306,22 +326,26 @@
 
     pub fn add_transfer_steps(&self, c: usize, steps: &mut Steps) {
         for peer in self.peers(c) {
-            let name = of!(peer, "is ready for transfer, and the leader steps down");
+            let name = controller_step!(peer, "is sent a leadership transfer");
             steps.add(name, |w| w.transfer(c, peer));
         }
-        steps.add(of!(c, "takes up a transfer"), |w| w.take_up_transfer(c));
+        steps.add(controller_step!(c, "accepts a leadership transfer"), |w| {
+            w.accept_transfer(c)
+        });
     }
 
     fn transfer(&mut self, c: usize, successor: usize) -> bool {
-        let ready = self.faults.serves(successor)
+        let ready = self.faults.can_reach_store(successor)
             && !self.controllers[successor].process.leadership.is_leading();
-        let key = self.leader_key.filter(|_| !self.faults.serves(c) && ready);
+        let key = self
+            .leader_key
+            .filter(|_| !self.faults.can_reach_store(c) && ready);
         let leader = &mut self.controllers[c];
         let leadership = &mut leader.process.leadership;
         let Some(key) = key.filter(|key| leadership.leads(token(key.version))) else {
             return false;
         };
-        if self.mistake != Mistake::LeadsOnAfterTransfer {
+        if self.mistake != Mistake::KeepsLeadingAfterTransfer {
             leadership.step_down(token(key.version));
             leader.vote_request = None;
         }
@@ -334,11 +358,11 @@
         new
     }
 
-    fn take_up_transfer(&mut self, c: usize) -> bool {
+    fn accept_transfer(&mut self, c: usize) -> bool {
         let clock = self.clock(c);
         let pending = self.transfers.iter().position(|transfer| transfer.to == c);
         let controller = &mut self.controllers[c];
-        let Some(pending) = pending.filter(|_| controller.is_free()) else {
+        let Some(pending) = pending.filter(|_| controller.is_idle()) else {
             return false;
         };
         let version = self.transfers.remove(pending).version;
@@ -358,16 +382,20 @@
 /// Cancellations without a leader.
 impl LeadershipWorld {
     pub fn add_cancellation_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(of!(c, "is asked to cancel"), |w| w.begin_cancellation(c));
-        steps.add(of!(c, "reads a record for that"), |w| {
-            w.read_for_cancellation(c)
-        });
+        steps.add(
+            controller_step!(c, "begins a cancellation without a leader"),
+            |w| w.begin_cancellation(c),
+        );
+        steps.add(
+            controller_step!(c, "reads a guard of the cancellation"),
+            |w| w.read_for_cancellation(c),
+        );
     }
 
     fn begin_cancellation(&mut self, c: usize) -> bool {
         let clock = self.clock(c);
         let controller = &mut self.controllers[c];
-        let may_begin = self.faults.serves(c) && controller.is_free();
+        let may_begin = self.faults.can_reach_store(c) && controller.is_idle();
         if !may_begin || !take_one(&mut self.cancellations_left) {
             return false;
         }
@@ -385,7 +413,8 @@
         true
     }
 
-    /// Reads the next of the two records; after both the cancellation is sent.
+    /// Reads the next of the two records that guard the cancellation, and sends the cancellation
+    /// after both were read.
     fn read_for_cancellation(&mut self, c: usize) -> bool {
         let key_first = self.mistake == Mistake::ReadsKeyBeforeTermMarker;
         let controller = &mut self.controllers[c];
@@ -396,11 +425,11 @@
         else {
             return false;
         };
-        if !self.faults.serves(c) {
+        if !self.faults.can_reach_store(c) {
             return false;
         }
-        let marker_is_next = marker.is_none() && (!key_first || *key_missing);
-        if marker_is_next {
+        let reads_marker = marker.is_none() && (!key_first || *key_missing);
+        if reads_marker {
             *marker = Some(self.term_marker.version);
         } else if !*key_missing {
             if self.leader_key.is_some() {
--- a/crates/leadership/tests/model/world.rs
+++ b/crates/leadership/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! Two or three controllers and one state service.
+//! The state of the model: two or three controllers and one state service.
 
 use copperfield_leadership::{FencingToken, StoreReachability};
 use copperfield_model_checker::{Successors, World};
@@ -6,45 +6,47 @@
 use crate::common::{Faults, Process, TTL};
 use crate::mistakes::Mistake;
 
-/// When a history ends.
+/// The time at which a history ends.
 pub const HORIZON: u64 = 9;
-/// How many campaigns there are in one history.
+/// Maximum number of campaigns in one history.
 pub const CAMPAIGNS: u8 = 4;
 
 /// The leader key at the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaderKey {
     pub controller: usize,
-    /// Drawn anew for each campaign.
+    /// Identifies the campaign that wrote the key.
     pub nonce: u8,
     pub version: u8,
-    pub lease_ends: u64,
+    pub expires_at: u64,
 }
 
-/// The record that every election changes.
+/// The record that every election updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct TermMarker {
-    /// 0: it is missing, as nobody has ever led.
+    /// 0 if the record does not exist because there has never been a leader.
     pub version: u8,
-    /// The last token whose leader knew that it led.
+    /// The token of the last election, once its leader has confirmed that it knows it won;
+    /// otherwise 0.
     pub confirmed_token: u8,
 }
 
-/// What a transaction writes, and by what it is guarded.
+/// The contents and guards of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Write {
-    /// The leader key, on a lease that ends then. Guarded by the missing key.
-    Campaign { nonce: u8, lease_ends: u64 },
-    /// The confirmation of a term. Guarded by the key's version.
+    /// Writes the leader key, on a lease that expires at `expires_at`. Guarded by the absence
+    /// of the key.
+    Campaign { nonce: u8, expires_at: u64 },
+    /// Confirms a term. Guarded by the version of the leader key.
     Confirm { version: u8 },
-    /// The removal of a leader key. Guarded by its version.
+    /// Removes a leader key. Guarded by its version.
     RemoveKey { version: u8 },
-    /// A cancellation without a leader. Guarded by the missing key and by the version of the
-    /// term marker.
+    /// Cancels a job without a leader. Guarded by the absence of the leader key and by the version
+    /// of the term marker.
     Cancel { marker: u8 },
 }
 
-/// A transaction on its way. It goes on without the process that sent it.
+/// A transaction in flight. It may be processed even after the process that sent it has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Transaction {
     pub controller: usize,
@@ -52,38 +54,38 @@
     pub write: Write,
 }
 
-/// What became of a transaction; its sender does not know it yet.
+/// The outcome of a transaction, on its way to the sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Acknowledgement {
     pub transaction: Transaction,
     pub committed: bool,
 }
 
-/// What a process does besides leading.
+/// An activity of a process other than leading.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Activity {
     None,
-    /// Waits for its campaign, which it sent then.
+    /// Waits for the outcome of a campaign, sent at `sent_at` on the clock of the process.
     Campaign {
         sent_at: u64,
         nonce: u8,
     },
-    /// Has seen a key under its own name, and that its leader knew that it led.
+    /// Has read a leader key under its own name whose term is confirmed.
     FoundOwnKey {
         version: u8,
     },
-    /// Waits for the removal of such a key.
+    /// Waits for the outcome of the removal of a leader key.
     KeyRemoval,
-    /// Asks its peers whether they lead; those that have confirmed that they do not.
+    /// Asks its peers to confirm that they do not lead; `confirmed` are those that have.
     NoLeaderConfirmation {
         confirmed: PeerSet,
     },
-    /// Reads the two records that guard a cancellation.
+    /// Reads the two records that guard a cancellation without a leader.
     CancellationReads {
         marker: Option<u8>,
         key_missing: bool,
     },
-    /// Waits for a cancellation without a leader.
+    /// Waits for the outcome of a cancellation without a leader.
     Cancellation,
 }
 
@@ -94,12 +96,12 @@
 impl PeerSet {
     pub const EMPTY: Self = Self(0);
 
-    /// All controllers but one.
+    /// All controllers except `controller`.
     pub fn peers_of(controller: usize, controllers: usize) -> Self {
         Self((1 << controllers) - 1 - (1 << controller))
     }
 
-    /// Whether the controller was not in the set before.
+    /// Adds a controller. Returns whether it was not in the set before.
     pub fn insert(&mut self, controller: usize) -> bool {
         let new = !self.contains(controller);
         self.0 |= 1 << controller;
@@ -111,7 +113,7 @@
     }
 }
 
-/// The votes for the extension of a leader's lease.
+/// A leader's request for votes to extend its lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct VoteRequest {
     pub requested_at: u64,
@@ -138,17 +140,17 @@
         Self::new(self.process.restarted(now))
     }
 
-    /// Whether the process neither leads nor does anything else.
-    pub fn is_free(&self) -> bool {
+    /// Whether the process neither leads nor has another activity.
+    pub fn is_idle(&self) -> bool {
         !self.process.leadership.is_leading() && self.activity == Activity::None
     }
 }
 
-/// A message to a controller from a leader that has stepped down in its favour.
+/// A message from a leader that has stepped down, which transfers leadership to another controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Transfer {
     pub to: usize,
-    /// The version of the leader's key.
+    /// The version of the leader key of the leader that stepped down.
     pub version: u8,
 }
 
@@ -159,15 +161,15 @@
     pub controllers: Vec<Controller>,
     pub leader_key: Option<LeaderKey>,
     pub term_marker: TermMarker,
-    /// The last version that the state service gave.
+    /// The last version that the state service assigned.
     pub last_version: u8,
-    /// In their order, so that equal worlds are equal.
+    /// Sorted, so that the order of sending does not distinguish states.
     pub in_flight: Vec<Transaction>,
     pub transfers: Vec<Transfer>,
-    /// Of transactions that were committed or refused, in their order.
+    /// Outcomes on their way to the senders, sorted.
     pub acknowledgements: Vec<Acknowledgement>,
-    /// A cancellation without a leader was stored while somebody was valid.
-    pub cancelled_beside_leader: bool,
+    /// A cancellation without a leader was stored while a leader was valid.
+    pub cancelled_during_valid_term: bool,
     pub faults: Faults,
     pub campaigns_left: u8,
     pub cancellations_left: u8,
@@ -188,7 +190,7 @@
             in_flight: Vec::new(),
             transfers: Vec::new(),
             acknowledgements: Vec::new(),
-            cancelled_beside_leader: false,
+            cancelled_during_valid_term: false,
             faults: Faults::new(controllers, 3, 3),
             campaigns_left: CAMPAIGNS,
             cancellations_left: 1,
@@ -223,7 +225,7 @@
         self.in_flight.sort();
     }
 
-    /// The state service commits a transaction if its guards hold; whether it did.
+    /// Commits a transaction if its guards hold. Returns whether it was committed.
     pub fn commit(&mut self, transaction: Transaction) -> bool {
         if !self.guards_hold(transaction.write) {
             return false;
@@ -231,12 +233,12 @@
         self.last_version += 1;
         let version = self.last_version;
         match transaction.write {
-            Write::Campaign { nonce, lease_ends } => {
+            Write::Campaign { nonce, expires_at } => {
                 self.leader_key = Some(LeaderKey {
                     controller: transaction.controller,
                     nonce,
                     version,
-                    lease_ends,
+                    expires_at,
                 });
                 self.set_term_marker(version, 0);
             }
@@ -244,7 +246,7 @@
             Write::RemoveKey { .. } => self.leader_key = None,
             Write::Cancel { .. } => {
                 let anybody_valid = (0..self.controllers.len()).any(|c| self.is_valid_leader(c));
-                self.cancelled_beside_leader |= anybody_valid;
+                self.cancelled_during_valid_term |= anybody_valid;
             }
         }
         true
@@ -253,14 +255,14 @@
     fn guards_hold(&self, write: Write) -> bool {
         let key_version = self.leader_key.map(|key| key.version);
         match write {
-            Write::Campaign { lease_ends, .. } => key_version.is_none() && self.now < lease_ends,
+            Write::Campaign { expires_at, .. } => key_version.is_none() && self.now < expires_at,
             Write::Confirm { version } => key_version == Some(version),
             Write::RemoveKey { version } => {
                 key_version == Some(version) || self.mistake == Mistake::RemovalIgnoresKeyVersion
             }
             Write::Cancel { marker } => {
-                let key_alone = self.mistake == Mistake::CancellationGuardedByMissingKeyOnly;
-                key_version.is_none() && (key_alone || marker == self.term_marker.version)
+                let key_only = self.mistake == Mistake::CancellationGuardedByMissingKeyOnly;
+                key_version.is_none() && (key_only || marker == self.term_marker.version)
             }
         }
     }
@@ -272,9 +274,9 @@
         };
     }
 
-    /// The sender learns the outcome of its transaction; `None`: that it is unknown.
+    /// Reports the outcome of a transaction to its sender; `None` if the outcome is unknown.
     pub fn acknowledge(&mut self, transaction: Transaction, committed: Option<bool>) {
-        let (clock, mistake) = (self.clock_at(transaction), self.mistake);
+        let (clock, mistake) = (self.sender_clock(transaction), self.mistake);
         let Some(clock) = clock else {
             return;
         };
@@ -295,26 +297,30 @@
                 }
                 controller.activity = Activity::None;
             }
-            (&Activity::Campaign { sent_at, nonce }, Write::Campaign { nonce: of, .. })
-                if nonce == of || mistake == Mistake::IgnoresCampaignNonce =>
-            {
+            (
+                &Activity::Campaign { sent_at, nonce },
+                Write::Campaign {
+                    nonce: acknowledged,
+                    ..
+                },
+            ) if nonce == acknowledged || mistake == Mistake::IgnoresCampaignNonce => {
                 leadership.end_campaign();
                 controller.activity = Activity::None;
                 if committed.is_some() {
-                    self.read_back(c, of, sent_at);
+                    self.read_back(c, acknowledged, sent_at);
                 }
             }
             _ => {}
         }
     }
 
-    /// The clock of the process that sent a transaction, if it has not ended.
-    fn clock_at(&self, transaction: Transaction) -> Option<u64> {
+    /// The time on the clock of the process that sent a transaction, if that process still runs.
+    fn sender_clock(&self, transaction: Transaction) -> Option<u64> {
         let process = &self.controllers[transaction.controller].process;
         (process.number == transaction.process).then(|| process.clock(self.now))
     }
 
-    /// The key says who has won a campaign.
+    /// Reads the leader key back to determine whether the campaign with this nonce was won.
     fn read_back(&mut self, c: usize, nonce: u8, sent_at: u64) {
         let own = |key: &LeaderKey| key.controller == c && key.nonce == nonce;
         let Some(LeaderKey { version, .. }) = self.leader_key.filter(own) else {
@@ -325,9 +331,9 @@
         self.send(c, Write::Confirm { version });
     }
 
-    /// A controller answers a leader that asks for its vote; whether it grants it.
-    pub fn vote(&mut self, c: usize, leader: u8) -> bool {
-        let store = if self.faults.serves(c) {
+    /// A controller answers the vote request of a leader. Returns whether it grants its vote.
+    pub fn answer_vote_request(&mut self, c: usize, leader: u8) -> bool {
+        let store = if self.faults.can_reach_store(c) {
             StoreReachability::Reachable
         } else {
             StoreReachability::Unreachable
@@ -337,8 +343,8 @@
             process, activity, ..
         } = &mut self.controllers[c];
         let leadership = &mut process.leadership;
-        // The planted mistakes leave out, for the time of a vote, what forbids it.
-        let (confirms, campaigns) = match (activity, self.mistake) {
+        // Some planted mistakes suspend, during the vote, an activity that forbids it.
+        let (suspend_confirmation, suspend_campaign) = match (activity, self.mistake) {
             (Activity::KeyRemoval, Mistake::VotesDuringKeyRemoval) => (true, false),
             (Activity::Campaign { .. }, Mistake::VotesDuringCampaign) => (false, true),
             (Activity::NoLeaderConfirmation { .. }, Mistake::VotesDuringConfirmation) => {
@@ -346,17 +352,17 @@
             }
             _ => (false, false),
         };
-        if confirms {
+        if suspend_confirmation {
             leadership.end_no_leader_confirmation();
         }
-        if campaigns {
+        if suspend_campaign {
             leadership.end_campaign();
         }
         let vote = leadership.vote_to_extend_lease(clock, store, token(leader));
-        if confirms {
+        if suspend_confirmation {
             leadership.begin_no_leader_confirmation();
         }
-        if campaigns {
+        if suspend_campaign {
             leadership.begin_campaign();
         }
         vote.is_granted()
@@ -389,11 +395,11 @@
 
     fn broken(&self) -> bool {
         let valid = (0..self.controllers.len()).filter(|&c| self.is_valid_leader(c));
-        valid.count() > 1 || self.cancelled_beside_leader
+        valid.count() > 1 || self.cancelled_during_valid_term
     }
 }
 
-/// For how long the lease of a new key is asked for.
-pub fn lease_end(now: u64) -> u64 {
+/// When a lease expires that is requested or renewed at `now`.
+pub fn lease_expiry(now: u64) -> u64 {
     now + TTL
 }
