--- a/crates/fencing/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -12,7 +12,7 @@
 //! found.
 
 use copperfield_fencing::{FencedEntry, FencingRecord, PageWrite, StoredPage, timestamp};
-use copperfield_model_checker::{after, effort, explore, walk};
+use copperfield_model_checker::{effort_factor, explore, replay, walk};
 
 /// Duration of a step in milliseconds. All times are multiples of it, except for what `timestamp`
 /// adds.
@@ -556,8 +556,8 @@
     ),
 ];
 
-impl copperfield_model_checker::World for World {
-    fn next(&self) -> Vec<(&'static str, World)> {
+impl copperfield_model_checker::ModelState for World {
+    fn successors(&self) -> Vec<(&'static str, World)> {
         let after_step = |&(name, step): &Step| {
             let mut world = self.clone();
             step(&mut world).then_some((name, world))
@@ -565,7 +565,7 @@
         STEPS.iter().filter_map(after_step).collect()
     }
 
-    fn broken(&self) -> bool {
+    fn violates_property(&self) -> bool {
         let expired = self.leader.as_ref().is_some_and(|l| l.expired_worker);
         expired && self.holds_tasks && self.now < self.leased_from + WORKER_LEASE_MS
     }
@@ -573,12 +573,12 @@
 
 #[test]
 fn a_worker_lease_considered_expired_has_expired() {
-    let states = 150_000 * effort();
+    let states = 150_000 * effort_factor();
     let depth =
         explore(World::new(Mistake::None), states as usize).unwrap_or_else(|h| panic!("{h:#?}"));
     println!("{states} states, all histories of up to {depth} steps");
     assert!(depth >= 8, "explored to a depth of {depth} only");
-    let walks = 60_000 * effort();
+    let walks = 60_000 * effort_factor();
     let steps =
         walk(&World::new(Mistake::None), walks, usize::MAX).unwrap_or_else(|h| panic!("{h:#?}"));
     println!("{walks} random histories of {steps} steps");
@@ -632,7 +632,7 @@
         (Mistake::RestartForgetsVotes, &restarts[..]),
     ] {
         let history = [&record_stored[..], history].concat();
-        let search = |mistake: Mistake| explore(after(World::new(mistake), &history), 100_000);
+        let search = |mistake: Mistake| explore(replay(World::new(mistake), &history), 100_000);
         search(Mistake::None).unwrap_or_else(|h| panic!("{h:#?}"));
         let found = search(mistake).expect_err("the planted mistake was not found");
         println!("{mistake:?}: {found:?}");
--- a/crates/leadership/tests/cancellation/main.rs
+++ b/crates/leadership/tests/cancellation/main.rs
@@ -13,7 +13,7 @@
 mod steps;
 mod world;
 
-use copperfield_model_checker::{after, effort, explore, walk};
+use copperfield_model_checker::{effort_factor, explore, replay, walk};
 
 use common::{assert_holds_in_all_histories, assert_holds_in_random_histories, fail};
 use world::{CancellationWorld, Mistake};
@@ -22,8 +22,8 @@
 fn a_job_reported_as_cancelled_ends_in_time() {
     for mistake in [Mistake::None, Mistake::VotesThoughStoreReachable] {
         let start = CancellationWorld::new(mistake);
-        assert_holds_in_all_histories(start.clone(), 200_000 * effort(), 7);
-        assert_holds_in_random_histories(&start, 40_000 * effort(), 80);
+        assert_holds_in_all_histories(start.clone(), 200_000 * effort_factor(), 7);
+        assert_holds_in_random_histories(&start, 40_000 * effort_factor(), 80);
     }
 }
 
@@ -61,12 +61,12 @@
     // Random histories do not reach this case. Without the mistake the last step is not possible.
     let without_extension = &CANCELLED_WITHOUT_LEADER[..7];
     explore(
-        after(CancellationWorld::new(None), without_extension),
+        replay(CancellationWorld::new(None), without_extension),
         60_000,
     )
     .unwrap_or_else(|history| fail(&history));
     let revived = CancellationWorld::new(VotesReviveExpiredLease);
-    let revived = after(revived, &CANCELLED_WITHOUT_LEADER);
+    let revived = replay(revived, &CANCELLED_WITHOUT_LEADER);
     let found = explore(revived, 600_000).expect_err("the planted mistake was not found");
     println!("VotesReviveExpiredLease: {found:?}");
 }
--- a/crates/leadership/tests/cancellation/world.rs
+++ b/crates/leadership/tests/cancellation/world.rs
@@ -1,7 +1,7 @@
 //! The state of the model: two controllers, one state service, and one worker with one task.
 
 use copperfield_leadership::FencingToken;
-use copperfield_model_checker::{Successors, World};
+use copperfield_model_checker::{ModelState, Successors};
 
 use crate::common::{Faults, Process, TTL};
 
@@ -274,9 +274,9 @@
     }
 }
 
-impl World for CancellationWorld {
-    fn next(&self) -> Vec<(&'static str, Self)> {
-        let mut steps = Successors::of(self);
+impl ModelState for CancellationWorld {
+    fn successors(&self) -> Vec<(&'static str, Self)> {
+        let mut steps = Successors::new(self);
         self.add_service_steps(&mut steps);
         self.add_transaction_steps(&mut steps);
         for c in 0..self.controllers.len() {
@@ -290,7 +290,7 @@
         steps.into_vec()
     }
 
-    fn broken(&self) -> bool {
+    fn violates_property(&self) -> bool {
         let must_end_by = |reported_at| reported_at + SHARD_LEASE + WORKER_LEASE;
         self.worker.runs_task
             && self
--- a/crates/leadership/tests/common/mod.rs
+++ b/crates/leadership/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! helpers to name steps and explore histories.
 
 use copperfield_leadership::Leadership;
-use copperfield_model_checker::{History, World, explore, walk};
+use copperfield_model_checker::{History, ModelState, explore, walk};
 
 /// How many steps of a model a controller's lease or vote lasts. There is no margin, as the
 /// modelled state service never ends a lease early.
@@ -116,21 +116,21 @@
     any
 }
 
-/// Explores all histories until `states` states were seen. Fails if a history breaks the property,
+/// Explores all histories until `states` states were seen. Fails if a history violates the property,
 /// or if the depth to which all histories were explored is less than `least_depth`.
-pub fn assert_holds_in_all_histories<W: World>(start: W, states: u64, least_depth: usize) {
+pub fn assert_holds_in_all_histories<S: ModelState>(start: S, states: u64, least_depth: usize) {
     let depth = explore(start, states as usize).unwrap_or_else(|history| fail(&history));
     println!("{states} states, all histories of up to {depth} steps");
     assert!(depth >= least_depth, "explored to a depth of {depth} only");
 }
 
-/// Fails if one of `walks` random histories of up to `limit` steps breaks the property.
-pub fn assert_holds_in_random_histories<W: World>(start: &W, walks: u64, limit: usize) {
+/// Fails if one of `walks` random histories of up to `limit` steps violates the property.
+pub fn assert_holds_in_random_histories<S: ModelState>(start: &S, walks: u64, limit: usize) {
     let steps = walk(start, walks, limit).unwrap_or_else(|history| fail(&history));
     println!("{walks} random histories of {steps} steps");
 }
 
-/// Fails and prints a history that breaks the property.
+/// Fails and prints a history that violates the property.
 pub fn fail(history: &History) -> ! {
     panic!("{history:#?}")
 }
--- a/crates/leadership/tests/model/main.rs
+++ b/crates/leadership/tests/model/main.rs
@@ -15,7 +15,7 @@
 mod steps;
 mod world;
 
-use copperfield_model_checker::{after, effort, explore};
+use copperfield_model_checker::{effort_factor, explore, replay};
 
 use common::{assert_holds_in_all_histories, assert_holds_in_random_histories, fail};
 use mistakes::Mistake;
@@ -26,8 +26,8 @@
     for (controllers, least_depth) in [(2, 7), (3, 5)] {
         println!("{controllers} controllers:");
         let start = LeadershipWorld::new(controllers, Mistake::None);
-        assert_holds_in_all_histories(start.clone(), 250_000 * effort(), least_depth);
-        assert_holds_in_random_histories(&start, 60_000 * effort(), 60);
+        assert_holds_in_all_histories(start.clone(), 250_000 * effort_factor(), least_depth);
+        assert_holds_in_random_histories(&start, 60_000 * effort_factor(), 60);
     }
 }
 
@@ -280,12 +280,12 @@
             ConfirmsWithOnePeer | VotesDuringConfirmation => 3,
             _ => 2,
         };
-        let from = |mistake| after(LeadershipWorld::new(controllers, mistake), &history);
+        let from = |mistake| replay(LeadershipWorld::new(controllers, mistake), &history);
         explore(from(None), 60_000).unwrap_or_else(|history| fail(&history));
         let mut start = from(*mistake);
         if *mistake == VotesDuringConfirmation {
             // This step is possible only with the mistake.
-            start = after(start, &["controller 1 grants its vote"]);
+            start = replay(start, &["controller 1 grants its vote"]);
         }
         let found = explore(start, 600_000);
         let found = found.expect_err(&format!("the planted mistake {mistake:?} was not found"));
@@ -309,7 +309,7 @@
         &CONTROLLER_0_LEADS[..3],
     ]
     .concat();
-    let world = after(LeadershipWorld::new(2, Mistake::None), &history);
+    let world = replay(LeadershipWorld::new(2, Mistake::None), &history);
     assert_eq!((world.now, world.is_valid_leader(0)), (0, true));
     assert_eq!(world.controllers[0].process.number, 1);
 }
@@ -332,9 +332,9 @@
         &CONTROLLER_1_WINS,
     ]
     .concat();
-    let world = after(LeadershipWorld::new(2, Mistake::None), &history);
+    let world = replay(LeadershipWorld::new(2, Mistake::None), &history);
     assert_eq!((world.now, world.is_valid_leader(1)), (0, true));
-    let mut expired = after(
+    let mut expired = replay(
         LeadershipWorld::new(2, Mistake::None),
         &[
             &CONTROLLER_0_LEADS[..],
