--- a/crates/fencing/tests/model.rs
+++ b/crates/fencing/tests/model.rs
@@ -100,7 +100,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct World {
+struct FencingModel {
     mistake: Mistake,
     now: u64,
     /// The time from which the worker counts its lease.
@@ -142,7 +142,7 @@
     any
 }
 
-impl World {
+impl FencingModel {
     fn new(mistake: Mistake) -> Self {
         Self {
             mistake,
@@ -511,56 +511,59 @@
 
 /// A step of the model: its name, and a function that takes it or returns false if it is not
 /// possible.
-type Step = (&'static str, fn(&mut World) -> bool);
+type Step = (&'static str, fn(&mut FencingModel) -> bool);
 
 /// Random walks choose steps by position, so the order determines which histories a seed covers.
 const STEPS: [Step; 21] = [
-    ("time passes", World::pass_time),
-    ("the leader renews", World::renew),
-    ("controller 0 is elected", |w| w.campaign(0)),
-    ("controller 1 is elected", |w| w.campaign(1)),
-    ("the leader crashes", World::crash_leader),
-    ("the leader resigns", World::resign),
-    ("the follower restarts", World::restart_follower),
-    ("an outage begins", World::begin_outage),
-    ("the outage ends", World::end_outage),
+    ("time passes", FencingModel::pass_time),
+    ("the leader renews", FencingModel::renew),
+    ("controller 0 is elected", |m| m.campaign(0)),
+    ("controller 1 is elected", |m| m.campaign(1)),
+    ("the leader crashes", FencingModel::crash_leader),
+    ("the leader resigns", FencingModel::resign),
+    ("the follower restarts", FencingModel::restart_follower),
+    ("an outage begins", FencingModel::begin_outage),
+    ("the outage ends", FencingModel::end_outage),
     (
         "the follower votes for a lease extension",
-        World::extend_lease,
+        FencingModel::extend_lease,
     ),
-    ("a heartbeat arrives", World::receive_heartbeat),
-    ("the answer arrives", World::receive_answer),
+    ("a heartbeat arrives", FencingModel::receive_heartbeat),
+    ("the answer arrives", FencingModel::receive_answer),
     (
         "the worker is added to the record",
-        World::add_worker_to_record,
+        FencingModel::add_worker_to_record,
     ),
-    ("a write is sent", |w| w.send_write(0)),
+    ("a write is sent", |m| m.send_write(0)),
     (
         "a write is sent after a pause",
-        World::send_write_after_pause,
+        FencingModel::send_write_after_pause,
     ),
-    ("the write is processed", World::process_write),
+    ("the write is processed", FencingModel::process_write),
     (
         "the acknowledgement arrives",
-        World::receive_acknowledgement,
+        FencingModel::receive_acknowledgement,
+    ),
+    ("the write times out", FencingModel::time_out_write),
+    (
+        "the acknowledgement is lost",
+        FencingModel::lose_acknowledgement,
     ),
-    ("the write times out", World::time_out_write),
-    ("the acknowledgement is lost", World::lose_acknowledgement),
     (
         "an abandoned write is processed",
-        World::process_abandoned_write,
+        FencingModel::process_abandoned_write,
     ),
     (
         "the worker's lease is considered expired",
-        World::expire_worker_lease,
+        FencingModel::expire_worker_lease,
     ),
 ];
 
-impl copperfield_model_checker::ModelState for World {
-    fn successors(&self) -> Vec<(&'static str, World)> {
+impl copperfield_model_checker::ModelState for FencingModel {
+    fn successors(&self) -> Vec<(&'static str, FencingModel)> {
         let after_step = |&(name, step): &Step| {
-            let mut world = self.clone();
-            step(&mut world).then_some((name, world))
+            let mut model = self.clone();
+            step(&mut model).then_some((name, model))
         };
         STEPS.iter().filter_map(after_step).collect()
     }
@@ -574,13 +577,13 @@
 #[test]
 fn a_worker_lease_considered_expired_has_expired() {
     let states = 150_000 * effort_factor();
-    let depth =
-        explore(World::new(Mistake::None), states as usize).unwrap_or_else(|h| panic!("{h:#?}"));
+    let depth = explore(FencingModel::new(Mistake::None), states as usize)
+        .unwrap_or_else(|h| panic!("{h:#?}"));
     println!("{states} states, all histories of up to {depth} steps");
     assert!(depth >= 8, "explored to a depth of {depth} only");
     let walks = 60_000 * effort_factor();
-    let steps =
-        walk(&World::new(Mistake::None), walks, usize::MAX).unwrap_or_else(|h| panic!("{h:#?}"));
+    let steps = walk(&FencingModel::new(Mistake::None), walks, usize::MAX)
+        .unwrap_or_else(|h| panic!("{h:#?}"));
     println!("{walks} random histories of {steps} steps");
 }
 
@@ -596,7 +599,7 @@
         WritesNotGuardedByLeaderKey,
         ReadsWallClockBeforeAge,
     ] {
-        let found = walk(&World::new(mistake), 400_000, usize::MAX);
+        let found = walk(&FencingModel::new(mistake), 400_000, usize::MAX);
         let history = found.expect_err(&format!("the planted mistake {mistake:?} was not found"));
         println!("{mistake:?}: {} steps", history.len());
     }
@@ -632,7 +635,8 @@
         (Mistake::RestartForgetsVotes, &restarts[..]),
     ] {
         let history = [&record_stored[..], history].concat();
-        let search = |mistake: Mistake| explore(replay(World::new(mistake), &history), 100_000);
+        let search =
+            |mistake: Mistake| explore(replay(FencingModel::new(mistake), &history), 100_000);
         search(Mistake::None).unwrap_or_else(|h| panic!("{h:#?}"));
         let found = search(mistake).expect_err("the planted mistake was not found");
         println!("{mistake:?}: {found:?}");
--- a/crates/leadership/tests/cancellation/main.rs
+++ b/crates/leadership/tests/cancellation/main.rs
@@ -10,18 +10,18 @@
 
 #[path = "../common/mod.rs"]
 mod common;
+mod state;
 mod steps;
-mod world;
 
 use copperfield_model_checker::{effort_factor, explore, replay, walk};
 
 use common::{assert_holds_in_all_histories, assert_holds_in_random_histories, fail};
-use world::{CancellationWorld, Mistake};
+use state::{CancellationModel, Mistake};
 
 #[test]
 fn a_job_reported_as_cancelled_ends_in_time() {
     for mistake in [Mistake::None, Mistake::VotesThoughStoreReachable] {
-        let start = CancellationWorld::new(mistake);
+        let start = CancellationModel::new(mistake);
         assert_holds_in_all_histories(start.clone(), 200_000 * effort_factor(), 7);
         assert_holds_in_random_histories(&start, 40_000 * effort_factor(), 80);
     }
@@ -54,18 +54,18 @@
         OvertakenHeartbeatGetsNoStop,
         CancellationNotGuarded,
     ] {
-        let found = walk(&CancellationWorld::new(mistake), 400_000, 80);
+        let found = walk(&CancellationModel::new(mistake), 400_000, 80);
         let found = found.expect_err(&format!("the planted mistake {mistake:?} was not found"));
         println!("{mistake:?}: {found:?}");
     }
     // Random histories do not reach this case. Without the mistake the last step is not possible.
     let without_extension = &CANCELLED_WITHOUT_LEADER[..7];
     explore(
-        replay(CancellationWorld::new(None), without_extension),
+        replay(CancellationModel::new(None), without_extension),
         60_000,
     )
     .unwrap_or_else(|history| fail(&history));
-    let revived = CancellationWorld::new(VotesReviveExpiredLease);
+    let revived = CancellationModel::new(VotesReviveExpiredLease);
     let revived = replay(revived, &CANCELLED_WITHOUT_LEADER);
     let found = explore(revived, 600_000).expect_err("the planted mistake was not found");
     println!("VotesReviveExpiredLease: {found:?}");
--- a/crates/leadership/tests/cancellation/world.rs
+++ b/crates/leadership/tests/cancellation/state.rs
@@ -142,7 +142,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct CancellationWorld {
+pub struct CancellationModel {
     pub mistake: Mistake,
     pub now: u64,
     pub controllers: Vec<Controller>,
@@ -163,7 +163,7 @@
     pub faults: Faults,
 }
 
-impl CancellationWorld {
+impl CancellationModel {
     /// Controller 0 leads and knows that the job is running on the worker.
     pub fn new(mistake: Mistake) -> Self {
         let mut controllers = vec![
@@ -274,7 +274,7 @@
     }
 }
 
-impl ModelState for CancellationWorld {
+impl ModelState for CancellationModel {
     fn successors(&self) -> Vec<(&'static str, Self)> {
         let mut steps = Successors::new(self);
         self.add_service_steps(&mut steps);
--- a/crates/leadership/tests/cancellation/steps.rs
+++ b/crates/leadership/tests/cancellation/steps.rs
@@ -4,61 +4,61 @@
 use copperfield_model_checker::Successors;
 
 use crate::common::{TTL, controller_step};
-use crate::world::{
-    CancellationWorld, DirectMessage, Guard, HORIZON, JobView, LeaderKey, Mistake, ShardLease,
+use crate::state::{
+    CancellationModel, DirectMessage, Guard, HORIZON, JobView, LeaderKey, Mistake, ShardLease,
     Transaction,
 };
 
-type Steps<'a> = Successors<'a, CancellationWorld>;
+type Steps<'a> = Successors<'a, CancellationModel>;
 
-impl CancellationWorld {
+impl CancellationModel {
     pub fn add_service_steps(&self, steps: &mut Steps) {
-        steps.add("time passes", |w| {
-            w.now += 1;
-            w.expire_worker_lease();
-            w.now <= HORIZON
+        steps.add("time passes", |m| {
+            m.now += 1;
+            m.expire_worker_lease();
+            m.now <= HORIZON
         });
-        steps.add("the leader key expires", |w| {
-            let expired = w.leader_key.is_some_and(|key| w.now >= key.expires_at);
-            let ends = expired && !w.faults.is_outage();
-            w.leader_key = w.leader_key.filter(|_| !ends);
+        steps.add("the leader key expires", |m| {
+            let expired = m.leader_key.is_some_and(|key| m.now >= key.expires_at);
+            let ends = expired && !m.faults.is_outage();
+            m.leader_key = m.leader_key.filter(|_| !ends);
             ends
         });
-        steps.add("an outage begins", |w| w.faults.begin_outage());
-        steps.add("the outage ends", |w| {
-            if let Some(key) = &mut w.leader_key {
-                key.expires_at = w.now + TTL;
+        steps.add("an outage begins", |m| m.faults.begin_outage());
+        steps.add("the outage ends", |m| {
+            if let Some(key) = &mut m.leader_key {
+                key.expires_at = m.now + TTL;
             }
-            w.faults.end_outage()
+            m.faults.end_outage()
         });
     }
 
     pub fn add_transaction_steps(&self, steps: &mut Steps) {
-        steps.add("the transaction is processed and acknowledged", |w| {
-            let outcome = w.commit();
+        steps.add("the transaction is processed and acknowledged", |m| {
+            let outcome = m.commit();
             if let Some((transaction, committed)) = outcome {
-                w.acknowledge(transaction, Some(committed));
+                m.acknowledge(transaction, Some(committed));
             }
             outcome.is_some()
         });
         steps.add(
             "the transaction is processed but the acknowledgement is lost",
-            |w| {
-                let outcome = w.commit();
+            |m| {
+                let outcome = m.commit();
                 if let Some((transaction, _)) = outcome {
-                    w.acknowledge(transaction, None);
+                    m.acknowledge(transaction, None);
                 }
                 outcome.is_some()
             },
         );
         steps.add(
             "the transaction times out but may still be processed",
-            |w| {
-                let before = w.controllers.clone();
-                if let Some(transaction) = w.in_flight {
-                    w.acknowledge(transaction, None);
+            |m| {
+                let before = m.controllers.clone();
+                if let Some(transaction) = m.in_flight {
+                    m.acknowledge(transaction, None);
                 }
-                before != w.controllers
+                before != m.controllers
             },
         );
     }
@@ -66,29 +66,29 @@
     pub fn add_fault_steps(&self, c: usize, steps: &mut Steps) {
         steps.add(
             controller_step!(c, "is cut off from the state service"),
-            |w| w.faults.cut_off(c),
+            |m| m.faults.cut_off(c),
         );
         steps.add(
             controller_step!(c, "is reconnected to the state service"),
-            |w| w.faults.reconnect(c),
+            |m| m.faults.reconnect(c),
         );
-        steps.add(controller_step!(c, "crashes and restarts"), |w| {
-            w.controllers[c] = w.controllers[c].restarted(w.now);
-            w.faults.crash()
+        steps.add(controller_step!(c, "crashes and restarts"), |m| {
+            m.controllers[c] = m.controllers[c].restarted(m.now);
+            m.faults.crash()
         });
     }
 
     pub fn add_election_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(controller_step!(c, "wins an election"), |w| w.win(c));
-        steps.add(controller_step!(c, "reads the stored state"), |w| {
-            w.read_stored_state(c)
+        steps.add(controller_step!(c, "wins an election"), |m| m.win(c));
+        steps.add(controller_step!(c, "reads the stored state"), |m| {
+            m.read_stored_state(c)
         });
-        steps.add(controller_step!(c, "renews"), |w| w.renew(c));
-        steps.add(controller_step!(c, "extends its lease by votes"), |w| {
-            w.extend_by_votes(c)
+        steps.add(controller_step!(c, "renews"), |m| m.renew(c));
+        steps.add(controller_step!(c, "extends its lease by votes"), |m| {
+            m.extend_by_votes(c)
         });
-        steps.add(controller_step!(c, "transfers leadership"), |w| {
-            w.transfer(c)
+        steps.add(controller_step!(c, "transfers leadership"), |m| {
+            m.transfer(c)
         });
     }
 
@@ -185,18 +185,18 @@
     }
 
     pub fn add_cancellation_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(controller_step!(c, "cancels as the leader"), |w| {
-            w.cancel_as_leader(c)
+        steps.add(controller_step!(c, "cancels as the leader"), |m| {
+            m.cancel_as_leader(c)
         });
-        steps.add(controller_step!(c, "cancels without a leader"), |w| {
-            w.cancel_without_leader(c)
+        steps.add(controller_step!(c, "cancels without a leader"), |m| {
+            m.cancel_without_leader(c)
         });
         steps.add(
             controller_step!(c, "reads the outcome and answers the user"),
-            |w| {
+            |m| {
                 let unreported =
-                    w.cancellation_stored && w.reported_at.is_none() && w.faults.can_reach_store(c);
-                w.reported_at.get_or_insert(w.now);
+                    m.cancellation_stored && m.reported_at.is_none() && m.faults.can_reach_store(c);
+                m.reported_at.get_or_insert(m.now);
                 unreported
             },
         );
@@ -239,10 +239,10 @@
     pub fn add_worker_steps(&self, c: usize, steps: &mut Steps) {
         steps.add(
             controller_step!(c, "answers the worker as the leader"),
-            |w| w.answer_as_leader(c),
+            |m| m.answer_as_leader(c),
         );
-        steps.add(controller_step!(c, "grants its peer a shard lease"), |w| {
-            w.grant_shard_lease(c)
+        steps.add(controller_step!(c, "grants its peer a shard lease"), |m| {
+            m.grant_shard_lease(c)
         });
     }
 
@@ -268,11 +268,11 @@
         for c in 0..self.controllers.len() {
             steps.add(
                 controller_step!(c, "sends the worker a direct message"),
-                |w| w.send_message(c),
+                |m| m.send_message(c),
             );
         }
         steps.add("the direct message is delivered", Self::deliver_message);
-        steps.add("the direct message is lost", |w| w.message.take().is_some());
+        steps.add("the direct message is lost", |m| m.message.take().is_some());
     }
 
     fn send_message(&mut self, c: usize) -> bool {
@@ -327,9 +327,9 @@
     }
 
     pub fn add_shard_owner_step(&self, steps: &mut Steps) {
-        steps.add("the shard owner answers the worker", |w| {
-            let ShardLease { token, until } = w.shard_lease;
-            w.now < until && w.answer_worker(token, false)
+        steps.add("the shard owner answers the worker", |m| {
+            let ShardLease { token, until } = m.shard_lease;
+            m.now < until && m.answer_worker(token, false)
         });
     }
 }
--- a/crates/leadership/tests/common/mod.rs
+++ b/crates/leadership/tests/common/mod.rs
@@ -116,8 +116,8 @@
     any
 }
 
-/// Explores all histories until `states` states were seen. Fails if a history violates the property,
-/// or if the depth to which all histories were explored is less than `least_depth`.
+/// Explores all histories until `states` states were seen. Fails if a history violates the
+/// property, or if the depth to which all histories were explored is less than `least_depth`.
 pub fn assert_holds_in_all_histories<S: ModelState>(start: S, states: u64, least_depth: usize) {
     let depth = explore(start, states as usize).unwrap_or_else(|history| fail(&history));
     println!("{states} states, all histories of up to {depth} steps");
--- a/crates/leadership/tests/model/main.rs
+++ b/crates/leadership/tests/model/main.rs
@@ -12,20 +12,20 @@
 #[path = "../common/mod.rs"]
 mod common;
 mod mistakes;
+mod state;
 mod steps;
-mod world;
 
 use copperfield_model_checker::{effort_factor, explore, replay};
 
 use common::{assert_holds_in_all_histories, assert_holds_in_random_histories, fail};
 use mistakes::Mistake;
-use world::LeadershipWorld;
+use state::LeadershipModel;
 
 #[test]
 fn valid_terms_overlap_neither_each_other_nor_a_leaderless_cancellation() {
     for (controllers, least_depth) in [(2, 7), (3, 5)] {
         println!("{controllers} controllers:");
-        let start = LeadershipWorld::new(controllers, Mistake::None);
+        let start = LeadershipModel::new(controllers, Mistake::None);
         assert_holds_in_all_histories(start.clone(), 250_000 * effort_factor(), least_depth);
         assert_holds_in_random_histories(&start, 60_000 * effort_factor(), 60);
     }
@@ -280,7 +280,7 @@
             ConfirmsWithOnePeer | VotesDuringConfirmation => 3,
             _ => 2,
         };
-        let from = |mistake| replay(LeadershipWorld::new(controllers, mistake), &history);
+        let from = |mistake| replay(LeadershipModel::new(controllers, mistake), &history);
         explore(from(None), 60_000).unwrap_or_else(|history| fail(&history));
         let mut start = from(*mistake);
         if *mistake == VotesDuringConfirmation {
@@ -309,9 +309,9 @@
         &CONTROLLER_0_LEADS[..3],
     ]
     .concat();
-    let world = replay(LeadershipWorld::new(2, Mistake::None), &history);
-    assert_eq!((world.now, world.is_valid_leader(0)), (0, true));
-    assert_eq!(world.controllers[0].process.number, 1);
+    let model = replay(LeadershipModel::new(2, Mistake::None), &history);
+    assert_eq!((model.now, model.is_valid_leader(0)), (0, true));
+    assert_eq!(model.controllers[0].process.number, 1);
 }
 
 /// A leadership transfer is useful only if the successor is valid before the lease of the previous
@@ -332,10 +332,10 @@
         &CONTROLLER_1_WINS,
     ]
     .concat();
-    let world = replay(LeadershipWorld::new(2, Mistake::None), &history);
-    assert_eq!((world.now, world.is_valid_leader(1)), (0, true));
+    let model = replay(LeadershipModel::new(2, Mistake::None), &history);
+    assert_eq!((model.now, model.is_valid_leader(1)), (0, true));
     let mut expired = replay(
-        LeadershipWorld::new(2, Mistake::None),
+        LeadershipModel::new(2, Mistake::None),
         &[
             &CONTROLLER_0_LEADS[..],
             &cut_off,
--- a/crates/leadership/tests/model/world.rs
+++ b/crates/leadership/tests/model/state.rs
@@ -155,7 +155,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct LeadershipWorld {
+pub struct LeadershipModel {
     pub mistake: Mistake,
     pub now: u64,
     pub controllers: Vec<Controller>,
@@ -175,7 +175,7 @@
     pub cancellations_left: u8,
 }
 
-impl LeadershipWorld {
+impl LeadershipModel {
     pub fn new(controllers: usize, mistake: Mistake) -> Self {
         Self {
             mistake,
@@ -374,7 +374,7 @@
     FencingToken::from(u64::from(version))
 }
 
-impl ModelState for LeadershipWorld {
+impl ModelState for LeadershipModel {
     fn successors(&self) -> Vec<(&'static str, Self)> {
         let mut steps = Successors::new(self);
         self.add_service_steps(&mut steps);
--- a/crates/leadership/tests/model/steps.rs
+++ b/crates/leadership/tests/model/steps.rs
@@ -4,33 +4,33 @@
 
 use crate::common::{controller_step, take_one};
 use crate::mistakes::Mistake;
-use crate::world::{
-    Acknowledgement, Activity, CAMPAIGNS, HORIZON, LeadershipWorld, PeerSet, Transfer, VoteRequest,
+use crate::state::{
+    Acknowledgement, Activity, CAMPAIGNS, HORIZON, LeadershipModel, PeerSet, Transfer, VoteRequest,
     Write, lease_expiry, token,
 };
 
-type Steps<'a> = Successors<'a, LeadershipWorld>;
+type Steps<'a> = Successors<'a, LeadershipModel>;
 
 /// The state service.
-impl LeadershipWorld {
+impl LeadershipModel {
     pub fn add_service_steps(&self, steps: &mut Steps) {
-        steps.add("time passes", |w| {
-            w.now += 1;
-            w.now <= HORIZON
+        steps.add("time passes", |m| {
+            m.now += 1;
+            m.now <= HORIZON
         });
-        steps.add("the leader key expires", |w| {
-            let expired = w.leader_key.is_some_and(|key| w.now >= key.expires_at);
-            let ends = expired && !w.faults.is_outage();
+        steps.add("the leader key expires", |m| {
+            let expired = m.leader_key.is_some_and(|key| m.now >= key.expires_at);
+            let ends = expired && !m.faults.is_outage();
             if ends {
-                w.leader_key = None;
-                w.last_version += 1;
+                m.leader_key = None;
+                m.last_version += 1;
             }
             ends
         });
-        steps.add("an outage begins", |w| w.faults.begin_outage());
-        steps.add("the outage ends", |w| {
-            w.restart_leases();
-            w.faults.end_outage()
+        steps.add("an outage begins", |m| m.faults.begin_outage());
+        steps.add("the outage ends", |m| {
+            m.restart_leases();
+            m.faults.end_outage()
         });
     }
 
@@ -49,23 +49,23 @@
 
     pub fn add_transaction_steps(&self, steps: &mut Steps) {
         for i in 0..self.in_flight.len() {
-            steps.add("a transaction is processed", |w| {
-                let transaction = w.in_flight.remove(i);
-                if w.faults.is_outage() {
+            steps.add("a transaction is processed", |m| {
+                let transaction = m.in_flight.remove(i);
+                if m.faults.is_outage() {
                     return false;
                 }
-                let committed = w.commit(transaction);
-                w.acknowledgements.push(Acknowledgement {
+                let committed = m.commit(transaction);
+                m.acknowledgements.push(Acknowledgement {
                     transaction,
                     committed,
                 });
-                w.acknowledgements.sort();
+                m.acknowledgements.sort();
                 true
             });
-            steps.add("a transaction times out but may still be processed", |w| {
-                let before = w.controllers.clone();
-                w.acknowledge(w.in_flight[i], None);
-                before != w.controllers
+            steps.add("a transaction times out but may still be processed", |m| {
+                let before = m.controllers.clone();
+                m.acknowledge(m.in_flight[i], None);
+                before != m.controllers
             });
         }
     }
@@ -73,14 +73,14 @@
     pub fn add_acknowledgement_steps(&self, steps: &mut Steps) {
         for (i, acknowledgement) in self.acknowledgements.iter().enumerate() {
             let c = acknowledgement.transaction.controller;
-            steps.add(controller_step!(c, "receives an outcome"), |w| {
-                let ack = w.acknowledgements.remove(i);
-                w.acknowledge(ack.transaction, Some(ack.committed));
+            steps.add(controller_step!(c, "receives an outcome"), |m| {
+                let ack = m.acknowledgements.remove(i);
+                m.acknowledge(ack.transaction, Some(ack.committed));
                 true
             });
-            steps.add("an outcome is lost", |w| {
-                let ack = w.acknowledgements.remove(i);
-                w.acknowledge(ack.transaction, None);
+            steps.add("an outcome is lost", |m| {
+                let ack = m.acknowledgements.remove(i);
+                m.acknowledge(ack.transaction, None);
                 true
             });
         }
@@ -88,28 +88,28 @@
 }
 
 /// Processes and elections of one controller.
-impl LeadershipWorld {
+impl LeadershipModel {
     pub fn add_fault_steps(&self, c: usize, steps: &mut Steps) {
         steps.add(
             controller_step!(c, "is cut off from the state service"),
-            |w| w.faults.cut_off(c),
+            |m| m.faults.cut_off(c),
         );
         steps.add(
             controller_step!(c, "is reconnected to the state service"),
-            |w| w.faults.reconnect(c),
+            |m| m.faults.reconnect(c),
         );
-        steps.add(controller_step!(c, "crashes and restarts"), |w| {
-            let mut restarted = w.controllers[c].restarted(w.now);
-            if w.mistake == Mistake::RestartForgetsVotes {
+        steps.add(controller_step!(c, "crashes and restarts"), |m| {
+            let mut restarted = m.controllers[c].restarted(m.now);
+            if m.mistake == Mistake::RestartForgetsVotes {
                 restarted.process.leadership.release_vote(0);
             }
-            w.controllers[c] = restarted;
-            w.faults.crash()
+            m.controllers[c] = restarted;
+            m.faults.crash()
         });
     }
 
     pub fn add_campaign_step(&self, c: usize, steps: &mut Steps) {
-        steps.add(controller_step!(c, "campaigns"), |w| w.campaign(c));
+        steps.add(controller_step!(c, "campaigns"), |m| m.campaign(c));
     }
 
     fn campaign(&mut self, c: usize) -> bool {
@@ -136,11 +136,11 @@
     }
 
     pub fn add_key_removal_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(controller_step!(c, "finds its own leader key"), |w| {
-            w.find_own_key(c)
+        steps.add(controller_step!(c, "finds its own leader key"), |m| {
+            m.find_own_key(c)
         });
-        steps.add(controller_step!(c, "removes its own leader key"), |w| {
-            w.remove_own_key(c)
+        steps.add(controller_step!(c, "removes its own leader key"), |m| {
+            m.remove_own_key(c)
         });
     }
 
@@ -178,9 +178,9 @@
     pub fn add_confirmation_steps(&self, c: usize, steps: &mut Steps) {
         steps.add(
             controller_step!(c, "begins a no-leader confirmation"),
-            |w| {
-                let clock = w.clock(c);
-                let controller = &mut w.controllers[c];
+            |m| {
+                let clock = m.clock(c);
+                let controller = &mut m.controllers[c];
                 let idle = controller.is_idle();
                 let leadership = &mut controller.process.leadership;
                 leadership.begin_no_leader_confirmation();
@@ -193,13 +193,13 @@
         for peer in self.peers(c) {
             steps.add(
                 controller_step!(peer, "confirms that it does not lead"),
-                |w| w.confirm_no_leader(peer, c),
+                |m| m.confirm_no_leader(peer, c),
             );
         }
         steps.add(
             controller_step!(c, "abandons its no-leader confirmation"),
-            |w| {
-                let controller = &mut w.controllers[c];
+            |m| {
+                let controller = &mut m.controllers[c];
                 let confirming =
                     matches!(controller.activity, Activity::NoLeaderConfirmation { .. });
                 if confirming {
@@ -235,18 +235,18 @@
 }
 
 /// The term of a leader.
-impl LeadershipWorld {
+impl LeadershipModel {
     pub fn add_term_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(controller_step!(c, "renews"), |w| w.renew(c));
-        steps.add(controller_step!(c, "steps down"), |w| {
-            let Some(version) = w.token(c) else {
+        steps.add(controller_step!(c, "renews"), |m| m.renew(c));
+        steps.add(controller_step!(c, "steps down"), |m| {
+            let Some(version) = m.token(c) else {
                 return false;
             };
-            w.controllers[c]
+            m.controllers[c]
                 .process
                 .leadership
                 .step_down(token(version));
-            w.controllers[c].vote_request = None;
+            m.controllers[c].vote_request = None;
             true
         });
     }
@@ -268,12 +268,12 @@
     }
 
     pub fn add_vote_steps(&self, c: usize, steps: &mut Steps) {
-        steps.add(controller_step!(c, "requests votes"), |w| {
-            w.request_votes(c)
+        steps.add(controller_step!(c, "requests votes"), |m| {
+            m.request_votes(c)
         });
         for peer in self.peers(c) {
-            steps.add(controller_step!(peer, "grants its vote"), |w| {
-                w.grant_vote(peer, c)
+            steps.add(controller_step!(peer, "grants its vote"), |m| {
+                m.grant_vote(peer, c)
             });
         }
     }
@@ -327,10 +327,10 @@
     pub fn add_transfer_steps(&self, c: usize, steps: &mut Steps) {
         for peer in self.peers(c) {
             let name = controller_step!(peer, "is sent a leadership transfer");
-            steps.add(name, |w| w.transfer(c, peer));
+            steps.add(name, |m| m.transfer(c, peer));
         }
-        steps.add(controller_step!(c, "accepts a leadership transfer"), |w| {
-            w.accept_transfer(c)
+        steps.add(controller_step!(c, "accepts a leadership transfer"), |m| {
+            m.accept_transfer(c)
         });
     }
 
@@ -380,15 +380,15 @@
 }
 
 /// Cancellations without a leader.
-impl LeadershipWorld {
+impl LeadershipModel {
     pub fn add_cancellation_steps(&self, c: usize, steps: &mut Steps) {
         steps.add(
             controller_step!(c, "begins a cancellation without a leader"),
-            |w| w.begin_cancellation(c),
+            |m| m.begin_cancellation(c),
         );
         steps.add(
             controller_step!(c, "reads a guard of the cancellation"),
-            |w| w.read_for_cancellation(c),
+            |m| m.read_for_cancellation(c),
         );
     }
 
