--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -14,7 +14,7 @@
 use copperfield::storage::store::Store;
 use copperfield::storage::writer::{Write, completed, write};
 use copperfield::storage::{self, DrainRecord, FencedWorker, JobRecord, WorkerRecord};
-use copperfield::transport::client::{Answer, Exchange, Network};
+use copperfield::transport::client::{Answer, CallFuture, Network};
 use copperfield_fencing::timestamp;
 use hyper::Method;
 use serde::Serialize;
@@ -82,7 +82,7 @@
     let (small, large) = (JobId(412), JobId(1_234_567));
     let made = [
         storage::LEADER.to_string(),
-        storage::FOUNDED.to_string(),
+        storage::TERM_MARKER.to_string(),
         storage::JOBS.to_string(),
         storage::PROGRESS.to_string(),
         storage::REGISTRY.to_string(),
@@ -219,7 +219,7 @@
         path: &str,
         body: Vec<u8>,
         _deadline: Duration,
-    ) -> Exchange<'_> {
+    ) -> CallFuture<'_> {
         let body = String::from_utf8(body).expect("text");
         let line = format!("{method} {path} {body}");
         self.0.lock().expect("no panic").push(line);
@@ -273,7 +273,7 @@
             value: value.clone(),
             version: 13,
         },
-        Write::DropProgress {
+        Write::DeleteProgress {
             job: JobId(414),
             chunk: 14,
             version: 15,
@@ -364,7 +364,7 @@
             "{} {class} {} {}",
             quoted(&o.kind),
             or_dash(o.within_s),
-            or_dash(o.times)
+            or_dash(o.deadline_factor)
         ));
     }
     let w = &c.workers;
@@ -390,22 +390,22 @@
     let d = &t.defragmentation;
     let mut all = vec![
         t.auction_cap.to_string(),
-        t.headroom_h0.to_string(),
-        t.headroom_kappa.to_string(),
+        t.headroom_midpoint.to_string(),
+        t.headroom_decay_per_s.to_string(),
         t.slot_cpus.to_string(),
-        t.owned_price.to_string(),
+        t.running_price_factor.to_string(),
         t.spot_mean_life_s.to_string(),
-        t.idle_return_s.to_string(),
-        t.deserted_return_s.to_string(),
+        t.scale_in_idle_s.to_string(),
+        t.scale_in_idle_no_jobs_s.to_string(),
         t.fleet_max.to_string(),
         t.leader_ttl_ms.to_string(),
         (t.sharding == Switch::On).to_string(),
         d.enabled.to_string(),
         d.max_migrations.to_string(),
-        d.lost_work_s.to_string(),
-        d.again_after_s.to_string(),
-        d.away_share.to_string(),
-        d.worth_s.to_string(),
+        d.max_lost_work_s.to_string(),
+        d.migration_cooldown_s.to_string(),
+        d.max_migrating_share.to_string(),
+        d.max_saved_wait_s.to_string(),
     ];
     for (name, class) in &t.class {
         all.push(format!(
