--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -15,9 +15,9 @@
 use crate::protocol::peer::{Lookup, PeerReply, PeerRequest};
 use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::store::{StoreError, put};
-use crate::storage::{FOUNDED, LEADER, job_key, terminal_key, terminal_record};
+use crate::storage::{LEADER, TERM_MARKER, job_key, terminal_key, terminal_record};
 use crate::transport::rate_limiter::Urgency;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// The delay before the leader is asked again to begin a cancellation, after it refused because
 /// another outcome of the job is being stored.
@@ -35,7 +35,7 @@
 
 impl Api {
     /// Answers a user's request to cancel a job.
-    pub(super) async fn cancel(&self, id: JobId) -> Result<Outgoing, ApiError> {
+    pub(super) async fn cancel(&self, id: JobId) -> Result<ApiResponse, ApiError> {
         match self.cancel_job(id).await {
             Lookup::Terminal(outcome) => Ok(outcome_answer(id, outcome)),
             Lookup::NotFound => Err(ApiError::NoSuchJob),
@@ -146,7 +146,7 @@
     /// changes and which is read before the leader key is found to be missing.
     async fn store_leaderless(&self, id: JobId) -> Lookup {
         let store = &self.context.store;
-        let term_marker = store.get(FOUNDED, Urgency::High, true).await;
+        let term_marker = store.get(TERM_MARKER, Urgency::High, true).await;
         let Ok(marker_version) = term_marker.map(|item| item.map_or(0, |item| item.version)) else {
             return Lookup::NotLeader;
         };
@@ -155,7 +155,7 @@
         };
         let guards = [
             Condition::absent(LEADER),
-            Condition::at_version(FOUNDED, marker_version),
+            Condition::at_version(TERM_MARKER, marker_version),
         ];
         let stored = self.store_cancelled(id, 0, &guards).await;
         stored.unwrap_or(Lookup::NotLeader)
--- a/src/api/heartbeat.rs
+++ b/src/api/heartbeat.rs
@@ -9,14 +9,14 @@
 use super::error::ApiError;
 use crate::controller::commands::Command;
 use crate::protocol::worker::Heartbeat;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// The status that tells a worker to report to another controller.
 const REDIRECT: u16 = StatusCode::MISDIRECTED_REQUEST.as_u16();
 
 impl Api {
     /// Answers a heartbeat with commands, or with a redirect to another controller.
-    pub(super) async fn heartbeat(&self, body: &[u8]) -> Result<Outgoing, ApiError> {
+    pub(super) async fn heartbeat(&self, body: &[u8]) -> Result<ApiResponse, ApiError> {
         let heartbeat = Heartbeat::parse(body)?;
         if heartbeat.address.parse::<SocketAddr>().is_err() {
             return Err(ApiError::InvalidWorkerAddress);
@@ -31,7 +31,7 @@
             Some(answer) if answer.status == REDIRECT || self.context.may_answer_workers() => {
                 Ok(answer)
             }
-            _ => Ok(Outgoing::json(REDIRECT, &json!({}))),
+            _ => Ok(ApiResponse::json(REDIRECT, &json!({}))),
         }
     }
 }
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -15,7 +15,7 @@
 use crate::protocol::job::JobOutcome;
 use crate::protocol::peer::{Lookup, PeerReply, PeerRequest};
 use crate::storage::store::StoreError;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// The maximum number of lookups that wait to be sent to the leader.
 const MAX_PENDING_LOOKUPS: usize = 1024;
@@ -42,7 +42,7 @@
 
 impl Api {
     /// Answers a user's request for the state of a job.
-    pub(super) async fn answer_lookup(&self, id: JobId) -> Result<Outgoing, ApiError> {
+    pub(super) async fn answer_lookup(&self, id: JobId) -> Result<ApiResponse, ApiError> {
         match self.look_up(id).await {
             Lookup::Terminal(outcome) => Ok(outcome_answer(id, outcome)),
             Lookup::Live {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -33,7 +33,7 @@
 use crate::protocol::job::{JobOutcome, Phase};
 use crate::settings::{Settings, Tuning};
 use crate::transport::client::Network;
-use crate::transport::server::{Incoming, Outgoing};
+use crate::transport::server::{ApiRequest, ApiResponse};
 use error::ApiError;
 use lookup::LookupQueue;
 use routes::Route;
@@ -104,12 +104,12 @@
     }
 
     /// Answers a request to the public interface.
-    pub async fn public(self, request: Incoming) -> Outgoing {
+    pub async fn public(self, request: ApiRequest) -> ApiResponse {
         let answer = self.answer_public(&request).await;
-        answer.unwrap_or_else(Outgoing::from)
+        answer.unwrap_or_else(ApiResponse::from)
     }
 
-    async fn answer_public(&self, request: &Incoming) -> Result<Outgoing, ApiError> {
+    async fn answer_public(&self, request: &ApiRequest) -> Result<ApiResponse, ApiError> {
         if request.path.starts_with("/work") && self.context.requests_may_be_stale() {
             return Err(ApiError::ProcessPaused);
         }
@@ -141,26 +141,26 @@
 /// Waits for the answer until the deadline, and returns `timeout_error` if there is none by then.
 async fn with_deadline(
     deadline: Duration,
-    answer: impl Future<Output = Result<Outgoing, ApiError>>,
+    answer: impl Future<Output = Result<ApiResponse, ApiError>>,
     timeout_error: ApiError,
-) -> Result<Outgoing, ApiError> {
+) -> Result<ApiResponse, ApiError> {
     timeout(deadline, answer)
         .await
         .unwrap_or(Err(timeout_error))
 }
 
 /// The response for a job of which no task is running.
-fn outcome_answer(id: JobId, outcome: JobOutcome) -> Outgoing {
+fn outcome_answer(id: JobId, outcome: JobOutcome) -> ApiResponse {
     phase_answer(id, outcome.phase, outcome.done, 0)
 }
 
 /// The response for a job: its phase, and how many of its tasks are done and running.
-fn phase_answer(id: JobId, phase: Phase, done: u32, running: u32) -> Outgoing {
+fn phase_answer(id: JobId, phase: Phase, done: u32, running: u32) -> ApiResponse {
     let body = json!({
         "uid": id.to_string(),
         "phase": phase.spelling(),
         "done": done,
         "running": running,
     });
-    Outgoing::json(200, &body)
+    ApiResponse::json(200, &body)
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -15,7 +15,7 @@
 use crate::storage::store::{StoreError, put};
 use crate::storage::{job_key, job_record, terminal_key};
 use crate::transport::rate_limiter::Urgency;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// The longest backlog of writes at which a low-priority submission is accepted.
 const MAX_LOW_PRIORITY_BACKLOG: Duration = Duration::from_millis(500);
@@ -40,7 +40,7 @@
 
 impl Api {
     /// Stores a submission, unless it is invalid, could never run, or has been stored already.
-    pub(super) async fn submit(&self, body: &[u8]) -> Result<Outgoing, ApiError> {
+    pub(super) async fn submit(&self, body: &[u8]) -> Result<ApiResponse, ApiError> {
         let value: Value = serde_json::from_slice(body)?;
         let spec = JobSpec::submitted(&value)?;
         let machine_types = self.machine_types().await?;
@@ -98,7 +98,7 @@
         &self,
         id: JobId,
         reason: Unschedulable,
-    ) -> Result<Outgoing, ApiError> {
+    ) -> Result<ApiResponse, ApiError> {
         match self.context.store.outcome(id).await {
             Ok(None) => Err(reason.into()),
             Ok(Some(outcome)) => Ok(outcome_answer(id, outcome)),
@@ -125,7 +125,11 @@
         Ok(())
     }
 
-    async fn store_submission(&self, spec: &JobSpec, record: Value) -> Result<Outgoing, ApiError> {
+    async fn store_submission(
+        &self,
+        spec: &JobSpec,
+        record: Value,
+    ) -> Result<ApiResponse, ApiError> {
         let id = spec.id;
         let urgency = match spec.priority {
             Priority::Low => Urgency::Low,
@@ -160,7 +164,7 @@
         && spec.needs.fits_in(&machine_type.whole)
 }
 
-fn accepted(id: JobId) -> Outgoing {
+fn accepted(id: JobId) -> ApiResponse {
     let body = json!({"uid": id.to_string(), "phase": Phase::Pending.spelling()});
-    Outgoing::json(201, &body)
+    ApiResponse::json(201, &body)
 }
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -15,7 +15,7 @@
 use crate::protocol::worker::{Heartbeat, commands_body};
 use crate::settings::Switch;
 use crate::storage::store::call_peer;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 const STATUS_DEADLINE: Duration = Duration::from_millis(700);
 /// Process numbers are drawn at random from 1 to this, so that a restarted process gets a different
@@ -36,7 +36,7 @@
     /// The heartbeat.
     pub heartbeat: Heartbeat,
     /// Receives the response.
-    pub reply: oneshot::Sender<Outgoing>,
+    pub reply: oneshot::Sender<ApiResponse>,
 }
 
 /// The state of a shard owner that does not lead.
@@ -87,7 +87,7 @@
     }
 
     /// Answers a worker's heartbeat at once, or after the leader's next answer.
-    pub fn handle_heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<Outgoing>) {
+    pub fn handle_heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<ApiResponse>) {
         let ticket = self.replies.register(PendingReply::Heartbeat(reply));
         let now_ms = self.context.now_ms();
         let actions = self.forwarder.handle_heartbeat(now_ms, ticket, heartbeat);
@@ -147,7 +147,10 @@
     pub fn into_buffered_heartbeats(mut self) -> BufferedHeartbeats {
         self.context.set_shard_permission(0, 0);
         let mut buffered = BufferedHeartbeats::default();
-        for entry in self.forwarder.into_buffered(self.context.now_ms()) {
+        for entry in self
+            .forwarder
+            .into_buffered_heartbeats(self.context.now_ms())
+        {
             let reply = entry
                 .ticket
                 .and_then(|ticket| self.replies.take_heartbeat(ticket));
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -11,7 +11,7 @@
 use crate::coordination::core::{Core, Effect, Input};
 use crate::protocol::JobId;
 use crate::protocol::peer::{Lookup, RelayedCommand};
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// The state of one leadership term.
 pub struct Leader {
@@ -54,7 +54,7 @@
 
     /// Records a process pause, so that its duration does not count as time without heartbeats.
     pub fn record_pause(&mut self, pause: Duration) {
-        self.core.paused(pause.as_secs_f64());
+        self.core.handle_pause(pause.as_secs_f64());
     }
 
     /// Keeps inputs until the lease is valid again, except requests, which are dropped. This
@@ -104,7 +104,7 @@
                 self.replies.accept_heartbeat(ticket, body);
             }
             Effect::RefuseHeartbeat { ticket, reason } => {
-                let response = Outgoing::error(503, &reason.to_string());
+                let response = ApiResponse::error(503, &reason.to_string());
                 self.replies.answer_heartbeat(ticket, response);
             }
             Effect::RedirectWorker { ticket, controller } => {
--- a/src/controller/pending_replies.rs
+++ b/src/controller/pending_replies.rs
@@ -7,14 +7,14 @@
 
 use crate::controller::commands::{AdminResponse, BegunCancellation};
 use crate::protocol::peer::ShardUpdate;
-use crate::transport::server::Outgoing;
+use crate::transport::server::ApiResponse;
 
 /// The channel for the answer to a request.
 ///
 /// Dropping it signals to the requester that this controller does not answer. A worker is then
 /// redirected.
 pub enum PendingReply {
-    Heartbeat(oneshot::Sender<Outgoing>),
+    Heartbeat(oneshot::Sender<ApiResponse>),
     ShardStatus(oneshot::Sender<Option<ShardUpdate>>),
     Cancellation(oneshot::Sender<Option<BegunCancellation>>),
     Admin(oneshot::Sender<Option<AdminResponse>>),
@@ -42,7 +42,7 @@
     }
 
     /// Removes a heartbeat's request and returns its reply channel, to be answered later.
-    pub fn take_heartbeat(&mut self, ticket: u64) -> Option<oneshot::Sender<Outgoing>> {
+    pub fn take_heartbeat(&mut self, ticket: u64) -> Option<oneshot::Sender<ApiResponse>> {
         match self.by_ticket.remove(&ticket) {
             Some(PendingReply::Heartbeat(reply)) => Some(reply),
             _ => None,
@@ -51,7 +51,7 @@
 
     /// Answers a heartbeat with 200 and this body.
     pub fn accept_heartbeat(&mut self, ticket: u64, body: Vec<u8>) {
-        let response = Outgoing {
+        let response = ApiResponse {
             status: 200,
             body,
             retry_after_s: None,
@@ -60,7 +60,7 @@
     }
 
     /// Answers a heartbeat.
-    pub fn answer_heartbeat(&mut self, ticket: u64, response: Outgoing) {
+    pub fn answer_heartbeat(&mut self, ticket: u64, response: ApiResponse) {
         if let Some(reply) = self.take_heartbeat(ticket) {
             let _ = reply.send(response);
         }
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -1,10 +1,11 @@
 //! The leader's core: `step(now, inputs) -> effects`, without any I/O.
 //!
-//! The core tracks every task instance that may exist, not only those that are likely to. An instance
-//! counts until it is proven gone, and each start is checked against all instances that may exist at
-//! that moment.
+//! The core tracks every task instance that may exist, not only those that are likely to. An
+//! instance counts until it is proven gone, and each start is checked against all instances that
+//! may exist at that moment.
 //!
-//! This module dispatches each input to the part that handles it, and defines the work of each step.
+//! This module dispatches each input to the part that handles it, and defines the work of each
+//! step.
 
 use std::collections::BTreeMap;
 
@@ -33,8 +34,8 @@
 /// Interval of the checks for unresponsive workers and expired leases, which also run before every
 /// batch.
 const LEASE_CHECK_INTERVAL_S: Time = 0.05;
-/// A longer gap between two steps means that the leader was not valid throughout: while it is valid,
-/// steps come at least every 50 ms.
+/// A longer gap between two steps means that the leader was not valid throughout: while it is
+/// valid, steps come at least every 50 ms.
 const VALIDITY_GAP_S: Time = 0.5;
 
 impl Core {
@@ -92,7 +93,7 @@
         };
         core.types.update(types);
         core.restore(snapshot);
-        core.failover = FailoverStats::begin(core.awaited_workers());
+        core.failover = FailoverStats::begin(core.count_awaited_workers());
         core
     }
 
@@ -117,14 +118,15 @@
     }
 
     /// The number of workers whose heartbeats this leader waits for.
-    fn awaited_workers(&self) -> usize {
+    fn count_awaited_workers(&self) -> usize {
         self.workers
             .iter()
             .filter(|(_, worker)| worker.known_to_predecessor && !worker.fenced)
             .count()
     }
 
-    /// Processes the inputs received by `now` and returns the effects to carry out outside the core.
+    /// Processes the inputs received by `now` and returns the effects to carry out outside the
+    /// core.
     pub fn step(&mut self, now: Time, inputs: Vec<Input>) -> Vec<Effect> {
         if now - self.now > VALIDITY_GAP_S {
             self.valid_since = now;
@@ -192,9 +194,10 @@
     }
 
     /// Handles a pause of this process during which its clock kept running. Heartbeat times move by
-    /// the length of the pause, so that workers due to report during it do not count as unresponsive:
-    /// the leader would resign or release healthy workers. Leases are not extended.
-    pub fn paused(&mut self, pause_s: f64) {
+    /// the length of the pause, so that workers that were due to report during it do not count as
+    /// unresponsive. Otherwise the leader would resign or release healthy workers. Leases are not
+    /// extended.
+    pub fn handle_pause(&mut self, pause_s: f64) {
         self.expecting_heartbeats_since += pause_s;
         self.shift_shard_statuses(pause_s);
         for (_, worker) in self.workers.iter_mut() {
@@ -209,7 +212,8 @@
         }
     }
 
-    /// Looks up the status of a job for a user. Only a leader whose lease is valid may answer with it.
+    /// Looks up the status of a job for a user. Only a leader whose lease is valid may answer with
+    /// it.
     pub fn lookup(&self, id: JobId) -> Lookup {
         if let Some(end) = self.jobs.outcome(id) {
             return Lookup::Terminal(end);
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -13,7 +13,7 @@
 
 use copperfield_admin::views;
 
-use crate::storage::writer::{Write, Written};
+use crate::storage::writer::{Write, WriteOutcome};
 use crate::storage::{DrainRecord, StoredDrain};
 
 use super::model::*;
@@ -38,7 +38,7 @@
                 at_ms: 0,
                 until_ms: None,
             })),
-            deadline: stored.left_s.map(|left_s| self.now + left_s),
+            deadline: stored.deadline_in_s.map(|in_s| self.now + in_s),
             version: stored.version,
             ..Drain::default()
         };
@@ -130,7 +130,7 @@
         &mut self,
         name: String,
         record: Option<DrainRecord>,
-        written: &Written,
+        written: &WriteOutcome,
     ) {
         let Some(drain) = self.drains.get_mut(&name) else {
             return;
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -12,10 +12,10 @@
 use copperfield::protocol::worker::{Exit, Heartbeat, TaskPhase, TaskStatus};
 use copperfield::protocol::{JobId, MAX_PEER_BODY};
 use copperfield::settings::{Settings, Tuning};
-use copperfield::transport::client::{Answer, Exchange, Network};
-use copperfield::transport::server::Incoming;
+use copperfield::transport::client::{Answer, CallFuture, Network};
+use copperfield::transport::server::ApiRequest;
 use copperfield_heartbeat_forwarder::HeartbeatForwarder;
-use copperfield_sharding::{Change, ShardLease};
+use copperfield_sharding::{ShardChange, ShardLease};
 use copperfield_simulation::cluster::Site;
 use copperfield_simulation::loopback::{Loopback, free_address};
 use copperfield_simulation::state_service::StateService;
@@ -81,7 +81,7 @@
         path: &str,
         body: Vec<u8>,
         _deadline: Duration,
-    ) -> Exchange<'_> {
+    ) -> CallFuture<'_> {
         let path = path.to_string();
         Box::pin(async move {
             if to == CLOUD.parse().expect("an address") {
@@ -114,10 +114,10 @@
     serde_json::from_value(value).expect("valid settings")
 }
 
-fn heartbeat(worker: usize) -> Incoming {
+fn heartbeat(worker: usize) -> ApiRequest {
     let body = json!({"host": format!("vm-{worker:06}"), "address": "10.1.0.1:9000", "flavor": "small",
         "region": "a", "tenure": 1, "counter": 1, "fence": 0, "shards": []});
-    Incoming {
+    ApiRequest {
         method: Method::POST,
         path: "/hello".into(),
         query: None,
@@ -217,12 +217,12 @@
         };
         forwarder.handle_heartbeat(1000, worker as u64, heartbeat);
     }
-    let shard_lease = |number, changes| ShardLease {
+    let shard_lease = |status_number, changes| ShardLease {
         process: 7,
-        number,
+        status_number,
         token: 5,
-        base: 0,
-        for_ms: 1000,
+        base_version: 0,
+        duration_ms: 1000,
         changes,
     };
     let update = |shard_lease, names| ShardUpdate {
@@ -250,7 +250,7 @@
         let numbers = forwarded_names
             .iter()
             .map(|n| n[3..].parse::<u32>().expect("a name of this test"));
-        let assign = |m| (u64::from(m) + 1, Change::Assign(m));
+        let assign = |m| (u64::from(m) + 1, ShardChange::Assign(m));
         let changes: Vec<_> = numbers.clone().map(assign).collect();
         forwarded += changes.len();
         let names = numbers.map(|m| (m, name(m as usize))).collect();
@@ -261,7 +261,7 @@
         statuses += 1;
     }
     let releases =
-        (0..WORKERS as u32).map(|m| (10_000 + u64::from(m), Change::Release(m, Some(0))));
+        (0..WORKERS as u32).map(|m| (10_000 + u64::from(m), ShardChange::Release(m, Some(0))));
     now += 300;
     let status = forwarder.next_status(now).expect("due");
     forwarder.handle_update(
@@ -273,7 +273,7 @@
     );
     now += 300;
     let status = forwarder.next_status(now).expect("due");
-    assert_eq!(status.owner_status.left.len(), WORKERS);
+    assert_eq!(status.owner_status.released.len(), WORKERS);
     println!(
         "{statuses} statuses, {} bytes with all released",
         check_body_size(&status)
