--- a/crates/sharding/src/coordinator.rs
+++ b/crates/sharding/src/coordinator.rs
@@ -1,8 +1,8 @@
-//! The leader's choice of the shard owner of each worker.
+//! The leader's policy for assigning workers to shard owners.
 //!
-//! A worker belongs to the controller that it reports to: which controllers it can reach is not
-//! known here. What is left to decide is which controllers have too many workers, and where a
-//! worker that may move is redirected.
+//! The leader does not know which controllers a worker can reach, so it assigns a worker to the
+//! controller that the worker sends its heartbeats to. The coordinator then decides which
+//! controllers have too many workers, and to which controller a worker is redirected.
 
 use std::collections::BTreeMap;
 
@@ -11,33 +11,36 @@
 use crate::table::{Assignment, ShardTable};
 use crate::{ControllerIndex, Millis, WorkerNumber};
 
-/// A controller without a status for so long is down, or cannot reach the leader.
+/// A controller that has sent no status for longer than this counts as unreachable: it is down, or
+/// cannot reach the leader.
 const UNREACHABLE_AFTER_MS: Millis = 1500;
-/// The weight of the leader, which has other work, against 1 for any other controller.
+/// The weight of the leader relative to 1 for any other controller. The leader has other work.
 const LEADER_WEIGHT: f64 = 0.5;
-/// A worker is not moved again for balance within this time.
+/// Minimum time between two moves of a worker for balance.
 const MOVE_COOLDOWN_MS: Millis = 60_000;
-/// A controller that could not relay commands is not asked to for so long.
+/// How long a controller that failed to relay commands is not used as a relay.
 const RELAY_BACKOFF_MS: Millis = 3000;
-/// A worker that commands did not reach is answered by the leader alone for so long.
+/// How long only the leader may answer a worker that did not answer commands.
 const LEADER_ONLY_MS: Millis = 8000;
-/// So many commands in a row without an answer, from a worker that sends heartbeats.
-const MAX_UNANSWERED_COMMANDS: u32 = 2;
-/// How often workers may move for balance.
+/// A worker that sends heartbeats is revoked from its shard owner after this number of consecutive
+/// commands without an answer.
+const UNANSWERED_COMMANDS_LIMIT: u32 = 2;
+/// Length of the period for which the number of moves for balance is limited.
 const MOVE_PERIOD_MS: Millis = 1000;
-/// In each period one worker in so many may move,
+/// In each period, one in this many workers may move for balance.
 const WORKERS_PER_MOVE: usize = 50;
-/// and no fewer than these.
+/// At least this many workers may move in each period.
 const MIN_MOVES: usize = 4;
 
-/// How a heartbeat is routed at the controller that received it.
+/// How the controller that received a heartbeat handles it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
-    /// It is answered there, at once or once that controller knows of its assignment.
+    /// That controller answers the heartbeat, at once or when it learns that it owns the worker.
     Here,
-    /// The worker is to report to this controller.
+    /// The worker is redirected to this controller.
     Redirect(ControllerIndex),
-    /// Another controller may still answer the worker, or the worker is fenced.
+    /// The heartbeat is not answered now, because another controller may still answer the worker, or
+    /// because the worker is fenced.
     Wait,
 }
 
@@ -46,7 +49,7 @@
 pub enum AnswerPermission {
     /// Any controller.
     AnyController,
-    /// None: the worker is fenced, or about to be.
+    /// No controller, because the worker is fenced or about to be fenced.
     NoController,
     /// Only the leader itself.
     LeaderOnly,
@@ -56,8 +59,8 @@
 struct WorkerState {
     zone: u32,
     last_heartbeat_at: Millis,
-    /// When it was last moved for balance.
-    moved_at: Option<Millis>,
+    /// When the worker was last moved for balance.
+    last_moved_at: Option<Millis>,
     unanswered_commands: u32,
     leader_only_until: Millis,
 }
@@ -66,37 +69,38 @@
 struct ControllerState {
     zone: u32,
     last_status_at: Option<Millis>,
-    /// It has forwarded all heartbeats that it had received before this leader's election.
+    /// Whether it has forwarded all heartbeats that it received before this leader's election.
     has_forwarded_all: bool,
-    /// It has a lease of this leader: before that it relays no commands.
+    /// Whether it has a lease from this leader. Without one it relays no commands.
     has_lease: bool,
     reachable: bool,
-    no_relay_until: Millis,
+    relay_backoff_until: Millis,
     load: usize,
     load_limit: usize,
 }
 
-/// The leader's sharding decisions: who owns which worker, and which controllers relay commands.
+/// Decides for the leader which controller owns which worker, and which controllers relay commands.
 pub struct ShardCoordinator {
     leader: ControllerIndex,
     heartbeat_interval_ms: Millis,
     table: ShardTable,
     workers: BTreeMap<WorkerNumber, WorkerState>,
     controllers: Vec<ControllerState>,
-    /// How many workers may still move for balance in this period.
+    /// The number of workers that may still move for balance in this period.
     moves_left: usize,
     next_period_at: Millis,
 }
 
 impl ShardCoordinator {
-    /// The coordinator of a leader with this fencing token and index; `zones` of all controllers.
+    /// Creates the coordinator of the leader with this fencing token and controller index. `zones`
+    /// lists the zone of each controller.
     pub fn new(
         token: u64,
         leader: ControllerIndex,
         zones: &[u32],
         heartbeat_interval_ms: Millis,
     ) -> Self {
-        let controller = |&zone: &u32| ControllerState {
+        let new_controller = |&zone: &u32| ControllerState {
             zone,
             ..ControllerState::default()
         };
@@ -105,18 +109,18 @@
             heartbeat_interval_ms,
             table: ShardTable::new(token, zones.len()),
             workers: BTreeMap::new(),
-            controllers: zones.iter().map(controller).collect(),
+            controllers: zones.iter().map(new_controller).collect(),
             moves_left: 0,
             next_period_at: 0,
         }
     }
 
-    /// Whether there is such a controller, and it is not the leader itself.
+    /// Whether a controller of this index exists and is not the leader itself.
     pub fn is_peer(&self, controller: ControllerIndex) -> bool {
         controller != self.leader && (controller as usize) < self.controllers.len()
     }
 
-    /// See [`ShardTable::add`].
+    /// Adds a worker, see [`ShardTable::add`].
     pub fn add(&mut self, worker: WorkerNumber, zone: u32, last_answer: Millis) {
         self.table.add(worker, last_answer);
         self.workers.insert(
@@ -124,25 +128,25 @@
             WorkerState {
                 zone,
                 last_heartbeat_at: 0,
-                moved_at: None,
+                last_moved_at: None,
                 unanswered_commands: 0,
                 leader_only_until: 0,
             },
         );
     }
 
-    /// See [`ShardTable::remove`].
+    /// Removes a worker, see [`ShardTable::remove`].
     pub fn remove(&mut self, worker: WorkerNumber) {
         self.table.remove(worker);
         self.workers.remove(&worker);
     }
 
-    /// See [`ShardTable::unanswered_since`].
+    /// Since when a worker has not been answered, see [`ShardTable::unanswered_since`].
     pub fn unanswered_since(&self, worker: WorkerNumber) -> Option<Millis> {
         self.table.unanswered_since(worker)
     }
 
-    /// The shard owner of a worker, `None` if only the leader may answer it.
+    /// The shard owner of a worker, or `None` if only the leader may answer the worker.
     pub fn shard_owner(&self, worker: WorkerNumber) -> Option<ControllerIndex> {
         match self.table.assignment(worker)? {
             Assignment::Owned { owner, .. } => Some(owner),
@@ -150,7 +154,7 @@
         }
     }
 
-    /// The shard owner of a worker, if it can relay commands to it.
+    /// The shard owner of a worker, if that controller can relay commands.
     pub fn owner_relay(&self, worker: WorkerNumber, now: Millis) -> Option<ControllerIndex> {
         let owner = self.shard_owner(worker)?;
         self.can_relay(owner, now).then_some(owner)
@@ -158,7 +162,7 @@
 
     fn can_relay(&self, controller: ControllerIndex, now: Millis) -> bool {
         let controller = &self.controllers[controller as usize];
-        controller.reachable && controller.has_lease && now >= controller.no_relay_until
+        controller.reachable && controller.has_lease && now >= controller.relay_backoff_until
     }
 
     fn available_relays(&self, now: Millis) -> Vec<ControllerIndex> {
@@ -167,34 +171,35 @@
             .collect()
     }
 
-    /// Who may send commands to a worker without a shard owner: such workers are spread over the
-    /// available relays and the leader itself (`None`).
+    /// The relay for commands to a worker without a shard owner, or `None` if the leader sends them
+    /// itself. Spreads such workers over the available relays and the leader.
     pub fn relay_or_leader(&self, worker: WorkerNumber, now: Millis) -> Option<ControllerIndex> {
         let relays = self.available_relays(now);
         relays.get(worker as usize % (relays.len() + 1)).copied()
     }
 
-    /// Another controller that can relay commands to a worker which the leader does not reach.
+    /// Another controller that can relay commands to a worker that the leader cannot reach.
     pub fn any_relay(&self, worker: WorkerNumber, now: Millis) -> Option<ControllerIndex> {
         let relays = self.available_relays(now);
         (!relays.is_empty()).then(|| relays[worker as usize % relays.len()])
     }
 
-    /// A controller could not be given commands to relay.
+    /// Records that a controller failed to accept commands, and stops using it as a relay for
+    /// [`RELAY_BACKOFF_MS`].
     pub fn mark_relay_failed(&mut self, controller: ControllerIndex, now: Millis) {
-        self.controllers[controller as usize].no_relay_until = now + RELAY_BACKOFF_MS;
+        self.controllers[controller as usize].relay_backoff_until = now + RELAY_BACKOFF_MS;
     }
 
-    /// Whether every other controller has forwarded all heartbeats that it had buffered, so that a
-    /// new leader need not probe those workers.
+    /// Whether every other controller has forwarded all heartbeats that it had buffered. A new leader
+    /// need not probe the workers that sent them.
     pub fn all_peers_have_forwarded(&self) -> bool {
         let controllers = (0u32..).zip(&self.controllers);
         let mut peers = controllers.filter(|(index, _)| *index != self.leader);
         peers.all(|(_, controller)| controller.has_forwarded_all)
     }
 
-    /// Handles the status of a shard owner, see [`ShardTable::handle_status`].
-    /// `has_forwarded_all`: it has no more heartbeats to forward.
+    /// Handles the status of a shard owner, see [`ShardTable::handle_status`]. `has_forwarded_all`
+    /// tells whether the shard owner has no more heartbeats to forward.
     pub fn handle_status(
         &mut self,
         now: Millis,
@@ -211,13 +216,13 @@
         self.table.handle_status(now, from, status, valid_for)
     }
 
-    /// See [`ShardTable::pending_changes`].
+    /// The changes that a controller has not acknowledged, see [`ShardTable::pending_changes`].
     pub fn pending_changes(&self, controller: ControllerIndex) -> Vec<(u64, ShardChange)> {
         self.table.pending_changes(controller)
     }
 
-    /// Routes a heartbeat that the controller `at` received. `waits`: the worker waits for an
-    /// answer there and now.
+    /// Routes a heartbeat that the controller `at` received. `waits` tells whether the worker's
+    /// request is still open at that controller.
     pub fn handle_heartbeat(
         &mut self,
         now: Millis,
@@ -244,7 +249,8 @@
         match assignment {
             Assignment::Owned { owner, .. } if owner == at && any_controller => Route::Here,
             Assignment::Owned { .. } | Assignment::Releasing { .. } => {
-                // Unless the worker waits, this is an old heartbeat that its last owner forwards.
+                // If the worker does not wait, its previous owner forwards an old heartbeat, and the
+                // assignment stays.
                 if waits {
                     let to = (any_controller && at != self.leader).then_some(at);
                     self.table.reassign(worker, to);
@@ -267,7 +273,7 @@
             AnswerPermission::LeaderOnly if at == self.leader => Route::Here,
             AnswerPermission::LeaderOnly => Route::Redirect(self.leader),
             AnswerPermission::AnyController => {
-                if let Some(to) = self.spend_move(now, worker, at) {
+                if let Some(to) = self.plan_move(now, worker, at) {
                     return Route::Redirect(to);
                 }
                 if at != self.leader {
@@ -279,9 +285,10 @@
         }
     }
 
-    /// A better owner for a worker at the controller `at`, if a move may be spent on it: one with
-    /// room, where `at` has too many workers or is in another zone.
-    fn spend_move(
+    /// Chooses a better owner for a worker at the controller `at`, and counts the move. The worker
+    /// moves only if `at` has too many workers or is in another zone, if moves are left in this
+    /// period, and if another controller has room.
+    fn plan_move(
         &mut self,
         now: Millis,
         worker: WorkerNumber,
@@ -290,13 +297,15 @@
         let from = self.controllers[at as usize];
         let state = self.workers.get_mut(&worker)?;
         let overloaded = from.load > from.load_limit;
-        let is_cooling_down = state.moved_at.is_some_and(|t| now - t < MOVE_COOLDOWN_MS);
+        let is_cooling_down = state
+            .last_moved_at
+            .is_some_and(|t| now - t < MOVE_COOLDOWN_MS);
         if self.moves_left == 0 || !(overloaded || from.zone != state.zone) || is_cooling_down {
             return None;
         }
         let zone = state.zone;
-        // The leader has only those workers that come to it. From a controller that is not
-        // overloaded a worker goes only to its own zone, with which it would fail anyway.
+        // No worker is moved to the leader. A controller that is not overloaded hands a worker over
+        // only to a controller in the worker's own zone: if that zone fails, the worker fails too.
         let has_room = |index: &usize| {
             let controller = &self.controllers[*index];
             *index as u32 != self.leader
@@ -309,7 +318,7 @@
         let capacities = capacities(&self.controllers, self.leader);
         let ranking = rank_controllers(&capacities, worker, zone);
         let to = ranking.into_iter().find(has_room)?;
-        state.moved_at = Some(now);
+        state.last_moved_at = Some(now);
         self.moves_left -= 1;
         self.controllers[to].load += 1;
         let from = &mut self.controllers[at as usize];
@@ -317,14 +326,15 @@
         Some(to as u32)
     }
 
-    /// Revokes a worker, also from its next owner: it is late, or about to be fenced, and only the
-    /// leader may answer it.
+    /// Revokes a worker from its shard owner, and from its next one during a reassignment, so that
+    /// only the leader may answer it. Used for a worker that is late or about to be fenced.
     pub fn revoke(&mut self, worker: WorkerNumber) {
         self.table.reassign(worker, None);
     }
 
     /// Records whether a worker has answered a command. A worker that sends heartbeats but does
-    /// not answer commands is revoked: the leader's own answers carry them.
+    /// not answer commands is revoked from its shard owner, because the leader's own answers to
+    /// heartbeats carry commands.
     pub fn record_command_result(&mut self, now: Millis, worker: WorkerNumber, answered: bool) {
         let Some(state) = self.workers.get_mut(&worker) else {
             return;
@@ -334,9 +344,9 @@
         } else {
             state.unanswered_commands + 1
         };
-        let is_unanswered = state.unanswered_commands >= MAX_UNANSWERED_COMMANDS;
-        let is_alive = now - state.last_heartbeat_at < 2 * self.heartbeat_interval_ms;
-        if is_unanswered && is_alive && self.shard_owner(worker).is_some() {
+        let limit_reached = state.unanswered_commands >= UNANSWERED_COMMANDS_LIMIT;
+        let sends_heartbeats = now - state.last_heartbeat_at < 2 * self.heartbeat_interval_ms;
+        if limit_reached && sends_heartbeats && self.shard_owner(worker).is_some() {
             let state = self
                 .workers
                 .get_mut(&worker)
@@ -347,15 +357,16 @@
         }
     }
 
-    /// This process was paused and read nothing meanwhile: no controller is late because of that.
+    /// Handles a pause of this process, which read no statuses meanwhile: shifts the times of the
+    /// last statuses, so that no controller becomes unreachable because of the pause.
     pub fn handle_pause(&mut self, pause_ms: Millis) {
         for controller in &mut self.controllers {
             controller.last_status_at = controller.last_status_at.map(|t| t + pause_ms);
         }
     }
 
-    /// Advances the time. `allow_moves`: no mass loss is being handled, so workers may move for
-    /// balance. Returns the controllers that are unreachable from now on.
+    /// Advances the time. `allow_moves` tells whether workers may move for balance, which they may
+    /// not during a mass loss of workers. Returns the controllers that have become unreachable.
     pub fn tick(&mut self, now: Millis, allow_moves: bool) -> Vec<ControllerIndex> {
         let unreachable = self.revoke_from_unreachable(now);
         self.table.expire_releases(now);
@@ -393,7 +404,7 @@
         unreachable
     }
 
-    /// Counts the workers of each controller, and returns the sum.
+    /// Counts the workers of each controller and returns the total.
     fn update_loads(&mut self, now: Millis) -> usize {
         for controller in &mut self.controllers {
             controller.load = 0;
@@ -409,8 +420,8 @@
         workers
     }
 
-    /// Moves workers away from overloaded shard owners; the leader redirects its own as they
-    /// report.
+    /// Moves workers from their shard owners to better ones. The leader redirects workers without a
+    /// shard owner when they send a heartbeat.
     fn rebalance(&mut self, now: Millis) {
         let owned: Vec<(WorkerNumber, ControllerIndex)> = self
             .workers
@@ -421,14 +432,14 @@
             if self.moves_left == 0 {
                 return;
             }
-            if let Some(to) = self.spend_move(now, worker, owner) {
+            if let Some(to) = self.plan_move(now, worker, owner) {
                 self.table.reassign(worker, Some(to));
             }
         }
     }
 
-    /// The number of workers of each controller, by index. The leader's are those without a shard
-    /// owner that sent a heartbeat lately.
+    /// The number of workers of each controller, by index. Workers without a shard owner count for
+    /// the leader if they sent a heartbeat within the last two intervals.
     pub fn loads(&self) -> Vec<usize> {
         self.controllers.iter().map(|c| c.load).collect()
     }
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -13,7 +13,7 @@
 pub use rendezvous::{ControllerCapacity, load_limits, rank_controllers};
 pub use table::{Assignment, ShardTable};
 
-/// The leader's number for a worker. A leader never uses a number twice.
+/// The leader's number for a worker. A leader never reuses a number.
 pub type WorkerNumber = u32;
 
 /// The position of a controller among all controllers, ordered by name.
--- a/crates/sharding/src/owner.rs
+++ b/crates/sharding/src/owner.rs
@@ -1,4 +1,5 @@
-//! A shard owner: a controller that answers some of the workers under the leader's lease.
+//! The state of a shard owner: a controller that answers the workers of its shard under a lease
+//! from the leader.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +9,11 @@
 /// How a shard owner treats a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatDecision {
-    /// It may be answered under this fencing token.
+    /// The heartbeat may be answered under this fencing token.
     Answer(u64),
-    /// Another controller owns the worker: 421 with its name.
+    /// Another controller owns the worker: the heartbeat is answered by a redirect to it.
     Redirect(ControllerIndex),
-    /// This controller owns the worker but has no valid lease: the heartbeat waits for one.
+    /// This controller owns the worker but has no valid lease. The heartbeat waits for one.
     Wait,
     /// This controller does not know who owns the worker.
     Unknown,
@@ -25,43 +26,45 @@
     sent_at: Millis,
 }
 
-/// A worker that was released, until the leader acknowledges it.
+/// The release of a worker, kept until the leader acknowledges it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct PendingRelease {
-    /// The change that released it.
+    /// The version of the change that released the worker.
     version: u64,
-    /// When the last heartbeat that was answered had come in.
+    /// When the last heartbeat that was answered was received.
     last_answer: Option<Millis>,
     /// The number of the first status that reports the release.
-    first_status: u64,
+    first_status_number: u64,
 }
 
-/// The state of a shard owner: its shard, its lease, and what the leader has not acknowledged.
+/// The state of a shard owner: its shard, its lease, and the releases that the leader has not
+/// acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ShardOwner {
     process: u64,
-    last_status: u64,
-    /// The oldest first.
+    last_status_number: u64,
+    /// Statuses without an answer, the oldest first.
     in_flight: Vec<InFlightStatus>,
-    /// Statuses up to this one have been answered, or a later one has.
-    answered_up_to: u64,
+    /// The highest number of a status that was answered. Answers to earlier ones are ignored.
+    last_answered_number: u64,
     token: u64,
     version: u64,
     valid_until: Millis,
-    /// Per worker of the shard, when the last heartbeat that was answered had come in.
+    /// The workers of the shard, with the time at which the last answered heartbeat was received.
     shard: BTreeMap<WorkerNumber, Option<Millis>>,
     released: BTreeMap<WorkerNumber, PendingRelease>,
     redirects: BTreeMap<WorkerNumber, ControllerIndex>,
 }
 
 impl ShardOwner {
-    /// A shard owner without a shard. `process` is drawn at random by each process, never 0.
+    /// Creates a shard owner without a shard. `process` is a random number that identifies this
+    /// process, never 0.
     pub fn new(process: u64) -> Self {
         Self {
             process,
-            last_status: 0,
+            last_status_number: 0,
             in_flight: Vec::new(),
-            answered_up_to: 0,
+            last_answered_number: 0,
             token: 0,
             version: 0,
             valid_until: 0,
@@ -71,12 +74,12 @@
         }
     }
 
-    /// The next status for the leader, which requests a lease. Beyond `max_in_flight` unanswered
-    /// statuses, an answer to the oldest one is not accepted any more.
+    /// Creates the next status for the leader, which requests a lease. If more than `max_in_flight`
+    /// statuses are unanswered, an answer to the oldest one is no longer accepted.
     pub fn next_status(&mut self, now: Millis, max_in_flight: usize) -> OwnerStatus {
-        self.last_status += 1;
+        self.last_status_number += 1;
         self.in_flight.push(InFlightStatus {
-            number: self.last_status,
+            number: self.last_status_number,
             sent_at: now,
         });
         if self.in_flight.len() > max_in_flight {
@@ -89,15 +92,15 @@
         };
         OwnerStatus {
             process: self.process,
-            number: self.last_status,
+            number: self.last_status_number,
             token: self.token,
             applied_version: self.version,
             released: self.released.iter().map(released).collect(),
         }
     }
 
-    /// Applies the leader's answer to a status. Answers to another process, to an unknown status,
-    /// of an earlier leader, or older than one that was applied are ignored.
+    /// Applies the leader's answer to a status. Ignores answers to another process, to an unknown
+    /// status, from an earlier leader, and to a status before one that was already answered.
     pub fn handle_lease(&mut self, lease: &ShardLease) {
         let mut in_flight = self.in_flight.iter();
         let answered = in_flight.find(|status| status.number == lease.status_number);
@@ -108,13 +111,13 @@
             return;
         }
         if lease.token > self.token {
-            // Assignments of an earlier leader are void. The new leader assumes that all workers
-            // may have been answered until then.
+            // Assignments of an earlier leader are void. The new leader assumes that every worker
+            // may have been answered until the earlier leader's leases ended.
             self.token = lease.token;
             self.version = 0;
             self.valid_until = 0;
             self.drop_shard();
-        } else if status.number <= self.answered_up_to {
+        } else if status.number <= self.last_answered_number {
             return;
         }
         if self.version < lease.base_version {
@@ -131,12 +134,12 @@
         }
     }
 
-    /// Forgets what the answer to this status acknowledges.
+    /// Removes the statuses and releases that the answer to this status acknowledges.
     fn acknowledge(&mut self, number: u64) {
-        self.answered_up_to = number;
+        self.last_answered_number = number;
         self.in_flight.retain(|status| status.number > number);
         self.released
-            .retain(|_, release| release.first_status > number);
+            .retain(|_, release| release.first_status_number > number);
     }
 
     fn apply(&mut self, version: u64, change: ShardChange) {
@@ -150,7 +153,7 @@
                 let release = PendingRelease {
                     version,
                     last_answer: self.shard.remove(&worker).flatten(),
-                    first_status: self.last_status + 1,
+                    first_status_number: self.last_status_number + 1,
                 };
                 self.released.insert(worker, release);
                 if let Some(to) = to {
@@ -166,17 +169,17 @@
         self.redirects.clear();
     }
 
-    /// The fencing token of the leader that assigned the shard, 0 for none yet.
+    /// The fencing token of the leader that assigned the shard, or 0 if none has yet.
     pub fn token(&self) -> u64 {
         self.token
     }
 
-    /// Until when this controller may answer the workers of its shard.
+    /// The time until which this controller may answer the workers of its shard.
     pub fn valid_until(&self) -> Millis {
         self.valid_until
     }
 
-    /// How a heartbeat of this worker is treated now.
+    /// Decides how a heartbeat of this worker is treated now.
     pub fn decide(&self, worker: WorkerNumber, now: Millis) -> HeartbeatDecision {
         if self.shard.contains_key(&worker) {
             return if now < self.valid_until {
@@ -191,8 +194,8 @@
         }
     }
 
-    /// Records that a heartbeat that came in at `received_at` is about to be answered. False if
-    /// that is not allowed any more: the process may have paused since the decision.
+    /// Records that a heartbeat received at `received_at` is about to be answered. Returns false if
+    /// it may no longer be answered, since the process may have paused after the decision.
     pub fn record_answer(
         &mut self,
         worker: WorkerNumber,
--- a/crates/sharding/src/table.rs
+++ b/crates/sharding/src/table.rs
@@ -1,77 +1,81 @@
-//! The leader's table: which controller may answer which worker, and since when none may.
+//! The leader's table of which controller may answer which worker, and of when a worker may last have
+//! been answered.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::message::{OwnerStatus, ReleasedWorker, ShardChange, ShardLease};
 use crate::{ControllerIndex, Millis, WorkerNumber};
 
-/// Leases end a little sooner on the shard owner's clock than on the leader's: monotonic clocks
-/// drift apart by 0.05% each way, so a lease is shortened by this fraction of its length,
+/// A lease is shortened by its length divided by this number, so that it ends on the shard owner's
+/// clock before it ends on the leader's. Each monotonic clock may drift by 0.05%.
 const CLOCK_DRIFT_DIVISOR: u64 = 500;
-/// and timers have a granularity of a few ms.
+/// A lease is also shortened by this, because timers have a granularity of a few ms.
 const TIMER_GRANULARITY_MS: Millis = 5;
-/// No change has this version, so no status can acknowledge a release of this version.
-const UNACKNOWLEDGEABLE_VERSION: u64 = 0;
+/// A version that no change has, so that no status can confirm a release with this version.
+const UNCONFIRMABLE_VERSION: u64 = 0;
 
-/// Who may answer a worker. `last_answer` is an upper bound of when it was last answered.
+/// Which controller may answer a worker. In all variants, `last_answer` is an upper bound of when the
+/// worker was last answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Assignment {
-    /// No controller but the leader may answer it, and none has since `last_answer`.
+    /// Only the leader may answer the worker, and no other controller has since `last_answer`.
     Unassigned {
-        /// Nobody has answered it since.
+        /// No shard owner has answered the worker since this time.
         last_answer: Millis,
     },
-    /// This controller may answer it, or will learn that it may.
+    /// This shard owner may answer the worker, now or once it learns of the assignment.
     Owned {
         /// The shard owner.
         owner: ControllerIndex,
         /// The bound for answers of earlier owners.
         last_answer: Millis,
     },
-    /// This controller is to release it. Unless it confirms that, it may answer until `lease_end`.
+    /// This shard owner is to release the worker. It may answer the worker until it confirms the
+    /// release or `lease_end` has passed.
     Releasing {
         /// The shard owner.
         owner: ControllerIndex,
-        /// The change that releases the worker.
+        /// The version of the change that releases the worker.
         version: u64,
-        /// When the last lease without that change ends.
+        /// When the last lease that does not carry that change ends.
         lease_end: Millis,
         /// The bound for answers of earlier owners.
         last_answer: Millis,
     },
 }
 
-/// What the leader knows of a controller as a shard owner.
+/// The leader's state for a controller as a shard owner.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct OwnerState {
-    /// The process that sent the last status, 0 for none yet.
+    /// The process that sent the last status, or 0 if none has been received.
     process: u64,
     /// The number of the last status that was accepted from that process.
-    last_status: u64,
+    last_status_number: u64,
     /// The version of the last change to its shard.
     version: u64,
-    /// At this version its shard was empty: anything older was another process's.
+    /// The version at which its shard was last reset to empty. Earlier changes were made for another
+    /// process.
     base_version: u64,
     /// Changes that it has not acknowledged, the oldest first.
-    pending: VecDeque<(u64, ShardChange)>,
-    /// When its last lease ends, whichever process has it.
+    pending_changes: VecDeque<(u64, ShardChange)>,
+    /// When the last lease of any of its processes ends.
     lease_end: Millis,
 }
 
-/// Which controller may answer which worker.
+/// The leader's table of which controller may answer which worker.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ShardTable {
     token: u64,
     controllers: Vec<OwnerState>,
     workers: BTreeMap<WorkerNumber, Assignment>,
-    /// The next owner of workers that are being released.
+    /// The next owners of workers that are being released.
     next_owners: BTreeMap<WorkerNumber, ControllerIndex>,
-    /// The workers that are being released, so that expiry need not visit all.
+    /// The workers that are being released. [`Self::expire_releases`] visits only these.
     releasing: BTreeSet<WorkerNumber>,
 }
 
 impl ShardTable {
-    /// An empty table of a leader with this fencing token.
+    /// Creates an empty table for the leader with this fencing token.
     pub fn new(token: u64, controllers: usize) -> Self {
         Self {
             token,
@@ -87,15 +91,16 @@
         self.token
     }
 
-    /// Adds a worker. `last_answer`: when it may last have been answered, also by the shard owners
-    /// of an earlier leader. Their leases have ended when that leader's key has expired; if the key
-    /// was removed before, only a TTL after its last renewal.
+    /// Adds a worker. `last_answer` is the latest time at which it may have been answered, also by
+    /// the shard owners of an earlier leader. Their leases have ended when that leader's key expires.
+    /// If the key was removed earlier, they end at the latest one TTL after its last renewal.
     pub fn add(&mut self, worker: WorkerNumber, last_answer: Millis) {
         let assignment = Assignment::Unassigned { last_answer };
         self.workers.entry(worker).or_insert(assignment);
     }
 
-    /// Removes a worker that is gone for good: answers of its shard owner reach nobody.
+    /// Removes a worker that is gone for good. Its shard owner may still answer it, but no worker
+    /// receives those answers.
     pub fn remove(&mut self, worker: WorkerNumber) {
         self.next_owners.remove(&worker);
         self.releasing.remove(&worker);
@@ -104,12 +109,12 @@
         }
     }
 
-    /// Who may answer this worker, `None` if it is not known.
+    /// Which controller may answer this worker, or `None` if the worker is not in the table.
     pub fn assignment(&self, worker: WorkerNumber) -> Option<Assignment> {
         self.workers.get(&worker).copied()
     }
 
-    /// All workers with their owner, or with the next one while the last one releases them.
+    /// All workers with their owners. A worker that is being released is listed with its next owner.
     pub fn planned_owners(&self) -> impl Iterator<Item = (WorkerNumber, Option<ControllerIndex>)> {
         self.workers.iter().map(|(&worker, assignment)| {
             let owner = match *assignment {
@@ -124,7 +129,9 @@
     fn queue_change(&mut self, controller: ControllerIndex, change: ShardChange) -> u64 {
         let controller = self.owner_state(controller);
         controller.version += 1;
-        controller.pending.push_back((controller.version, change));
+        controller
+            .pending_changes
+            .push_back((controller.version, change));
         controller.version
     }
 
@@ -132,8 +139,9 @@
         &mut self.controllers[controller as usize]
     }
 
-    /// Assigns a worker to this controller, or to none, as is needed before it is recorded as
-    /// unresponsive. Takes effect once the current owner has released it.
+    /// Assigns a worker to this controller, or revokes it if `to` is `None`, which must happen before
+    /// the worker is recorded as unresponsive. Takes effect once the current owner has released the
+    /// worker.
     pub fn reassign(&mut self, worker: WorkerNumber, to: Option<ControllerIndex>) {
         let Some(&assignment) = self.workers.get(&worker) else {
             return;
@@ -158,7 +166,7 @@
         }
     }
 
-    /// No shard owner may answer this worker any more: it goes to the next owner, if there is one.
+    /// Assigns a worker that no shard owner may answer any more to its next owner, if it has one.
     fn complete_release(&mut self, worker: WorkerNumber, last_answer: Millis) {
         self.releasing.remove(&worker);
         let assignment = match self.next_owners.remove(&worker) {
@@ -171,8 +179,8 @@
         self.workers.insert(worker, assignment);
     }
 
-    /// Revokes all workers of a controller that is unreachable. They are free once its lease has
-    /// ended; any later lease carries the releases.
+    /// Revokes all workers of a controller that is unreachable. They can be assigned again once its
+    /// lease has ended. Any later lease for it carries the releases.
     pub fn revoke_all(&mut self, controller: ControllerIndex) {
         let is_owned = |assignment: &Assignment| matches!(assignment, Assignment::Owned { owner, .. } if *owner == controller);
         let owned: Vec<WorkerNumber> = self
@@ -186,36 +194,36 @@
         }
     }
 
-    /// Another process of a controller sends statuses. Which of the two is the later one is not
-    /// known here, so the other's lease counts until it ends, and the sender's shard is reset.
+    /// Handles a status from another process of a controller. Either process may be the later one, so
+    /// the lease of the other one counts until it ends, and the shard of the sender is reset.
     fn switch_process(&mut self, from: ControllerIndex, process: u64) {
         let controller = self.owner_state(from);
         let is_first = controller.process == 0;
         controller.process = process;
-        controller.last_status = 0;
+        controller.last_status_number = 0;
         if !is_first {
             self.reset_shard(from);
         }
     }
 
-    /// Resets the shard of a controller whose process knows nothing of what another process
-    /// owned and answered.
+    /// Resets the shard of a controller whose process does not know which workers another process
+    /// owned and when it answered them.
     fn reset_shard(&mut self, from: ControllerIndex) {
         self.revoke_all(from);
         for worker in &self.releasing {
             if let Some(Assignment::Releasing { owner, version, .. }) = self.workers.get_mut(worker)
                 && *owner == from
             {
-                *version = UNACKNOWLEDGEABLE_VERSION;
+                *version = UNCONFIRMABLE_VERSION;
             }
         }
         let controller = self.owner_state(from);
-        controller.pending.clear();
+        controller.pending_changes.clear();
         controller.version += 1;
         controller.base_version = controller.version;
     }
 
-    /// Completes the releases that were not confirmed by controllers whose leases have ended.
+    /// Completes the releases that are not confirmed but whose shard owner's lease has ended.
     pub fn expire_releases(&mut self, now: Millis) {
         let expired = |worker: &WorkerNumber| match *self.workers.get(worker)? {
             Assignment::Releasing {
@@ -232,9 +240,9 @@
         }
     }
 
-    /// Handles the status of a shard owner and returns the lease that answers it. `valid_for`: how
-    /// long this leader is itself valid. `None` for a status that is not newer than the last one,
-    /// which proves nothing.
+    /// Handles the status of a shard owner and returns the lease that answers it. `valid_for` is how
+    /// long this leader is itself valid. Returns `None` for a status that is not newer than the last
+    /// one: it may be a late duplicate, and is ignored.
     pub fn handle_status(
         &mut self,
         now: Millis,
@@ -246,13 +254,13 @@
             self.switch_process(from, status.process);
         }
         let controller = self.owner_state(from);
-        if status.number <= controller.last_status {
+        if status.number <= controller.last_status_number {
             return None;
         }
-        controller.last_status = status.number;
+        controller.last_status_number = status.number;
         if status.token == self.token {
             self.owner_state(from)
-                .pending
+                .pending_changes
                 .retain(|(version, _)| *version > status.applied_version);
             for released in &status.released {
                 self.confirm_release(now, from, released);
@@ -262,7 +270,7 @@
         Some(self.issue_lease(now, from, status, valid_for))
     }
 
-    /// Completes a release if the shard owner confirms the very change that requested it.
+    /// Completes a release if the shard owner confirms exactly the change that requested it.
     fn confirm_release(&mut self, now: Millis, from: ControllerIndex, released: &ReleasedWorker) {
         let Some(&Assignment::Releasing {
             owner,
@@ -274,7 +282,8 @@
             return;
         };
         if owner == from && version == released.version {
-            // Ages count from when the status was sent, which was before now.
+            // Ages count from when the status was sent, which was before `now`, so this time is an
+            // upper bound.
             let answered_at = released
                 .last_answer_age_ms
                 .map_or(last_answer, |age| now.saturating_sub(age));
@@ -303,14 +312,14 @@
         }
     }
 
-    /// The changes that a controller has not acknowledged: any lease for it may carry them.
+    /// The changes that a controller has not acknowledged. Any lease for it may carry them.
     pub fn pending_changes(&self, controller: ControllerIndex) -> Vec<(u64, ShardChange)> {
-        let pending = &self.controllers[controller as usize].pending;
+        let pending = &self.controllers[controller as usize].pending_changes;
         pending.iter().copied().collect()
     }
 
-    /// When a worker may last have been answered, for the end of its lease. `None`: a shard owner
-    /// may answer it now.
+    /// The latest time at which a worker may have been answered, from which its lease counts, or
+    /// `None` if a shard owner may answer it now.
     pub fn unanswered_since(&self, worker: WorkerNumber) -> Option<Millis> {
         match self.workers.get(&worker)? {
             Assignment::Unassigned { last_answer } => Some(*last_answer),
