--- a/crates/model-checker/src/explore.rs
+++ b/crates/model-checker/src/explore.rs
@@ -5,52 +5,56 @@
 
 use crate::{History, ModelState};
 
-/// The step that first led to a world, and the position of the step before it.
+/// The step that first led to a state, with the index of the step before it.
 struct Step {
     name: &'static str,
     previous: usize,
 }
 
-/// Stands for the start, which no step led to.
-const START: usize = 0;
+/// The index that stands for the start, to which no step leads.
+const INITIAL_STEP: usize = 0;
 
-/// A world whose successors are to be explored.
-struct Visit<W> {
-    world: W,
+/// A state that has been reached and is still to be checked and expanded.
+struct PendingState<S> {
+    state: S,
     step: usize,
     depth: usize,
 }
 
-/// Explores all histories until more than `states` different worlds were seen.
+/// Explores all histories, breadth first, until more than `max_states` distinct states were reached.
 ///
-/// Returns up to which depth all histories were explored, `usize::MAX` if there are no more
-/// worlds, or the shortest history that breaks the property.
-pub fn explore<W: ModelState>(start: W, states: usize) -> Result<usize, History> {
-    let mut seen = HashSet::from([fingerprint(&start)]);
+/// Returns the depth up to which all histories were explored, or `usize::MAX` if all reachable states
+/// were explored.
+///
+/// # Errors
+///
+/// The shortest history that violates the property.
+pub fn explore<S: ModelState>(start: S, max_states: usize) -> Result<usize, History> {
+    let mut fingerprints = HashSet::from([fingerprint(&start)]);
     let mut steps = vec![Step {
         name: "",
-        previous: START,
+        previous: INITIAL_STEP,
     }];
-    let mut queue = VecDeque::from([Visit {
-        world: start,
-        step: START,
+    let mut queue = VecDeque::from([PendingState {
+        state: start,
+        step: INITIAL_STEP,
         depth: 0,
     }]);
-    while let Some(Visit { world, step, depth }) = queue.pop_front() {
-        if world.violates_property() {
+    while let Some(PendingState { state, step, depth }) = queue.pop_front() {
+        if state.violates_property() {
             return Err(history_to(step, &steps));
         }
-        if seen.len() > states {
+        if fingerprints.len() > max_states {
             return Ok(depth);
         }
-        for (name, next) in world.successors() {
-            if seen.insert(fingerprint(&next)) {
+        for (name, next) in state.successors() {
+            if fingerprints.insert(fingerprint(&next)) {
                 steps.push(Step {
                     name,
                     previous: step,
                 });
-                queue.push_back(Visit {
-                    world: next,
+                queue.push_back(PendingState {
+                    state: next,
                     step: steps.len() - 1,
                     depth: depth + 1,
                 });
@@ -60,15 +64,15 @@
     Ok(usize::MAX)
 }
 
-fn fingerprint<W: ModelState>(world: &W) -> u64 {
+fn fingerprint<S: ModelState>(state: &S) -> u64 {
     let mut hasher = DefaultHasher::new();
-    world.hash(&mut hasher);
+    state.hash(&mut hasher);
     hasher.finish()
 }
 
 fn history_to(mut step: usize, steps: &[Step]) -> History {
     let mut history = Vec::new();
-    while step != START {
+    while step != INITIAL_STEP {
         history.push(steps[step].name);
         step = steps[step].previous;
     }
--- a/crates/model-checker/src/successors.rs
+++ b/crates/model-checker/src/successors.rs
@@ -1,34 +1,34 @@
-//! Collects the steps that may be taken next in a world.
+//! Collects the steps that are possible from a state.
 
 use crate::ModelState;
 
-/// The steps that may be taken from one world, and the worlds after them.
+/// The possible steps from one state, with the states after them.
 #[derive(Debug)]
-pub struct Successors<'a, W> {
-    world: &'a W,
-    taken: Vec<(&'static str, W)>,
+pub struct Successors<'a, S> {
+    state: &'a S,
+    successors: Vec<(&'static str, S)>,
 }
 
-impl<'a, W: ModelState> Successors<'a, W> {
-    /// No steps yet.
-    pub fn new(world: &'a W) -> Self {
+impl<'a, S: ModelState> Successors<'a, S> {
+    /// Starts without any step.
+    pub fn new(state: &'a S) -> Self {
         Self {
-            world,
-            taken: Vec::new(),
+            state,
+            successors: Vec::new(),
         }
     }
 
-    /// Adds a step, if it may be taken: `step` changes a copy of the world, and returns whether
-    /// it was possible there.
-    pub fn add(&mut self, name: &'static str, step: impl FnOnce(&mut W) -> bool) {
-        let mut next = self.world.clone();
+    /// Adds a step if it is possible. `step` changes a copy of the state, and returns whether the step
+    /// is possible there.
+    pub fn add(&mut self, name: &'static str, step: impl FnOnce(&mut S) -> bool) {
+        let mut next = self.state.clone();
         if step(&mut next) {
-            self.taken.push((name, next));
+            self.successors.push((name, next));
         }
     }
 
-    /// All possible steps, in the order in which they were added.
-    pub fn into_vec(self) -> Vec<(&'static str, W)> {
-        self.taken
+    /// The possible steps, in the order in which they were added.
+    pub fn into_vec(self) -> Vec<(&'static str, S)> {
+        self.successors
     }
 }
--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -1,35 +1,39 @@
-//! Random histories.
+//! Random search.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 use crate::{History, ModelState};
 
-/// Takes `walks` random histories to their end, or to `limit` steps each. The seed of each is its
-/// number.
+/// Takes `walks` random histories, each until no step is possible or `max_steps` steps were taken. The
+/// seed of each history is its number.
 ///
-/// Returns how many steps were taken, or a history that breaks the property.
-pub fn walk<W: ModelState>(start: &W, walks: u64, limit: usize) -> Result<usize, History> {
-    let mut taken = 0;
+/// Returns the total number of steps.
+///
+/// # Errors
+///
+/// The first history that violates the property.
+pub fn walk<S: ModelState>(start: &S, walks: u64, max_steps: usize) -> Result<usize, History> {
+    let mut steps = 0;
     for seed in 0..walks {
-        taken += walk_once(start, seed, limit)?;
+        steps += walk_once(start, seed, max_steps)?;
     }
-    Ok(taken)
+    Ok(steps)
 }
 
-fn walk_once<W: ModelState>(start: &W, seed: u64, limit: usize) -> Result<usize, History> {
+fn walk_once<S: ModelState>(start: &S, seed: u64, max_steps: usize) -> Result<usize, History> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut world = start.clone();
+    let mut state = start.clone();
     let mut history = Vec::new();
-    while history.len() < limit {
-        let mut successors = world.successors();
+    while history.len() < max_steps {
+        let mut successors = state.successors();
         if successors.is_empty() {
             break;
         }
         let (name, next) = successors.swap_remove(rng.random_range(0..successors.len()));
         history.push(name);
-        world = next;
-        if world.violates_property() {
+        state = next;
+        if state.violates_property() {
             return Err(history);
         }
     }
--- a/crates/model-checker/tests/search.rs
+++ b/crates/model-checker/tests/search.rs
@@ -1,8 +1,9 @@
-//! The searches find what is broken, by the shortest way, and end where there is no more.
+//! Tests of both searches: they find states that violate the property, and they stop at their limits and
+//! when no step is left. `explore` returns the shortest history.
 
 use copperfield_model_checker::{ModelState, Successors, explore, replay, walk};
 
-/// Counts up by one or two, to `end` at most; broken at `forbidden`.
+/// A counter that increases by one or two, up to `end`. The value `forbidden` violates the property.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Counter {
     value: u32,
@@ -46,39 +47,39 @@
 }
 
 #[test]
-fn exploration_returns_the_shortest_history_that_breaks_the_property() {
+fn exploration_returns_the_shortest_history_that_violates_the_property() {
     let found = explore(Counter::to(9).forbidding(5), 100);
     assert_eq!(found, Err(vec!["one", "two", "two"]));
 }
 
 #[test]
-fn exploration_of_a_finite_world_ends() {
+fn exploration_of_a_finite_system_ends() {
     assert_eq!(explore(Counter::to(9), 100), Ok(usize::MAX));
 }
 
 #[test]
-fn exploration_stops_at_its_number_of_states_and_returns_the_depth() {
-    // The worlds 0 to 4 are seen when those one step deep have been explored.
+fn exploration_stops_at_its_limit_of_states_and_returns_the_depth() {
+    // The values 0 to 4 have been reached once the states at depth 1 are expanded.
     assert_eq!(explore(Counter::to(9), 4), Ok(2));
 }
 
 #[test]
-fn walks_end_where_no_step_is_left_or_at_their_limit() {
-    let taken = walk(&Counter::to(2), 50, 10).expect("nothing is forbidden");
-    assert!((50..=100).contains(&taken), "{taken} steps");
+fn walks_end_when_no_step_is_possible_or_at_their_limit() {
+    let steps = walk(&Counter::to(2), 50, 10).expect("nothing is forbidden");
+    assert!((50..=100).contains(&steps), "{steps} steps");
     assert_eq!(walk(&Counter::to(1000), 50, 10), Ok(500));
 }
 
 #[test]
-fn walks_find_what_is_broken_and_repeat_it() {
-    let world = Counter::to(9).forbidding(5);
-    let found = walk(&world, 100, 10).expect_err("most walks pass there");
-    assert!(replay(world.clone(), &found).violates_property());
-    assert_eq!(walk(&world, 100, 10), Err(found));
+fn walks_find_a_violation_and_are_repeatable() {
+    let start = Counter::to(9).forbidding(5);
+    let found = walk(&start, 100, 10).expect_err("most walks reach the forbidden value");
+    assert!(replay(start.clone(), &found).violates_property());
+    assert_eq!(walk(&start, 100, 10), Err(found));
 }
 
 #[test]
-#[should_panic(expected = "two cannot happen here")]
-fn a_history_with_an_impossible_step_is_refused() {
+#[should_panic(expected = "step \"two\" is not possible here")]
+fn replaying_an_impossible_step_panics() {
     replay(Counter::to(2), &["one", "two"]);
 }
--- a/crates/sharding/tests/rendezvous.rs
+++ b/crates/sharding/tests/rendezvous.rs
@@ -1,33 +1,35 @@
-//! Rendezvous hashing: stable rankings, loads by weight, and preference for the worker's zone.
+//! Tests of rendezvous hashing: rankings are stable, loads follow the weights, and controllers in the
+//! worker's own zone are preferred.
 
 use copperfield_sharding::{ControllerCapacity, load_limits, rank_controllers};
 use proptest::prelude::*;
 
 proptest! {
-    /// A controller that goes changes only what it ranked first for, and limits leave room for all.
+    /// Removing a controller leaves the order of the others unchanged, and the load limits leave room for
+    /// all workers.
     #[test]
-    fn a_lost_controller_leaves_the_order_of_the_others_unchanged(
+    fn removing_a_controller_keeps_the_order_of_the_others(
         worker in any::<u32>(),
         weights in prop::collection::vec((1u32..4, 0u32..3), 2..6),
-        lost in 0usize..6,
+        removed in 0usize..6,
     ) {
         let mut controllers: Vec<ControllerCapacity> = weights
             .iter()
             .map(|&(weight, zone)| ControllerCapacity { zone, weight: f64::from(weight) })
             .collect();
-        let lost = lost % controllers.len();
+        let removed = removed % controllers.len();
         let mut before = rank_controllers(&controllers, worker, worker % 3);
         prop_assert!(load_limits(&controllers, 100).iter().sum::<usize>() >= 100);
-        controllers[lost].weight = 0.0;
-        before.retain(|&index| index != lost);
+        controllers[removed].weight = 0.0;
+        before.retain(|&index| index != removed);
         prop_assert_eq!(rank_controllers(&controllers, worker, worker % 3), before);
-        prop_assert_eq!(load_limits(&controllers, 100)[lost], 0);
+        prop_assert_eq!(load_limits(&controllers, 100)[removed], 0);
     }
 }
 
-/// Workers are spread by weight, and most have a controller of their own zone.
+/// Workers are spread by weight, and a controller in the worker's own zone ranks first for most workers.
 #[test]
-fn heavier_controllers_rank_first_more_often_and_most_workers_stay_in_their_zone() {
+fn higher_weights_rank_first_more_often_and_most_workers_stay_in_their_zone() {
     let controller = |zone, weight| ControllerCapacity { zone, weight };
     let controllers = [controller(0, 1.0), controller(1, 1.0), controller(2, 2.0)];
     let first = |worker: u32| rank_controllers(&controllers, worker, worker % 3)[0];
