--- a/crates/heartbeat-forwarder/src/buffer.rs
+++ b/crates/heartbeat-forwarder/src/buffer.rs
@@ -5,15 +5,16 @@
 use copperfield_protocol::peer::ForwardedHeartbeat;
 use copperfield_protocol::worker::Heartbeat;
 
-use crate::answers::Action;
-use crate::status::BodyBudget;
+use crate::action::Action;
+use crate::status::StatusBudget;
 
-/// A worker waits 4 s for an answer; before that it is redirected to the leader.
+/// A worker is redirected to the leader after it has waited for an answer this long. Workers give
+/// up after 4 s.
 const MAX_WAIT_MS: u64 = 2500;
-/// Sequences of so many workers that are gone are kept without harm.
+/// The sequences of up to this many workers that are gone are kept, which does no harm.
 const MAX_STALE_SEQUENCES: usize = 256;
 
-/// Orders the heartbeats of a worker.
+/// The position of a heartbeat in the order of all heartbeats of a worker.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Sequence {
     incarnation: u64,
@@ -32,14 +33,15 @@
 struct BufferedHeartbeat {
     heartbeat: Heartbeat,
     received_at: u64,
-    /// The number of the status that forwards it to the leader, once one does.
+    /// The number of the status that forwards it to the leader, or `None` if none does yet.
     forwarded_in: Option<u64>,
-    /// Its worker waits for an answer under this ticket.
+    /// The ticket under which its worker waits for an answer, or `None` if the worker does not
+    /// wait.
     ticket: Option<u64>,
 }
 
 impl BufferedHeartbeat {
-    fn forward(&self, now: u64, waits: bool) -> ForwardedHeartbeat {
+    fn to_forwarded(&self, now: u64, waits: bool) -> ForwardedHeartbeat {
         ForwardedHeartbeat {
             heartbeat: self.heartbeat.clone(),
             age_ms: now - self.received_at,
@@ -48,12 +50,13 @@
     }
 }
 
-/// A heartbeat that was put into the buffer.
+/// The result of adding a heartbeat to the buffer.
 pub(crate) struct Insertion {
-    /// The ticket of the worker's last heartbeat, if that still waited.
+    /// The ticket of the worker's previous heartbeat, if the worker still waited under it.
     pub(crate) superseded_ticket: Option<u64>,
-    /// It differs from the last one in what the leader acts on.
-    pub(crate) is_news: bool,
+    /// Whether the heartbeat is the worker's first one here, or differs from the previous one in
+    /// what the leader acts on.
+    pub(crate) has_changes: bool,
 }
 
 /// A heartbeat whose worker waits for an answer.
@@ -64,19 +67,20 @@
     pub(crate) token: u64,
 }
 
-/// What remains of a buffered heartbeat when this controller becomes the leader.
+/// A buffered heartbeat that is handed over when this controller becomes the leader.
 pub struct DrainedHeartbeat {
     /// The heartbeat with its age.
     pub forwarded: ForwardedHeartbeat,
-    /// The ticket, if its worker still waits for an answer.
+    /// The ticket under which its worker waits for an answer, if it does.
     pub ticket: Option<u64>,
 }
 
+/// The last heartbeat of each worker, and which status forwards it.
 pub(crate) struct HeartbeatBuffer {
     by_worker: BTreeMap<String, BufferedHeartbeat>,
-    /// The newest heartbeat of each worker that came here.
-    newest: HashMap<String, Sequence>,
-    /// How long a heartbeat is news to a leader that has not received it.
+    /// The newest sequence received from each worker.
+    newest_sequences: HashMap<String, Sequence>,
+    /// How long a heartbeat is kept for a leader that has not received it.
     retention_ms: u64,
 }
 
@@ -84,13 +88,13 @@
     pub(crate) fn new(retention_ms: u64) -> Self {
         Self {
             by_worker: BTreeMap::new(),
-            newest: HashMap::new(),
+            newest_sequences: HashMap::new(),
             retention_ms,
         }
     }
 
-    /// Puts a heartbeat in place of the worker's last one. `None` for a duplicate or an outdated
-    /// heartbeat: nobody waits for the answer, and it renews nothing.
+    /// Replaces the worker's previous heartbeat by this one. Returns `None` for a duplicate or
+    /// outdated heartbeat: the worker does not wait for its answer, and its answer renews no lease.
     pub(crate) fn insert(
         &mut self,
         now: u64,
@@ -98,7 +102,7 @@
         heartbeat: Heartbeat,
     ) -> Option<Insertion> {
         let worker = heartbeat.worker.clone();
-        let newest = self.newest.entry(worker.clone()).or_default();
+        let newest = self.newest_sequences.entry(worker.clone()).or_default();
         let sequence = Sequence::of(&heartbeat);
         if sequence <= *newest {
             return None;
@@ -107,7 +111,7 @@
         let last = self.by_worker.get(&worker);
         let insertion = Insertion {
             superseded_ticket: last.and_then(|last| last.ticket),
-            is_news: last.is_none_or(|last| is_news(&last.heartbeat, &heartbeat)),
+            has_changes: last.is_none_or(|last| differs_for_leader(&last.heartbeat, &heartbeat)),
         };
         let buffered = BufferedHeartbeat {
             heartbeat,
@@ -119,8 +123,8 @@
         Some(insertion)
     }
 
-    /// The heartbeat of a worker, if the worker waits for the answer.
-    pub(crate) fn waiting(&self, worker: &str) -> Option<WaitingHeartbeat> {
+    /// The heartbeat of a worker that waits for an answer.
+    pub(crate) fn waiting_heartbeat(&self, worker: &str) -> Option<WaitingHeartbeat> {
         let buffered = self.by_worker.get(worker)?;
         Some(WaitingHeartbeat {
             ticket: buffered.ticket?,
@@ -136,16 +140,16 @@
         waiting.map(|(worker, _)| worker.clone()).collect()
     }
 
-    /// A worker is answered.
+    /// Records that a worker has been answered.
     pub(crate) fn mark_answered(&mut self, worker: &str) {
         if let Some(buffered) = self.by_worker.get_mut(worker) {
             buffered.ticket = None;
         }
     }
 
-    /// A worker is redirected, if it waits: returns its ticket. Its heartbeat is still forwarded
-    /// to the leader, unless it has been.
-    pub(crate) fn take_redirected(&mut self, worker: &str) -> Option<u64> {
+    /// Returns the ticket of a worker that waits and is to be redirected. Its heartbeat is kept
+    /// until it has been forwarded to the leader.
+    pub(crate) fn take_ticket_for_redirect(&mut self, worker: &str) -> Option<u64> {
         let buffered = self.by_worker.get_mut(worker)?;
         let ticket = buffered.ticket.take()?;
         if buffered.forwarded_in.is_some() {
@@ -154,7 +158,7 @@
         Some(ticket)
     }
 
-    /// Drops heartbeats that are too old, and redirects those that have waited too long.
+    /// Drops heartbeats that are too old, and redirects workers that have waited too long.
     pub(crate) fn expire(&mut self, now: u64) -> Vec<Action> {
         let retention_ms = self.retention_ms;
         let mut actions = Vec::new();
@@ -170,24 +174,25 @@
         actions
     }
 
-    /// Forgets the sequences of workers that are gone, once there are many.
+    /// Removes the sequences of workers that are gone, once there are many.
     pub(crate) fn prune_sequences(&mut self, known_workers: &HashMap<String, u32>) {
         let live = known_workers.len() + self.by_worker.len();
-        if self.newest.len() > 2 * live + MAX_STALE_SEQUENCES {
+        if self.newest_sequences.len() > 2 * live + MAX_STALE_SEQUENCES {
             let by_worker = &self.by_worker;
-            self.newest.retain(|worker, _| {
+            self.newest_sequences.retain(|worker, _| {
                 known_workers.contains_key(worker) || by_worker.contains_key(worker)
             });
         }
     }
 
-    /// The heartbeats to forward in the status of this number, as many as fit. Workers that wait
-    /// come first, and in every status: the leader need not remember that they do.
-    pub(crate) fn forward(
+    /// Returns the heartbeats to forward in the status of this number, as many as fit. Heartbeats
+    /// whose workers wait come first, and are part of every status, so that the leader need not
+    /// remember that they wait.
+    pub(crate) fn forward_in_status(
         &mut self,
         now: u64,
-        status: u64,
-        budget: &mut BodyBudget,
+        status_number: u64,
+        budget: &mut StatusBudget,
     ) -> Vec<ForwardedHeartbeat> {
         let mut forwarded = Vec::new();
         for waits in [true, false] {
@@ -199,18 +204,18 @@
                 if !budget.reserve_heartbeat(&buffered.heartbeat) {
                     break;
                 }
-                buffered.forwarded_in = Some(status);
-                forwarded.push(buffered.forward(now, waits));
+                buffered.forwarded_in = Some(status_number);
+                forwarded.push(buffered.to_forwarded(now, waits));
             }
         }
         forwarded
     }
 
-    /// A status was lost: forwards its heartbeats again. Returns whether there were any.
-    pub(crate) fn forward_again(&mut self, lost_status: u64) -> bool {
+    /// Marks the heartbeats of a lost status as not forwarded. Returns whether there were any.
+    pub(crate) fn mark_unforwarded(&mut self, lost_status_number: u64) -> bool {
         let mut any = false;
         for buffered in self.by_worker.values_mut() {
-            if buffered.forwarded_in == Some(lost_status) {
+            if buffered.forwarded_in == Some(lost_status_number) {
                 buffered.forwarded_in = None;
                 any = true;
             }
@@ -218,23 +223,25 @@
         any
     }
 
-    /// Another leader has received nothing but the statuses from `since_status` on.
-    pub(crate) fn forward_again_before(&mut self, since_status: u64) {
+    /// Marks heartbeats as not forwarded unless the status `since_status_number` or a later one
+    /// forwards them. A new leader has received no earlier status.
+    pub(crate) fn mark_unforwarded_before(&mut self, since_status_number: u64) {
         for buffered in self.by_worker.values_mut() {
-            buffered.forwarded_in = buffered.forwarded_in.filter(|n| *n >= since_status);
+            buffered.forwarded_in = buffered.forwarded_in.filter(|n| *n >= since_status_number);
         }
     }
 
-    /// Another leader has received nothing.
-    pub(crate) fn forward_all_again(&mut self) {
+    /// Marks all heartbeats as not forwarded, since a new leader has received none.
+    pub(crate) fn mark_all_unforwarded(&mut self) {
         for buffered in self.by_worker.values_mut() {
             buffered.forwarded_in = None;
         }
     }
 
+    /// Returns all buffered heartbeats.
     pub(crate) fn drain(self, now: u64) -> Vec<DrainedHeartbeat> {
         let drained = |buffered: BufferedHeartbeat| DrainedHeartbeat {
-            forwarded: buffered.forward(now, false),
+            forwarded: buffered.to_forwarded(now, false),
             ticket: buffered.ticket,
         };
         self.by_worker.into_values().map(drained).collect()
@@ -242,7 +249,7 @@
 }
 
 /// Whether a heartbeat differs from the worker's last one in what the leader acts on.
-fn is_news(last: &Heartbeat, heartbeat: &Heartbeat) -> bool {
+fn differs_for_leader(last: &Heartbeat, heartbeat: &Heartbeat) -> bool {
     last.tasks != heartbeat.tasks
         || last.incarnation != heartbeat.incarnation
         || last.token != heartbeat.token
--- a/crates/heartbeat-forwarder/src/lib.rs
+++ b/crates/heartbeat-forwarder/src/lib.rs
@@ -1,7 +1,7 @@
 #![doc = include_str!("../README.md")]
 #![warn(missing_docs)]
 
-mod answers;
+mod action;
 mod buffer;
 mod status;
 
@@ -11,36 +11,38 @@
 use copperfield_protocol::worker::Heartbeat;
 use copperfield_sharding::{HeartbeatDecision, ShardOwner};
 
-pub use answers::Action;
+pub use action::Action;
 pub use buffer::DrainedHeartbeat;
 
 use buffer::HeartbeatBuffer;
-use status::{BodyBudget, MAX_IN_FLIGHT, StatusQueue};
+use status::{MAX_IN_FLIGHT, StatusBudget, StatusQueue};
 
-/// The lease of a shard owner.
+/// The fencing token and the end of a shard owner's lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseValidity {
-    /// The fencing token under which workers are answered, 0 for none yet.
+    /// The fencing token under which workers are answered, or 0 if there is none yet.
     pub token: u64,
-    /// Until when they may be.
+    /// The time until which workers may be answered, in ms.
     pub valid_until: u64,
 }
 
-/// A shard owner with the heartbeats of its workers and the statuses that it sends to the leader.
+/// A shard owner, with the buffered heartbeats of its workers and the statuses that it sends to the
+/// leader.
 pub struct HeartbeatForwarder {
     own_index: u32,
     shard_owner: ShardOwner,
-    /// The leader's number of each worker.
+    /// The leader's numbers for workers, by worker name.
     worker_numbers: HashMap<String, u32>,
     buffer: HeartbeatBuffer,
     statuses: StatusQueue,
 }
 
 impl HeartbeatForwarder {
-    /// `own_index`: this controller's index among all; `process`: drawn at random by each
-    /// forwarder, never 0; `heartbeat_interval_s`: how often workers send heartbeats.
+    /// Creates a forwarder without a lease. `own_index` is this controller's index among all
+    /// controllers. `process` is a random number that identifies this forwarder, never 0.
+    /// `heartbeat_interval_s` is the interval at which workers send heartbeats.
     pub fn new(own_index: u32, process: u64, heartbeat_interval_s: f64) -> Self {
-        // One and a half heartbeat intervals, and a second.
+        // One and a half heartbeat intervals plus one second.
         let retention_ms = (heartbeat_interval_s * 1500.0) as u64 + 1000;
         Self {
             own_index,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// The lease under which workers are answered.
+    /// The current lease.
     pub fn lease(&self) -> LeaseValidity {
         LeaseValidity {
             token: self.shard_owner.token(),
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Handles a heartbeat that waits for its answer under this ticket.
+    /// Handles a heartbeat whose worker waits for an answer under this ticket.
     pub fn handle_heartbeat(&mut self, now: u64, ticket: u64, heartbeat: Heartbeat) -> Vec<Action> {
         let worker = heartbeat.worker.clone();
         let Some(insertion) = self.buffer.insert(now, ticket, heartbeat) else {
@@ -67,19 +69,20 @@
         };
         let superseded = insertion.superseded_ticket.map(Action::redirect_to_leader);
         let answer = self.answer_waiting(now, &worker);
-        if insertion.is_news || answer.is_none() {
-            self.statuses.mark_news();
+        if insertion.has_changes || answer.is_none() {
+            self.statuses.expedite();
         }
         superseded.into_iter().chain(answer).collect()
     }
 
-    /// The answer to a worker that waits, if it can be given now.
+    /// Answers a worker that waits, if that is possible now.
     fn answer_waiting(&mut self, now: u64, worker: &str) -> Option<Action> {
-        let waiting = self.buffer.waiting(worker)?;
+        let waiting = self.buffer.waiting_heartbeat(worker)?;
         let ticket = waiting.ticket;
         let number = *self.worker_numbers.get(worker)?;
         match self.shard_owner.decide(number, now) {
-            // The worker has seen a newer leader than this controller, and would drop the answer.
+            // The worker has seen a newer leader than this controller has, and would drop the
+            // answer.
             HeartbeatDecision::Answer(token) if token < waiting.token => None,
             HeartbeatDecision::Answer(token) => {
                 let received_at = waiting.received_at;
@@ -90,7 +93,7 @@
                 Some(Action::Answer { ticket, token })
             }
             HeartbeatDecision::Redirect(to) if to != self.own_index => {
-                self.buffer.take_redirected(worker);
+                self.buffer.take_ticket_for_redirect(worker);
                 let to = Some(to);
                 Some(Action::Redirect { ticket, to })
             }
@@ -103,33 +106,35 @@
         self.statuses.push_outcome(message_id, outcome);
     }
 
-    /// Another leader is seen, or the same one after a restart: it has received nothing, and did
-    /// not send the messages whose outcomes are known.
+    /// Handles a new leader, or a restart of the same one. It has received no heartbeats, and it
+    /// did not send the messages whose outcomes are queued.
     pub fn handle_new_leader(&mut self) {
-        self.buffer.forward_all_again();
+        self.buffer.mark_all_unforwarded();
         self.statuses.reset();
     }
 
-    /// Advances the time: heartbeats that have waited too long are redirected.
+    /// Advances the time. Returns redirects for the workers that have waited too long.
     pub fn tick(&mut self, now: u64) -> Vec<Action> {
         let actions = self.buffer.expire(now);
         self.buffer.prune_sequences(&self.worker_numbers);
         actions
     }
 
-    /// The next status for the leader, if it is due. Its answer goes to [`Self::handle_update`],
-    /// the lack of one to [`Self::handle_lost_status`].
+    /// Returns the next status for the leader, if it is due. The caller passes the answer to
+    /// [`Self::handle_update`], or calls [`Self::handle_lost_status`] if there is none.
     pub fn next_status(&mut self, now: u64) -> Option<ShardStatus> {
         if !self.statuses.is_due(now) {
             return None;
         }
         let owner_status = self.shard_owner.next_status(now, MAX_IN_FLIGHT);
         let number = owner_status.number;
-        let mut budget = BodyBudget::new();
+        let mut budget = StatusBudget::new();
         let outcomes = self.statuses.take_outcomes(&mut budget);
-        let forwarded = self.buffer.forward(now, number, &mut budget);
+        let forwarded = self.buffer.forward_in_status(now, number, &mut budget);
         let has_more = budget.is_exceeded();
-        let oldest = self.statuses.push(now, number, outcomes.clone(), has_more);
+        let oldest = self
+            .statuses
+            .record_sent(now, number, outcomes.clone(), has_more);
         if let Some(oldest) = oldest {
             self.handle_lost_status(oldest);
         }
@@ -142,17 +147,19 @@
         })
     }
 
-    /// Handles the leader's answer to a status, and answers the workers that waited for it.
+    /// Handles the leader's answer to a status, and answers the waiting workers that it allows to
+    /// answer.
     pub fn handle_update(&mut self, now: u64, update: &ShardUpdate) -> Vec<Action> {
         let lease = &update.shard_lease;
         if !self.statuses.acknowledge(lease.status_number) {
             return Vec::new();
         }
         if lease.token > self.shard_owner.token() {
-            // Worker numbers are a leader's own. It has received this status and no earlier one.
+            // Each leader assigns its own worker numbers. This leader has received this status and
+            // no earlier one.
             self.worker_numbers.clear();
-            self.buffer.forward_again_before(lease.status_number);
-            self.statuses.mark_news();
+            self.buffer.mark_unforwarded_before(lease.status_number);
+            self.statuses.expedite();
         }
         for (number, worker) in &update.names {
             self.worker_numbers.insert(worker.clone(), *number);
@@ -160,7 +167,7 @@
         self.shard_owner.handle_lease(lease);
         let mut actions = Vec::new();
         for (worker, to) in &update.redirects {
-            let ticket = self.buffer.take_redirected(worker);
+            let ticket = self.buffer.take_ticket_for_redirect(worker);
             let to = Some(*to);
             actions.extend(ticket.map(|ticket| Action::Redirect { ticket, to }));
         }
@@ -172,14 +179,14 @@
         actions
     }
 
-    /// No answer to a status came: sends its content again.
+    /// Handles a status that was not answered: its content is sent again.
     pub fn handle_lost_status(&mut self, number: u64) {
-        if self.statuses.requeue(number) && self.buffer.forward_again(number) {
-            self.statuses.mark_news();
+        if self.statuses.requeue_outcomes(number) && self.buffer.mark_unforwarded(number) {
+            self.statuses.expedite();
         }
     }
 
-    /// This controller becomes the leader: the heartbeats that it has buffered.
+    /// Returns the buffered heartbeats when this controller becomes the leader.
     pub fn into_buffered_heartbeats(self, now: u64) -> Vec<DrainedHeartbeat> {
         self.buffer.drain(now)
     }
--- a/crates/heartbeat-forwarder/src/status.rs
+++ b/crates/heartbeat-forwarder/src/status.rs
@@ -1,33 +1,35 @@
-//! When a status is sent, how much goes into it, and what is sent again if it is lost.
+//! Decides when a status is sent to the leader, how much it contains, and what is sent again after
+//! a loss.
 
 use copperfield_protocol::MAX_PEER_BODY;
 use copperfield_protocol::peer::Outcome;
 use copperfield_protocol::worker::Heartbeat;
 
-/// A status is sent to the leader at least so often.
+/// A status is sent to the leader at this interval even without new content.
 const STATUS_INTERVAL_MS: u64 = 250;
-/// News are collected for so long: each status costs the leader as much as a heartbeat.
-const BATCH_MS: u64 = 30;
-/// A status without an answer for so long is followed by the next one.
+/// Time after a status during which new content is collected before the next one is sent. Each
+/// status costs the leader as much as a heartbeat.
+const BATCH_DELAY_MS: u64 = 30;
+/// The next status is held back until the last one is answered, or for at most this time.
 const ANSWER_TIMEOUT_MS: u64 = 300;
-/// So many statuses may be answered late.
+/// Maximum number of statuses in flight. The oldest status beyond that counts as lost.
 pub(crate) const MAX_IN_FLIGHT: usize = 4;
-/// Well below the limit for a body between controllers.
+/// Maximum estimated size of a status, well below the limit for a body between controllers.
 const MAX_STATUS_BYTES: usize = MAX_PEER_BODY as usize / 2;
 const BYTES_PER_HEARTBEAT: usize = 128;
 const BYTES_PER_TASK: usize = 24;
 const BYTES_PER_OUTCOME: usize = 16;
 
-/// The end of a relayed message, by the leader's number for it.
+/// The leader's number for a relayed message, and its outcome.
 type MessageOutcome = (u64, Outcome);
 
-/// The space that is left in a status.
-pub(crate) struct BodyBudget {
+/// The space that is left in a status. Sizes are estimates.
+pub(crate) struct StatusBudget {
     bytes_left: usize,
     is_exceeded: bool,
 }
 
-impl BodyBudget {
+impl StatusBudget {
     pub(crate) fn new() -> Self {
         Self {
             bytes_left: MAX_STATUS_BYTES,
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Whether something did not fit.
+    /// Whether something has not fit.
     pub(crate) fn is_exceeded(&self) -> bool {
         self.is_exceeded
     }
@@ -65,41 +67,42 @@
     BYTES_PER_HEARTBEAT + heartbeat.worker.len() + BYTES_PER_TASK * heartbeat.tasks.len()
 }
 
-/// A status that was not answered yet.
+/// A status that has not been answered yet.
 struct InFlightStatus {
     number: u64,
     sent_at: u64,
     outcomes: Vec<MessageOutcome>,
 }
 
-/// The statuses in flight, and what decides when the next one is due.
+/// The statuses in flight, the outcomes to send, and when the next status is due.
 #[derive(Default)]
 pub(crate) struct StatusQueue {
-    /// Outcomes of relayed messages that no status carries yet.
+    /// Outcomes of relayed messages that no status in flight carries.
     outcomes: Vec<MessageOutcome>,
     in_flight: Vec<InFlightStatus>,
     last_sent_at: u64,
-    /// There is something to send before `STATUS_INTERVAL_MS` is over.
-    has_news: bool,
-    /// The last status had no room for everything.
+    /// Whether the next status is sent after `BATCH_DELAY_MS` instead of `STATUS_INTERVAL_MS`.
+    is_expedited: bool,
+    /// Whether the last status had no room for everything.
     has_more: bool,
 }
 
 impl StatusQueue {
-    pub(crate) fn mark_news(&mut self) {
-        self.has_news = true;
+    /// Lets the next status be sent early, because it has new content.
+    pub(crate) fn expedite(&mut self) {
+        self.is_expedited = true;
     }
 
     pub(crate) fn push_outcome(&mut self, message_id: u64, outcome: Outcome) {
         self.outcomes.push((message_id, outcome));
-        self.has_news = true;
+        self.is_expedited = true;
     }
 
-    /// Drops what was meant for an earlier leader.
+    /// Drops the outcomes and statuses that were meant for an earlier leader.
     pub(crate) fn reset(&mut self) {
         self.outcomes.clear();
         self.in_flight.clear();
-        self.has_news = true;
+        self.is_expedited = true;
     }
 
     pub(crate) fn is_due(&self, now: u64) -> bool {
@@ -109,26 +112,27 @@
         }
         let interval_ms = if self.has_more {
             0
-        } else if self.has_news {
-            BATCH_MS
+        } else if self.is_expedited {
+            BATCH_DELAY_MS
         } else {
             STATUS_INTERVAL_MS
         };
         now - self.last_sent_at >= interval_ms
     }
 
-    /// The outcomes that go into the next status, as many as fit.
-    pub(crate) fn take_outcomes(&mut self, budget: &mut BodyBudget) -> Vec<MessageOutcome> {
+    /// Takes the outcomes for the next status, as many as fit.
+    pub(crate) fn take_outcomes(&mut self, budget: &mut StatusBudget) -> Vec<MessageOutcome> {
         let mut outcomes = self.outcomes.iter();
-        let first_left = outcomes.position(|(_, outcome)| !budget.reserve_outcome(outcome));
-        let left = self
+        let first_excluded = outcomes.position(|(_, outcome)| !budget.reserve_outcome(outcome));
+        let remaining = self
             .outcomes
-            .split_off(first_left.unwrap_or(self.outcomes.len()));
-        std::mem::replace(&mut self.outcomes, left)
+            .split_off(first_excluded.unwrap_or(self.outcomes.len()));
+        std::mem::replace(&mut self.outcomes, remaining)
     }
 
-    /// A status is sent. Returns the number of the oldest one if too many are in flight.
-    pub(crate) fn push(
+    /// Records that a status is sent. Returns the number of the oldest one if too many are in
+    /// flight.
+    pub(crate) fn record_sent(
         &mut self,
         now: u64,
         number: u64,
@@ -136,7 +140,7 @@
         has_more: bool,
     ) -> Option<u64> {
         self.last_sent_at = now;
-        self.has_news = false;
+        self.is_expedited = false;
         self.has_more = has_more;
         self.in_flight.push(InFlightStatus {
             number,
@@ -146,13 +150,13 @@
         (self.in_flight.len() > MAX_IN_FLIGHT).then(|| self.in_flight[0].number)
     }
 
-    /// A status is answered. False if it is not in flight.
+    /// Records that a status is answered. Returns false if it is not in flight.
     pub(crate) fn acknowledge(&mut self, number: u64) -> bool {
         self.remove(number).is_some()
     }
 
-    /// A status is lost: its outcomes are sent again. False if it is not in flight.
-    pub(crate) fn requeue(&mut self, number: u64) -> bool {
+    /// Queues the outcomes of a lost status again. Returns false if the status is not in flight.
+    pub(crate) fn requeue_outcomes(&mut self, number: u64) -> bool {
         let Some(lost) = self.remove(number) else {
             return false;
         };
--- a/crates/heartbeat-forwarder/tests/forwarding.rs
+++ b/crates/heartbeat-forwarder/tests/forwarding.rs
@@ -1,4 +1,5 @@
-//! What a shard owner answers, what it forwards to the leader, and what it sends again after a loss.
+//! Tests of which heartbeats a shard owner answers, which ones it forwards to the leader, and what
+//! it sends again after a loss.
 
 use copperfield_heartbeat_forwarder::{Action, HeartbeatForwarder, LeaseValidity};
 use copperfield_protocol::peer::{Outcome, ShardStatus, ShardUpdate};
@@ -33,7 +34,7 @@
     }
 }
 
-/// The leader's answer to a status, with these changes from version 1 on.
+/// The leader's answer to a status. The changes have the versions 1 and up.
 fn update(status: &ShardStatus, changes: &[ShardChange]) -> ShardUpdate {
     ShardUpdate {
         shard_lease: ShardLease {
@@ -49,8 +50,9 @@
     }
 }
 
-/// A forwarder that owns the worker since its first heartbeat, with a lease requested at 1000.
-fn owner_of_the_worker() -> HeartbeatForwarder {
+/// A forwarder that owns the worker, has answered its first heartbeat, and holds a lease requested
+/// at 1000.
+fn forwarder_owning_worker() -> HeartbeatForwarder {
     let mut forwarder = forwarder();
     assert_eq!(forwarder.handle_heartbeat(970, TICKET, heartbeat(1)), []);
     let status = forwarder.next_status(1000).expect("due");
@@ -65,7 +67,7 @@
 
 #[test]
 fn a_first_heartbeat_waits_until_the_leader_assigns_its_worker() {
-    let forwarder = owner_of_the_worker();
+    let forwarder = forwarder_owning_worker();
     let lease = LeaseValidity {
         token: TOKEN,
         valid_until: 1000 + LEASE_MS,
@@ -75,7 +77,7 @@
 
 #[test]
 fn a_duplicate_heartbeat_is_redirected_to_the_leader_and_not_forwarded() {
-    let mut forwarder = owner_of_the_worker();
+    let mut forwarder = forwarder_owning_worker();
     let actions = forwarder.handle_heartbeat(1100, 31, heartbeat(1));
     let redirect = Action::Redirect {
         ticket: 31,
@@ -88,13 +90,13 @@
 
 #[test]
 fn no_heartbeat_is_answered_after_the_end_of_the_lease() {
-    let mut forwarder = owner_of_the_worker();
+    let mut forwarder = forwarder_owning_worker();
     let (before, after) = (1000 + LEASE_MS - 1, 1000 + LEASE_MS);
     let (ticket, token) = (31, TOKEN);
     let answered = forwarder.handle_heartbeat(before, ticket, heartbeat(2));
     assert_eq!(answered, [Action::Answer { ticket, token }]);
     assert_eq!(forwarder.handle_heartbeat(after, 32, heartbeat(3)), []);
-    // It waits for a new lease for 2.5 s.
+    // The heartbeat waits up to 2.5 s for a new lease.
     assert_eq!(forwarder.tick(after + 2499), []);
     let redirect = Action::Redirect {
         ticket: 32,
@@ -105,7 +107,7 @@
 
 #[test]
 fn a_released_worker_is_redirected_to_its_next_owner() {
-    let mut forwarder = owner_of_the_worker();
+    let mut forwarder = forwarder_owning_worker();
     let status = forwarder.next_status(1300).expect("due");
     let changes = [
         ShardChange::Assign(WORKER_NUMBER),
@@ -132,14 +134,17 @@
 }
 
 #[test]
-fn a_lost_status_is_made_up_for_by_the_next_one() {
-    let mut forwarder = owner_of_the_worker();
+fn the_content_of_a_lost_status_is_sent_again() {
+    let mut forwarder = forwarder_owning_worker();
     forwarder.record_outcome(40, Outcome::Unsent);
     forwarder.handle_heartbeat(1100, 31, heartbeat(2));
     let lost = forwarder.next_status(1300).expect("due");
     assert_eq!(lost.outcomes, [(40, Outcome::Unsent)]);
     assert_eq!(lost.forwarded.len(), 1);
-    assert!(forwarder.next_status(1400).is_none(), "one at a time");
+    assert!(
+        forwarder.next_status(1400).is_none(),
+        "one status in flight at a time"
+    );
     forwarder.record_outcome(41, Outcome::Unknown);
     forwarder.handle_lost_status(lost.owner_status.number);
     let next = forwarder.next_status(1400).expect("due");
@@ -153,7 +158,7 @@
 
 #[test]
 fn a_new_leader_receives_the_buffered_heartbeats_and_no_old_outcomes() {
-    let mut forwarder = owner_of_the_worker();
+    let mut forwarder = forwarder_owning_worker();
     forwarder.record_outcome(40, Outcome::Unsent);
     forwarder.handle_new_leader();
     let status = forwarder.next_status(1300).expect("due");
--- a/crates/model-checker/src/explore.rs
+++ b/crates/model-checker/src/explore.rs
@@ -21,10 +21,11 @@
     depth: usize,
 }
 
-/// Explores all histories, breadth first, until more than `max_states` distinct states were reached.
+/// Explores all histories, breadth first, until more than `max_states` distinct states were
+/// reached.
 ///
-/// Returns the depth up to which all histories were explored, or `usize::MAX` if all reachable states
-/// were explored.
+/// Returns the depth up to which all histories were explored, or `usize::MAX` if all reachable
+/// states were explored.
 ///
 /// # Errors
 ///
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,4 +1,5 @@
-//! Model checking for tests: searches all short histories of a small system, and long ones at random.
+//! Model checking for tests: searches all short histories of a small system, and long ones at
+//! random.
 //!
 //! A [`ModelState`] holds the code under test and a model of its environment. [`explore()`] and
 //! [`walk()`] search the histories of the system for one that violates the property under test.
--- a/crates/model-checker/src/successors.rs
+++ b/crates/model-checker/src/successors.rs
@@ -18,8 +18,8 @@
         }
     }
 
-    /// Adds a step if it is possible. `step` changes a copy of the state, and returns whether the step
-    /// is possible there.
+    /// Adds a step if it is possible. `step` changes a copy of the state, and returns whether the
+    /// step is possible there.
     pub fn add(&mut self, name: &'static str, step: impl FnOnce(&mut S) -> bool) {
         let mut next = self.state.clone();
         if step(&mut next) {
--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -5,8 +5,8 @@
 
 use crate::{History, ModelState};
 
-/// Takes `walks` random histories, each until no step is possible or `max_steps` steps were taken. The
-/// seed of each history is its number.
+/// Takes `walks` random histories, each until no step is possible or `max_steps` steps were taken.
+/// The seed of each history is its number.
 ///
 /// Returns the total number of steps.
 ///
--- a/crates/model-checker/tests/search.rs
+++ b/crates/model-checker/tests/search.rs
@@ -1,9 +1,10 @@
-//! Tests of both searches: they find states that violate the property, and they stop at their limits and
-//! when no step is left. `explore` returns the shortest history.
+//! Tests of both searches: they find states that violate the property, and they stop at their
+//! limits and when no step is left. `explore` returns the shortest history.
 
 use copperfield_model_checker::{ModelState, Successors, explore, replay, walk};
 
-/// A counter that increases by one or two, up to `end`. The value `forbidden` violates the property.
+/// A counter that increases by one or two, up to `end`. The value `forbidden` violates the
+/// property.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Counter {
     value: u32,
--- a/crates/sharding/src/coordinator.rs
+++ b/crates/sharding/src/coordinator.rs
@@ -39,8 +39,8 @@
     Here,
     /// The worker is redirected to this controller.
     Redirect(ControllerIndex),
-    /// The heartbeat is not answered now, because another controller may still answer the worker, or
-    /// because the worker is fenced.
+    /// The heartbeat is not answered now, because another controller may still answer the worker,
+    /// or because the worker is fenced.
     Wait,
 }
 
@@ -190,8 +190,8 @@
         self.controllers[controller as usize].relay_backoff_until = now + RELAY_BACKOFF_MS;
     }
 
-    /// Whether every other controller has forwarded all heartbeats that it had buffered. A new leader
-    /// need not probe the workers that sent them.
+    /// Whether every other controller has forwarded all heartbeats that it had buffered. A new
+    /// leader need not probe the workers that sent them.
     pub fn all_peers_have_forwarded(&self) -> bool {
         let controllers = (0u32..).zip(&self.controllers);
         let mut peers = controllers.filter(|(index, _)| *index != self.leader);
@@ -249,8 +249,8 @@
         match assignment {
             Assignment::Owned { owner, .. } if owner == at && any_controller => Route::Here,
             Assignment::Owned { .. } | Assignment::Releasing { .. } => {
-                // If the worker does not wait, its previous owner forwards an old heartbeat, and the
-                // assignment stays.
+                // If the worker does not wait, its previous owner forwards an old heartbeat, and
+                // the assignment stays.
                 if waits {
                     let to = (any_controller && at != self.leader).then_some(at);
                     self.table.reassign(worker, to);
--- a/crates/sharding/src/table.rs
+++ b/crates/sharding/src/table.rs
@@ -1,5 +1,5 @@
-//! The leader's table of which controller may answer which worker, and of when a worker may last have
-//! been answered.
+//! The leader's table of which controller may answer which worker, and of when a worker may last
+//! have been answered.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,8 +14,8 @@
 /// A version that no change has, so that no status can confirm a release with this version.
 const UNCONFIRMABLE_VERSION: u64 = 0;
 
-/// Which controller may answer a worker. In all variants, `last_answer` is an upper bound of when the
-/// worker was last answered.
+/// Which controller may answer a worker. In all variants, `last_answer` is an upper bound of when
+/// the worker was last answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Assignment {
     /// Only the leader may answer the worker, and no other controller has since `last_answer`.
@@ -53,8 +53,8 @@
     last_status_number: u64,
     /// The version of the last change to its shard.
     version: u64,
-    /// The version at which its shard was last reset to empty. Earlier changes were made for another
-    /// process.
+    /// The version at which its shard was last reset to empty. Earlier changes were made for
+    /// another process.
     base_version: u64,
     /// Changes that it has not acknowledged, the oldest first.
     pending_changes: VecDeque<(u64, ShardChange)>,
@@ -92,8 +92,9 @@
     }
 
     /// Adds a worker. `last_answer` is the latest time at which it may have been answered, also by
-    /// the shard owners of an earlier leader. Their leases have ended when that leader's key expires.
-    /// If the key was removed earlier, they end at the latest one TTL after its last renewal.
+    /// the shard owners of an earlier leader. Their leases have ended when that leader's key
+    /// expires. If the key was removed earlier, they end at the latest one TTL after its last
+    /// renewal.
     pub fn add(&mut self, worker: WorkerNumber, last_answer: Millis) {
         let assignment = Assignment::Unassigned { last_answer };
         self.workers.entry(worker).or_insert(assignment);
@@ -114,7 +115,8 @@
         self.workers.get(&worker).copied()
     }
 
-    /// All workers with their owners. A worker that is being released is listed with its next owner.
+    /// All workers with their owners. A worker that is being released is listed with its next
+    /// owner.
     pub fn planned_owners(&self) -> impl Iterator<Item = (WorkerNumber, Option<ControllerIndex>)> {
         self.workers.iter().map(|(&worker, assignment)| {
             let owner = match *assignment {
@@ -139,9 +141,9 @@
         &mut self.controllers[controller as usize]
     }
 
-    /// Assigns a worker to this controller, or revokes it if `to` is `None`, which must happen before
-    /// the worker is recorded as unresponsive. Takes effect once the current owner has released the
-    /// worker.
+    /// Assigns a worker to this controller, or revokes it if `to` is `None`, which must happen
+    /// before the worker is recorded as unresponsive. Takes effect once the current owner has
+    /// released the worker.
     pub fn reassign(&mut self, worker: WorkerNumber, to: Option<ControllerIndex>) {
         let Some(&assignment) = self.workers.get(&worker) else {
             return;
@@ -194,8 +196,8 @@
         }
     }
 
-    /// Handles a status from another process of a controller. Either process may be the later one, so
-    /// the lease of the other one counts until it ends, and the shard of the sender is reset.
+    /// Handles a status from another process of a controller. Either process may be the later one,
+    /// so the lease of the other one counts until it ends, and the shard of the sender is reset.
     fn switch_process(&mut self, from: ControllerIndex, process: u64) {
         let controller = self.owner_state(from);
         let is_first = controller.process == 0;
@@ -240,9 +242,9 @@
         }
     }
 
-    /// Handles the status of a shard owner and returns the lease that answers it. `valid_for` is how
-    /// long this leader is itself valid. Returns `None` for a status that is not newer than the last
-    /// one: it may be a late duplicate, and is ignored.
+    /// Handles the status of a shard owner and returns the lease that answers it. `valid_for` is
+    /// how long this leader is itself valid. Returns `None` for a status that is not newer than the
+    /// last one: it may be a late duplicate, and is ignored.
     pub fn handle_status(
         &mut self,
         now: Millis,
--- a/crates/sharding/tests/convergence.rs
+++ b/crates/sharding/tests/convergence.rs
@@ -1,8 +1,9 @@
-//! Simulates many workers and several shard owners, with random loss and delay of messages, restarts
-//! and partitions.
+//! Simulates many workers and several shard owners, with random loss and delay of messages,
+//! restarts and partitions.
 //!
-//! Guards against two controllers that may answer the same worker at the same time. Also guards against
-//! workers that stay without answers, and controllers that keep too many workers, after the faults end.
+//! Guards against two controllers that may answer the same worker at the same time. Also guards
+//! against workers that stay without answers, and controllers that keep too many workers, after the
+//! faults end.
 
 use copperfield_sharding::{
     AnswerPermission, HeartbeatDecision, OwnerStatus, Route, ShardCoordinator, ShardLease,
@@ -18,12 +19,13 @@
 const HEARTBEAT_INTERVAL_MS: u64 = 1000;
 const STATUS_INTERVAL_MS: u64 = 250;
 const MAX_DELAY_MS: u64 = 100;
-/// Maximum time from the end of the faults until every worker is answered. A lease may still be valid at
-/// first. Then the shard owners send three statuses: to learn of the release, to confirm it, and to learn
-/// of the assignment. Each status comes at most 300 ms after the last one, and takes up to 100 ms.
+/// Maximum time from the end of the faults until every worker is answered. A lease may still be
+/// valid at first. Then the shard owners send three statuses: to learn of the release, to confirm
+/// it, and to learn of the assignment. Each status comes at most 300 ms after the last one, and
+/// takes up to 100 ms.
 const RECOVERY_BOUND_MS: u64 = LEASE_MS + 3 * 400;
-/// Maximum time from the end of the faults until all workers beyond the load limits have moved, four per
-/// second.
+/// Maximum time from the end of the faults until all workers beyond the load limits have moved,
+/// four per second.
 const BALANCE_BOUND_MS: u64 = 70_000;
 
 struct StatusInTransit {
@@ -258,8 +260,8 @@
         while simulation.now < faults_ended_at + BALANCE_BOUND_MS {
             simulation.step(seed(simulation.now), 0);
         }
-        // Four shard owners have weight 1 and the leader has weight 0.5, so the portion of a shard owner
-        // is 8.9 workers. The load limit is a tenth higher.
+        // Four shard owners have weight 1 and the leader has weight 0.5, so the portion of a shard
+        // owner is 8.9 workers. The load limit is a tenth higher.
         let loads = simulation.coordinator.loads();
         prop_assert!(loads[1..].iter().all(|&load| load <= 10), "{loads:?}");
         prop_assert!(loads[0] <= 5, "{loads:?}");
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -1,15 +1,16 @@
-//! Model-checks the sharding protocol: explores the interleavings of a small system that runs the code
-//! of the leader and of the shard owners.
+//! Model-checks the sharding protocol: explores the interleavings of a small system that runs the
+//! code of the leader and of the shard owners.
 //!
 //! The system has a sequence of leaders, two shard owners, and one worker that reports to either of
-//! them. Statuses are delayed, reordered or duplicated, and leases are delayed, reordered or lost. Shard
-//! owners restart, and may pause between receiving a heartbeat and answering it. Leaders crash, and the
-//! next one is elected when the leader key has expired, or at once if the key was removed
-//! (docs/notes/quick-restarts.md).
+//! them. Statuses are delayed, reordered or duplicated, and leases are delayed, reordered or lost.
+//! Shard owners restart, and may pause between receiving a heartbeat and answering it. Leaders
+//! crash, and the next one is elected when the leader key has expired, or at once if the key was
+//! removed (docs/notes/quick-restarts.md).
 //!
 //! Two properties are checked. Two shard owners may never answer the worker under the same fencing
 //! token. A leader may declare the worker's lease expired only after it has expired on the worker.
-//! `Mistake` lists mistakes that are planted in the protocol, and the search must find each of them.
+//! `Mistake` lists mistakes that are planted in the protocol, and the search must find each of
+//! them.
 
 use copperfield_model_checker::{ModelState, effort_factor, explore, replay, walk};
 use copperfield_sharding::{
@@ -40,7 +41,8 @@
     ReusesProcessIdentity,
     /// A process keeps a shard that was assigned to another process of the same controller.
     KeepsShardOfOtherProcess,
-    /// A leader that is elected at once assumes that the leases of the previous leader have expired.
+    /// A leader that is elected at once assumes that the leases of the previous leader have
+    /// expired.
     ForgetsOldLeases,
     /// A heartbeat that was received in time is answered without checking the lease again.
     AnswersWithoutRecheck,
@@ -263,8 +265,8 @@
         }
     }
 
-    /// Adds the passing of time and the actions of the leader: it renews its lease, crashes, is elected,
-    /// or revokes the worker.
+    /// Adds the passing of time and the actions of the leader: it renews its lease, crashes, is
+    /// elected, or revokes the worker.
     fn add_leader_actions(&mut self) {
         let mistake = self.current.mistake;
         self.add("time passes", |s| {
@@ -555,8 +557,8 @@
     "controller 0 receives a lease",
 ];
 
-/// Controller 0 answers heartbeats at 1 s and 2 s under its first lease. A lease that it requested at 1 s
-/// is still in transit at 3 s.
+/// Controller 0 answers heartbeats at 1 s and 2 s under its first lease. A lease that it requested
+/// at 1 s is still in transit at 3 s.
 const LATE_LEASE: [&str; 16] = [
     "controller 0 is assigned the worker",
     "controller 0 sends a status",
@@ -603,8 +605,8 @@
     }
 }
 
-/// Each search starts with a history after which the mistake has an effect. From there, the search must
-/// find a violation with the mistake, and none without it.
+/// Each search starts with a history after which the mistake has an effect. From there, the search
+/// must find a violation with the mistake, and none without it.
 #[test]
 fn each_planted_mistake_is_found() {
     use Mistake::*;
--- a/crates/sharding/tests/rendezvous.rs
+++ b/crates/sharding/tests/rendezvous.rs
@@ -1,12 +1,12 @@
-//! Tests of rendezvous hashing: rankings are stable, loads follow the weights, and controllers in the
-//! worker's own zone are preferred.
+//! Tests of rendezvous hashing: rankings are stable, loads follow the weights, and controllers in
+//! the worker's own zone are preferred.
 
 use copperfield_sharding::{ControllerCapacity, load_limits, rank_controllers};
 use proptest::prelude::*;
 
 proptest! {
-    /// Removing a controller leaves the order of the others unchanged, and the load limits leave room for
-    /// all workers.
+    /// Removing a controller leaves the order of the others unchanged, and the load limits leave
+    /// room for all workers.
     #[test]
     fn removing_a_controller_keeps_the_order_of_the_others(
         worker in any::<u32>(),
@@ -27,7 +27,8 @@
     }
 }
 
-/// Workers are spread by weight, and a controller in the worker's own zone ranks first for most workers.
+/// Workers are spread by weight, and a controller in the worker's own zone ranks first for most
+/// workers.
 #[test]
 fn higher_weights_rank_first_more_often_and_most_workers_stay_in_their_zone() {
     let controller = |zone, weight| ControllerCapacity { zone, weight };
