--- a/crates/sharding/src/coordinator.rs
+++ b/crates/sharding/src/coordinator.rs
@@ -185,7 +185,7 @@
     }
 
     /// Records that a controller failed to accept commands, and stops using it as a relay for
-    /// [`RELAY_BACKOFF_MS`].
+    /// `RELAY_BACKOFF_MS`.
     pub fn mark_relay_failed(&mut self, controller: ControllerIndex, now: Millis) {
         self.controllers[controller as usize].relay_backoff_until = now + RELAY_BACKOFF_MS;
     }
