--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -7,7 +7,7 @@
 use super::error::ApiError;
 use super::lookup::{LocalLookup, cache_outcome};
 use super::peers::call_leader;
-use super::{Api, CANCEL_DEADLINE, outcome_answer};
+use super::{Api, CANCEL_DEADLINE, outcome_response};
 use crate::controller::commands::{BegunCancellation, Command};
 use crate::coordination::core::CancelDecision;
 use crate::protocol::JobId;
@@ -37,7 +37,7 @@
     /// Answers a user's request to cancel a job.
     pub(super) async fn cancel(&self, id: JobId) -> Result<ApiResponse, ApiError> {
         match self.cancel_job(id).await {
-            Lookup::Terminal(outcome) => Ok(outcome_answer(id, outcome)),
+            Lookup::Terminal(outcome) => Ok(outcome_response(id, outcome)),
             Lookup::NotFound => Err(ApiError::NoSuchJob),
             _ => Err(ApiError::NotStored),
         }
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -8,7 +8,7 @@
 
 use super::error::ApiError;
 use super::peers::{PEER_DEADLINE, call_leader};
-use super::{Api, outcome_answer, phase_answer};
+use super::{Api, outcome_response, phase_response};
 use crate::controller::commands::{Command, ControllerHandle, JobLookups};
 use crate::controller::context::ControllerContext;
 use crate::protocol::JobId;
@@ -44,16 +44,16 @@
     /// Answers a user's request for the state of a job.
     pub(super) async fn answer_lookup(&self, id: JobId) -> Result<ApiResponse, ApiError> {
         match self.look_up(id).await {
-            Lookup::Terminal(outcome) => Ok(outcome_answer(id, outcome)),
+            Lookup::Terminal(outcome) => Ok(outcome_response(id, outcome)),
             Lookup::Live {
                 phase,
                 done,
                 running,
-            } => Ok(phase_answer(id, phase, done, running)),
+            } => Ok(phase_response(id, phase, done, running)),
             // Refused rather than queued: the user is asked to retry if the read would be late.
             _ if self.context.store.read_backlog() > MAX_READ_BACKLOG => Err(ApiError::ReadBacklog),
             _ => match self.stored_outcome(id).await {
-                Ok(Some(outcome)) => Ok(outcome_answer(id, outcome)),
+                Ok(Some(outcome)) => Ok(outcome_response(id, outcome)),
                 Ok(None) => Err(ApiError::NoSuchJob),
                 Err(_) => Err(ApiError::StateServiceUnavailable),
             },
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -150,12 +150,12 @@
 }
 
 /// The response for a job of which no task is running.
-fn outcome_answer(id: JobId, outcome: JobOutcome) -> ApiResponse {
-    phase_answer(id, outcome.phase, outcome.done, 0)
+fn outcome_response(id: JobId, outcome: JobOutcome) -> ApiResponse {
+    phase_response(id, outcome.phase, outcome.done, 0)
 }
 
 /// The response for a job: its phase, and how many of its tasks are done and running.
-fn phase_answer(id: JobId, phase: Phase, done: u32, running: u32) -> ApiResponse {
+fn phase_response(id: JobId, phase: Phase, done: u32, running: u32) -> ApiResponse {
     let body = json!({
         "uid": id.to_string(),
         "phase": phase.spelling(),
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 use super::error::ApiError;
-use super::{Api, SUBMIT_DEADLINE, outcome_answer};
+use super::{Api, SUBMIT_DEADLINE, outcome_response};
 use crate::controller::commands::Command;
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
@@ -101,7 +101,7 @@
     ) -> Result<ApiResponse, ApiError> {
         match self.context.store.outcome(id).await {
             Ok(None) => Err(reason.into()),
-            Ok(Some(outcome)) => Ok(outcome_answer(id, outcome)),
+            Ok(Some(outcome)) => Ok(outcome_response(id, outcome)),
             Err(_) => Err(ApiError::StateServiceUnavailable),
         }
     }
@@ -144,7 +144,7 @@
         };
         for _ in 0..STORE_ATTEMPTS {
             match self.context.store.commit(&transaction, urgency, true).await {
-                Ok(_) => return Ok(accepted(id)),
+                Ok(_) => return Ok(accepted_response(id)),
                 // The job is stored already, possibly by an earlier attempt whose answer was lost.
                 Err(StoreError::Conflict(_)) => return self.answer_lookup(id).await,
                 Err(StoreError::Unknown(_)) => {}
@@ -164,7 +164,7 @@
         && spec.needs.fits_in(&machine_type.whole)
 }
 
-fn accepted(id: JobId) -> ApiResponse {
+fn accepted_response(id: JobId) -> ApiResponse {
     let body = json!({"uid": id.to_string(), "phase": Phase::Pending.spelling()});
     ApiResponse::json(201, &body)
 }
--- a/src/controller/context/mod.rs
+++ b/src/controller/context/mod.rs
@@ -59,7 +59,7 @@
     /// The client of the state service.
     pub store: Arc<Store>,
     /// The rate limiter for requests to the cloud.
-    pub cloud_budget: RateLimiter,
+    pub cloud_rate_limiter: RateLimiter,
     /// Wakes the election loop before its next scheduled read of the leader key.
     pub election_wakeup: Notify,
     /// The state of this controller's leadership, and its votes on the leases of other leaders.
@@ -79,7 +79,7 @@
     pub fn new(settings: Settings, tuning: Tuning, http: Arc<dyn Network>, seed: u64) -> Self {
         let clock = ControllerClock::start_now();
         Self {
-            cloud_budget: RateLimiter::new(
+            cloud_rate_limiter: RateLimiter::new(
                 settings.cluster.cloud.rps * CLOUD_LIMIT_SHARE,
                 CLOUD_BURST_S,
             ),
--- a/src/controller/effects/cloud.rs
+++ b/src/controller/effects/cloud.rs
@@ -55,7 +55,7 @@
 async fn send_scale_out(context: &ControllerContext, body: Vec<u8>) -> ScaleOutOutcome {
     for _ in 0..SCALE_OUT_ATTEMPTS {
         context
-            .cloud_budget
+            .cloud_rate_limiter
             .acquire(CALL_COST, Urgency::Normal)
             .await;
         if !context.leadership.is_valid() {
@@ -97,7 +97,10 @@
 /// Returns workers to the cloud.
 pub(super) async fn scale_in(context: &ControllerContext, workers: Vec<String>) -> Input {
     let body = cloud::scale_in_body(&workers).to_string().into_bytes();
-    context.cloud_budget.acquire(CALL_COST, Urgency::High).await;
+    context
+        .cloud_rate_limiter
+        .acquire(CALL_COST, Urgency::High)
+        .await;
     // The leader lease may have expired during the wait for the rate limiter, and the next leader
     // may use these workers.
     let ok = context.leadership.is_valid()
@@ -112,7 +115,10 @@
 pub(super) async fn list_workers(context: &ControllerContext) -> Option<Vec<ListedWorker>> {
     let mut all: Vec<ListedWorker> = Vec::new();
     loop {
-        context.cloud_budget.acquire(CALL_COST, Urgency::Low).await;
+        context
+            .cloud_rate_limiter
+            .acquire(CALL_COST, Urgency::Low)
+            .await;
         let path = match all.last() {
             Some(last) => format!("/rentals?since={}&page=500", last.name),
             None => "/rentals?page=500".to_string(),
@@ -132,7 +138,10 @@
 /// Reads the machine types. Returns `None` if the cloud does not answer or they do not parse.
 pub async fn read_machine_types(context: &ControllerContext) -> Option<Vec<MachineType>> {
     // High urgency, because no submission can be validated without the machine types.
-    context.cloud_budget.acquire(CALL_COST, Urgency::High).await;
+    context
+        .cloud_rate_limiter
+        .acquire(CALL_COST, Urgency::High)
+        .await;
     let body = get(context, "/machine_types").await?;
     cloud::parse_machine_types(&body)
         .inspect_err(|error| tracing::warn!(%error, "machine types do not parse"))
--- a/tests/pinned_exchange.rs
+++ b/tests/pinned_exchange.rs
@@ -142,7 +142,7 @@
                 let mut entry = pinned_json("listed_one.json");
                 merge(
                     &mut entry,
-                    &shared_fields(&self.names["same"], &worker.heartbeat),
+                    &select_fields(&self.names["same"], &worker.heartbeat),
                 );
                 entry[self.name("listed")] = name.clone().into();
                 entry["address"] = worker.heartbeat["address"].clone();
@@ -168,7 +168,7 @@
             cluster.provisioned += 1;
             let name = format!("vm-{index}");
             let mut heartbeat = pinned_json("worker.json");
-            merge(&mut heartbeat, &shared_fields(&self.names["same"], body));
+            merge(&mut heartbeat, &select_fields(&self.names["same"], body));
             heartbeat[self.name("host")] = name.clone().into();
             heartbeat["address"] = format!("10.1.0.{index}:7000").into();
             let worker = SimulatedWorker {
@@ -206,7 +206,7 @@
 }
 
 /// The fields of `from` with these names.
-fn shared_fields(names: &Value, from: &Value) -> Value {
+fn select_fields(names: &Value, from: &Value) -> Value {
     let names = names.as_array().into_iter().flatten();
     let names = names.filter_map(Value::as_str);
     names
@@ -279,7 +279,13 @@
 }
 
 /// Sends a request to the controller and records its answer.
-async fn send(net: &SimulatedNetwork, api: &Api, method: Method, path: &str, body: &str) -> Value {
+async fn send(
+    network: &SimulatedNetwork,
+    api: &Api,
+    method: Method,
+    path: &str,
+    body: &str,
+) -> Value {
     let (path_only, query) = match path.split_once('?') {
         Some((path, query)) => (path, Some(query.to_string())),
         None => (path, None),
@@ -288,7 +294,7 @@
         method: method.clone(),
         path: path_only.to_string(),
         query,
-        authorization: net.names["authorization"].as_str().map(str::to_string),
+        authorization: network.names["authorization"].as_str().map(str::to_string),
         body: body.to_string().into(),
     };
     let answer = api.clone().public(request).await;
@@ -298,32 +304,38 @@
         "{method} {path} {body} -> {} {retry_after} {text}",
         answer.status
     );
-    net.cluster.lock().expect("no panic").answers.insert(line);
+    network
+        .cluster
+        .lock()
+        .expect("no panic")
+        .answers
+        .insert(line);
     serde_json::from_str(&text).unwrap_or_default()
 }
 
 /// Sends the workers' heartbeats and executes the commands in the answers.
-async fn run_workers(net: Arc<SimulatedNetwork>, api: Api) {
+async fn run_workers(network: Arc<SimulatedNetwork>, api: Api) {
     loop {
         sleep(Duration::from_millis(25)).await;
-        let now = net.now();
+        let now = network.now();
         let due: Vec<(String, Value)> = {
-            let mut cluster = net.cluster.lock().expect("no panic");
+            let mut cluster = network.cluster.lock().expect("no panic");
             let due = cluster.workers.iter_mut();
             let due = due.filter(|(_, w)| !w.hung && w.next_heartbeat_at <= now);
             due.map(|(name, worker)| {
                 worker.next_heartbeat_at = now + HEARTBEAT_INTERVAL_S;
-                (name.clone(), net.heartbeat(worker))
+                (name.clone(), network.heartbeat(worker))
             })
             .collect()
         };
         for (name, heartbeat) in due {
-            let (net, api) = (net.clone(), api.clone());
+            let (network, api) = (network.clone(), api.clone());
             tokio::spawn(async move {
-                let path = net.name("hello").to_string();
-                let answer = send(&net, &api, Method::POST, &path, &heartbeat.to_string()).await;
-                let mut cluster = net.cluster.lock().expect("no panic");
-                net.execute(&mut cluster, &name, &answer);
+                let path = network.name("hello").to_string();
+                let answer =
+                    send(&network, &api, Method::POST, &path, &heartbeat.to_string()).await;
+                let mut cluster = network.cluster.lock().expect("no panic");
+                network.execute(&mut cluster, &name, &answer);
             });
         }
     }
@@ -337,8 +349,8 @@
         env!("CARGO_MANIFEST_DIR"),
         "/tests/pinned/exchange/settings.hcl"
     ));
-    let tuning = Tuning::load(&tuning).expect("good");
-    let net = Arc::new(SimulatedNetwork {
+    let tuning = Tuning::load(&tuning).expect("valid settings");
+    let network = Arc::new(SimulatedNetwork {
         cluster: Mutex::new(SimulatedCluster {
             state: StateService::default(),
             workers: BTreeMap::new(),
@@ -351,13 +363,13 @@
         cloud: settings.external.cloud,
         names: pinned_json("names.json"),
     });
-    let (api, _tasks) = Api::start(settings, tuning, net.clone(), 1);
-    tokio::spawn(run_workers(net.clone(), api.clone()));
+    let (api, _tasks) = Api::start(settings, tuning, network.clone(), 1);
+    tokio::spawn(run_workers(network.clone(), api.clone()));
     for step in pinned_json("script.json").as_array().expect("a list") {
         let at = step["at"].as_f64().expect("a time");
-        sleep(Duration::from_secs_f64((at - net.now()).max(0.0))).await;
+        sleep(Duration::from_secs_f64((at - network.now()).max(0.0))).await;
         if let Some(name) = step["hangs"].as_str() {
-            let mut cluster = net.cluster.lock().expect("no panic");
+            let mut cluster = network.cluster.lock().expect("no panic");
             if let Some(worker) = cluster.workers.get_mut(name) {
                 worker.hung = true;
             }
@@ -369,9 +381,9 @@
             Value::Null => String::new(),
             body => body.to_string(),
         };
-        send(&net, &api, method, text("path"), &body).await;
+        send(&network, &api, method, text("path"), &body).await;
     }
-    let cluster = net.cluster.lock().expect("no panic");
+    let cluster = network.cluster.lock().expect("no panic");
     let all = |set: &BTreeSet<String>| set.iter().cloned().collect();
     (all(&cluster.requests), all(&cluster.answers))
 }
