--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -36,7 +36,7 @@
     }
     let requested_at = Instant::now();
     let ttl = Duration::from_millis(context.tuning.leader_ttl_ms);
-    let lease = context.store.new_lease(ttl).await?;
+    let lease = context.store.create_lease(ttl).await?;
     let nonce = context.random(NONCE_BOUND);
     let election = records::election_transaction(&context.settings.member, nonce, lease);
     let result = context
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,23 +1,23 @@
-//! The records that the state service keeps, and how a controller reads and writes them.
+//! The records in the state service, and how a controller reads and writes them.
 //!
 //! | key | value | written by |
 //! | --- | --- | --- |
 //! | `cf/leader` | the current leader; the key's version is the fencing token | the election |
-//! | `cf/founded` | term marker: there has been a leader, and the last token whose leader knew that it led | the election |
-//! | `cf/j/{job}` | a live job's description | any controller, create-only |
-//! | `cf/t/{job}` | a job's terminal state, kept for ever | the leader, or any controller while there is none |
-//! | `cf/p/{job}/{chunk}` | which tasks are done, as a hexadecimal bitmap | the leader |
-//! | `cf/d/{worker}` | a drain that an operator has ordered | the leader |
-//! | `cf/s/{page}` | fenced workers, and when each was last answered | the leader |
-//! | `cf/r/{page}` | the worker registry: workers that may have been given tasks | the leader |
+//! | `cf/founded` | term marker: exists once any leader has been elected, and holds the last token whose leader confirmed its election | the election |
+//! | `cf/j/{job}` | description of a live job | any controller, create-only |
+//! | `cf/t/{job}` | terminal state of a job, never deleted | the leader, or any controller while there is no leader |
+//! | `cf/p/{job}/{chunk}` | completed tasks, as a hexadecimal bitmap | the leader |
+//! | `cf/d/{worker}` | a drain requested by an operator | the leader |
+//! | `cf/s/{page}` | fenced workers, and when each last got an answer to a heartbeat | the leader |
+//! | `cf/r/{page}` | the worker registry: workers that may hold task instances | the leader |
 //!
-//! The end of a job moves it from `cf/j/` to `cf/t/` in one transaction. A reader therefore asks
-//! for `cf/j/` first and for `cf/t/` second: whichever way it races with the move, it finds one
-//! of the two.
+//! When a job ends, one transaction moves it from `cf/j/` to `cf/t/`. Readers therefore read
+//! `cf/j/` first and `cf/t/` second, so that they find at least one of the two keys even if the
+//! move happens between the reads.
 //!
-//! [`records`] has the keys and values, [`snapshot`] what a new leader starts from,
-//! [`store`] the client of the state service, [`writer`] the leader's transactions and
-//! [`recovery`] what a new leader reads.
+//! [`records`] defines the keys and values, [`bitmap`] the bitmaps of completed tasks, [`snapshot`]
+//! the state that a new leader starts from, [`store`] the client of the state service, [`writer`]
+//! the leader's transactions, and [`recovery`] reads the snapshot.
 
 #![warn(missing_docs)]
 
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,6 +1,6 @@
 //! Keys and values of the stored records.
 //!
-//! Every spelling here is read by the controllers of other versions: none may change.
+//! Controllers of other versions read these keys and values, so their format must not change.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -9,71 +9,71 @@
 use crate::protocol::JobId;
 use crate::protocol::job::{InvalidField, JobOutcome, JobSpec, Phase};
 
-/// The leader key. Its version is the leader's fencing token.
+/// The leader key. The version of the key is the leader's fencing token.
 pub const LEADER: &str = "cf/leader";
-/// The term marker: written with every leader key, once more by its leader, and never removed.
-/// As long as it is missing, no leader has ever asked for a lease extension; while its version
-/// stays, no leader is elected.
+/// The term marker. It is written together with every leader key, written once more by the new
+/// leader, and never deleted. While it does not exist, no leader has ever requested a lease
+/// extension. As long as its version is unchanged, no leader has been elected.
 pub const TERM_MARKER: &str = "cf/founded";
-/// Prefix of the live jobs.
+/// Key prefix of the live jobs.
 pub const JOBS: &str = "cf/j/";
-/// Prefix of the terminal states of jobs.
+/// Key prefix of the terminal states of jobs.
 const TERMINAL: &str = "cf/t/";
-/// Prefix of the bitmaps of done tasks.
+/// Key prefix of the bitmaps of completed tasks.
 pub const PROGRESS: &str = "cf/p/";
-/// Prefix of the pages of the worker registry.
+/// Key prefix of the pages of the worker registry.
 pub const REGISTRY: &str = "cf/r/";
-/// Prefix of the drains.
+/// Key prefix of the drains.
 pub const DRAINS: &str = "cf/d/";
-/// Prefix of the pages of the fencing record.
+/// Key prefix of the pages of the fencing record.
 pub const FENCING: &str = "cf/s/";
 
-/// Stored spellings of the phases that a job can end in.
+/// The stored values of the phases that a job can end in.
 const PHASE_DONE: &str = "done";
 const PHASE_CANCELLED: &str = "withdrawn";
 
-/// The key of a live job.
+/// Returns the key of a live job.
 pub fn job_key(job: JobId) -> String {
     format!("{JOBS}{job}")
 }
 
-/// The key of a job's terminal state.
+/// Returns the key of a job's terminal state.
 pub fn terminal_key(job: JobId) -> String {
     format!("{TERMINAL}{job}")
 }
 
-/// The key of one chunk of a job's bitmap of done tasks.
+/// Returns the key of one chunk of a job's bitmap of completed tasks.
 pub fn progress_key(job: JobId, chunk: u32) -> String {
     format!("{PROGRESS}{job}/{chunk:04}")
 }
 
-/// The key of one page of the worker registry.
+/// Returns the key of one page of the worker registry.
 pub fn registry_key(page: u32) -> String {
     format!("{REGISTRY}{page:05}")
 }
 
-/// The key of one page of the fencing record.
+/// Returns the key of one page of the fencing record.
 pub fn fencing_key(page: u32) -> String {
     format!("{FENCING}{page:05}")
 }
 
-/// The key of a worker's drain.
+/// Returns the key of a worker's drain.
 pub fn drain_key(worker: &str) -> String {
     format!("{DRAINS}{worker}")
 }
 
-/// Why a stored record cannot be read.
+/// A stored record does not parse.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// A field that every record of the kind has is not there.
+    /// A required field is missing.
     #[error("{0}: missing")]
     MissingField(&'static str),
-    /// A field has a value that this version does not know.
+    /// A field has a value that this version does not support.
     #[error("{field}: unknown value {value}")]
     UnknownValue {
         /// The field's name.
         field: &'static str,
-        /// What is stored there, as JSON.
+        /// The stored value, as JSON.
         value: String,
     },
     /// The bitmap of done tasks is not hexadecimal.
@@ -89,16 +89,17 @@
 pub struct JobRecord {
     /// The job as it was submitted.
     pub spec: JobSpec,
-    /// When it was accepted, by the time of day; 0 if the record lacks it.
+    /// When the job was accepted, in Unix time; 0 if the record does not contain it.
     pub accepted_ms: u64,
 }
 
-/// The value stored for a live job: the submission, and when it was accepted (time of day).
+/// Returns the value stored for a live job: the job as submitted, and when it was accepted, in Unix
+/// time.
 pub fn job_record(spec: &JobSpec, accepted_ms: u64) -> Value {
     json!({"spec": spec.to_json(), "at": accepted_ms})
 }
 
-/// Reads what [`job_record`] wrote.
+/// Parses a value written by [`job_record`].
 pub fn parse_job_record(value: &Value) -> Result<JobRecord, RecordError> {
     let spec = value.get("spec").ok_or(RecordError::MissingField("spec"))?;
     let spec = JobSpec::from_json(spec)?;
@@ -106,12 +107,13 @@
     Ok(JobRecord { spec, accepted_ms })
 }
 
-/// The value stored for a job that has ended.
+/// Returns the value stored for a job that has ended.
 pub fn terminal_record(outcome: JobOutcome) -> Value {
     json!({"phase": outcome.phase.spelling(), "done": outcome.done})
 }
 
-/// Reads what [`terminal_record`] wrote. Records of earlier versions lack the number of tasks.
+/// Parses a value written by [`terminal_record`]. Records of earlier versions do not contain the
+/// number of completed tasks; it is read as 0.
 pub fn parse_terminal(value: &Value) -> Result<JobOutcome, RecordError> {
     let stored = value
         .get("phase")
@@ -133,29 +135,29 @@
     })
 }
 
-/// A drain as an operator has ordered it: no task instance is started on the worker.
+/// A drain requested by an operator. No task instances are started on a draining worker.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct DrainRecord {
-    /// When it was ordered, by the time of day.
+    /// When the drain was requested, in Unix time.
     pub at_ms: u64,
-    /// The deadline after which what still runs there is stopped, by the time of day.
+    /// The deadline, in Unix time. Task instances still running on the worker are stopped then.
     #[serde(default)]
     pub until_ms: Option<u64>,
 }
 
-/// A worker that may have been given tasks: enough for the next leader to ask it at once which
-/// task instances it holds.
+/// A worker that may hold task instances, with what the next leader needs to ask it for them
+/// without waiting for its heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// Where the worker takes commands.
+    /// The address at which the worker accepts commands.
     pub address: String,
-    /// Its machine type.
+    /// The worker's machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: String,
-    /// Whether the cloud may reclaim it.
+    /// Whether the worker is a spot worker, which the cloud may reclaim.
     pub spot: bool,
-    /// Images in its cache, the most recently used last. Only a hint.
+    /// Images in the worker's cache, the most recently used last. The list may be outdated.
     #[serde(default)]
     pub images: Vec<String>,
 }
--- a/src/storage/recovery.rs
+++ b/src/storage/recovery.rs
@@ -1,4 +1,4 @@
-//! What a new leader reads before it leads, and the jobs that are stored since.
+//! Reads the stored state for a new leader, then watches for jobs stored after that.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,42 +23,44 @@
 use crate::protocol::JobId;
 use crate::protocol::state::Item;
 
-/// Pause before the stored state is read again after a failure.
-const READ_RETRY: Duration = Duration::from_millis(100);
-/// Pause before jobs are watched or listed again after a failure.
-const WATCH_RETRY: Duration = Duration::from_millis(300);
-/// How long the state service may hold a watch open without news.
+/// Delay before reading the stored state is retried after a failure.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Delay before watching or listing jobs is retried after a failure.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Maximum time that the state service holds a watch open while nothing changes.
 const WATCH_BLOCK: Duration = Duration::from_secs(2);
-/// Pause between two watches: a burst of jobs comes in a few answers rather than one for each.
-const WATCH_PAUSE: Duration = Duration::from_millis(15);
+/// Delay between two watches, so that a burst of jobs arrives in a few responses instead of one
+/// response per job.
+const WATCH_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Reads what earlier leaders have stored, then follows new jobs until the token is superseded.
+/// Reads the state stored by earlier leaders and passes it to the event loop, then watches for new
+/// jobs until this controller no longer leads under `token`.
 pub async fn recover(context: Arc<ControllerContext>, handle: ControllerHandle, token: u64) {
     let (snapshot, revision) = loop {
         if !context.leadership.leads(token) {
             return;
         }
         match read_snapshot(&context).await {
-            Ok(found) => break found,
+            Ok(result) => break result,
             Err(error) => {
                 tracing::info!(%error, "cannot read the stored state yet");
-                tokio::time::sleep(READ_RETRY).await;
+                tokio::time::sleep(READ_RETRY_DELAY).await;
             }
         }
     };
     tracing::info!(token, revision, "stored state read");
     handle.send(Command::Recovered { token, snapshot }).await;
-    let follower = JobFollower {
+    let watcher = JobWatcher {
         context,
         handle,
         token,
         revision,
     };
-    follower.run().await;
+    watcher.run().await;
 }
 
-/// Everything stored, and the revision from which new jobs are to be watched. The jobs are read
-/// last, so that little has to be watched again.
+/// Reads all stored records, and returns them with the revision from which to watch for new jobs.
+/// Jobs are read last, so that the first watch returns few changes.
 async fn read_snapshot(context: &ControllerContext) -> Result<(Snapshot, u64), StoreError> {
     let fencing = read_fencing(context).await?;
     let vote_binding_until = context.leadership.vote_binding_until_s();
@@ -77,40 +79,41 @@
     Ok((snapshot, revision))
 }
 
-/// The fencing record. Ages are taken here, before the core reads its clock.
+/// Reads the fencing record. The ages are computed here, before the core reads its clock, so
+/// that a delay in between can only make them too small.
 async fn read_fencing(context: &ControllerContext) -> Result<Vec<StoredFencingPage>, StoreError> {
     let (items, _) = context.store.list(FENCING).await?;
     let unix_ms = context.unix_ms();
     let error_ms = context.settings.cluster.clock_error_ms.ceil() as u64;
-    let fenced_worker = |(name, answered_at)| FencedWorker {
+    let to_fenced_worker = |(name, answered_at)| FencedWorker {
         name,
         age_ms: timestamp::min_age(answered_at, unix_ms, error_ms),
     };
     let mut pages = Vec::new();
     for item in items {
-        let Some(page) = page_number(&item.key, FENCING) else {
+        let Some(page) = parse_page_number(&item.key, FENCING) else {
             continue;
         };
-        let answered_at = page_entries::<u64>(&item.key, item.value);
+        let answered_at = parse_page::<u64>(&item.key, item.value);
         pages.push(StoredFencingPage {
             page,
             version: item.version,
-            workers: answered_at.map(|all| all.into_iter().map(fenced_worker).collect()),
+            workers: answered_at.map(|all| all.into_iter().map(to_fenced_worker).collect()),
         });
     }
     Ok(pages)
 }
 
-/// The worker registry. A page that does not parse is kept: the core then reckons with task
-/// instances on workers that it does not know.
+/// Reads the worker registry. A page that does not parse is included without its workers, so that
+/// the core assumes that unknown workers hold task instances.
 async fn read_registry(context: &ControllerContext) -> Result<Vec<StoredRegistryPage>, StoreError> {
     let (items, _) = context.store.list(REGISTRY).await?;
     let mut pages = Vec::new();
     for item in items {
-        let Some(page) = page_number(&item.key, REGISTRY) else {
+        let Some(page) = parse_page_number(&item.key, REGISTRY) else {
             continue;
         };
-        let workers = page_entries::<WorkerRecord>(&item.key, item.value);
+        let workers = parse_page::<WorkerRecord>(&item.key, item.value);
         pages.push(StoredRegistryPage {
             page,
             version: item.version,
@@ -122,11 +125,11 @@
 
 async fn read_progress(context: &ControllerContext) -> Result<Vec<StoredProgress>, StoreError> {
     let (items, _) = context.store.list(PROGRESS).await?;
-    Ok(items.into_iter().filter_map(stored_progress).collect())
+    Ok(items.into_iter().filter_map(parse_progress).collect())
 }
 
-fn stored_progress(item: Item) -> Option<StoredProgress> {
-    let chunk_key = progress_of_key(&item.key);
+fn parse_progress(item: Item) -> Option<StoredProgress> {
+    let chunk_key = parse_progress_key(&item.key);
     let bitmap = TaskBitmap::from_record(&item.value);
     match (chunk_key, bitmap) {
         (Some((job, chunk)), Ok(bitmap)) => Some(StoredProgress {
@@ -143,8 +146,8 @@
     }
 }
 
-/// The job and the chunk that a key of [`PROGRESS`] names.
-fn progress_of_key(key: &str) -> Option<(JobId, u32)> {
+/// Parses the job and the chunk index from a key below [`PROGRESS`].
+fn parse_progress_key(key: &str) -> Option<(JobId, u32)> {
     let (job, chunk) = key.strip_prefix(PROGRESS)?.split_once('/')?;
     Some((JobId::parse(job)?, chunk.parse().ok()?))
 }
@@ -176,13 +179,15 @@
     let (items, revision) = context.store.list(JOBS).await?;
     let jobs = items
         .iter()
-        .filter_map(|item| stored_job(&item.key, &item.value, item.version, context.unix_ms()))
+        .filter_map(|item| {
+            parse_stored_job(&item.key, &item.value, item.version, context.unix_ms())
+        })
         .collect();
     Ok((jobs, revision))
 }
 
-/// The number of the page that is kept under this key.
-fn page_number(key: &str, prefix: &str) -> Option<u32> {
+/// Parses the page number from a key below `prefix`.
+fn parse_page_number(key: &str, prefix: &str) -> Option<u32> {
     let page = key.strip_prefix(prefix).and_then(|n| n.parse::<u16>().ok());
     if page.is_none() {
         tracing::error!(key, "key has no page number");
@@ -190,15 +195,16 @@
     page.map(u32::from)
 }
 
-/// What a page has for each worker that it names; `None` if it does not parse.
-fn page_entries<T: DeserializeOwned>(key: &str, value: Value) -> Option<BTreeMap<String, T>> {
+/// Parses a page into its entries by worker name; `None` if it does not parse.
+fn parse_page<T: DeserializeOwned>(key: &str, value: Value) -> Option<BTreeMap<String, T>> {
     serde_json::from_value(value)
         .inspect_err(|error| tracing::error!(key, %error, "page does not parse"))
         .ok()
 }
 
-/// The job of a record. One that does not parse stays stored: another version may still run it.
-fn stored_job(key: &str, value: &Value, version: u64, unix_ms: u64) -> Option<StoredJob> {
+/// Parses the record of a live job. A record that does not parse is skipped but not deleted,
+/// because a controller of another version may be able to run the job.
+fn parse_stored_job(key: &str, value: &Value, version: u64, unix_ms: u64) -> Option<StoredJob> {
     match parse_job_record(value) {
         Ok(record) => Some(StoredJob {
             age_s: unix_ms.saturating_sub(record.accepted_ms) as f64 / 1000.0,
@@ -213,16 +219,16 @@
     }
 }
 
-/// Gives the core the jobs that are stored while this controller leads.
-struct JobFollower {
+/// Watches for jobs stored while this controller leads, and passes them to the core.
+struct JobWatcher {
     context: Arc<ControllerContext>,
     handle: ControllerHandle,
     token: u64,
-    /// The last revision whose jobs the core has.
+    /// The revision up to which all jobs have been passed to the core.
     revision: u64,
 }
 
-impl JobFollower {
+impl JobWatcher {
     async fn run(mut self) {
         while self.context.leadership.leads(self.token) {
             let watched = self
@@ -237,21 +243,21 @@
                         let Some(key) = event.put else { continue };
                         self.submit(&key, &event.value, event.version).await;
                     }
-                    tokio::time::sleep(WATCH_PAUSE).await;
+                    tokio::time::sleep(WATCH_INTERVAL).await;
                 }
-                Err(StoreError::TooOld) => self.list_again().await,
+                Err(StoreError::WatchExpired) => self.relist_jobs().await,
                 Err(error) => {
                     tracing::debug!(%error, "watch failed");
-                    tokio::time::sleep(WATCH_RETRY).await;
+                    tokio::time::sleep(WATCH_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Reads all jobs: the watch cannot go on from where it was.
-    async fn list_again(&mut self) {
+    /// Lists all jobs, because the watch cannot continue from the last revision.
+    async fn relist_jobs(&mut self) {
         let Ok((items, revision)) = self.context.store.list(JOBS).await else {
-            return tokio::time::sleep(WATCH_RETRY).await;
+            return tokio::time::sleep(WATCH_RETRY_DELAY).await;
         };
         self.revision = revision;
         for item in items {
@@ -261,7 +267,7 @@
 
     async fn submit(&self, key: &str, value: &Value, version: u64) {
         let unix_ms = self.context.unix_ms();
-        if let Some(job) = stored_job(key, value, version, unix_ms) {
+        if let Some(job) = parse_stored_job(key, value, version, unix_ms) {
             let input = Input::Job(job);
             let token = self.token;
             self.handle.send(Command::Input { token, input }).await;
--- a/src/storage/snapshot.rs
+++ b/src/storage/snapshot.rs
@@ -1,30 +1,30 @@
-//! What a new leader starts from: the stored records, with times of day turned into ages.
+//! The state that a new leader starts from: the stored records, with Unix times converted to ages.
 
 use super::bitmap::TaskBitmap;
 use super::records::{DrainRecord, WorkerRecord};
 use crate::protocol::JobId;
 use crate::protocol::job::JobSpec;
 
-/// Everything that a new leader reads from the state service.
+/// All records that a new leader reads from the state service.
 #[derive(Debug, Default)]
 pub struct Snapshot {
     /// The live jobs.
     pub jobs: Vec<StoredJob>,
-    /// The bitmaps of done tasks.
+    /// The bitmaps of completed tasks.
     pub progress: Vec<StoredProgress>,
-    /// The worker registry.
+    /// The pages of the worker registry.
     pub registry: Vec<StoredRegistryPage>,
     /// The drains.
     pub drains: Vec<StoredDrain>,
-    /// The fencing record.
+    /// The pages of the fencing record.
     pub fencing: Vec<StoredFencingPage>,
-    /// Until when workers may have been answered under a lease extension that this controller
-    /// voted for, or used when it led itself; on the clock of the core.
+    /// The time, on the core's clock, until which workers may have been answered under a lease
+    /// extension that this controller voted for, or that it used while it was the leader.
     pub vote_binding_until: f64,
 }
 
 impl Snapshot {
-    /// How many workers the registry names.
+    /// Returns the number of workers in the registry.
     pub fn workers(&self) -> usize {
         self.registry
             .iter()
@@ -39,24 +39,24 @@
 pub struct StoredJob {
     /// The job as it was submitted.
     pub spec: JobSpec,
-    /// When it was accepted, by the time of day.
+    /// When the job was accepted, in Unix time.
     pub accepted_ms: u64,
-    /// How long ago that was, by the time of day.
+    /// Time since the job was accepted, computed from Unix times.
     pub age_s: f64,
-    /// The version of its key.
+    /// The version of the record's key.
     pub version: u64,
 }
 
-/// One chunk of a job's bitmap of done tasks.
+/// One chunk of a job's bitmap of completed tasks.
 #[derive(Debug, Clone)]
 pub struct StoredProgress {
-    /// The job.
+    /// The job's ID.
     pub job: JobId,
-    /// The chunk's position in the job.
+    /// The index of the chunk within the job.
     pub chunk: u32,
-    /// Which tasks of the chunk are done.
+    /// The completed tasks of the chunk.
     pub bitmap: TaskBitmap,
-    /// The version of its key.
+    /// The version of the record's key.
     pub version: u64,
 }
 
@@ -65,7 +65,7 @@
 pub struct StoredRegistryPage {
     /// The page's number.
     pub page: u32,
-    /// The version of its key.
+    /// The version of the record's key.
     pub version: u64,
     /// The workers by name; `None` if the page does not parse.
     pub workers: Option<Vec<(String, WorkerRecord)>>,
@@ -74,13 +74,13 @@
 /// A drain.
 #[derive(Debug, Clone)]
 pub struct StoredDrain {
-    /// The worker that drains.
+    /// The name of the draining worker.
     pub worker: String,
-    /// `None` if the record does not parse: the worker drains, without a deadline.
+    /// The record; `None` if it does not parse, in which case the worker drains without a deadline.
     pub record: Option<DrainRecord>,
-    /// How long until the deadline, by the time of day; negative once it has passed.
+    /// Time until the deadline, computed from Unix times; negative after the deadline.
     pub deadline_in_s: Option<f64>,
-    /// The version of its key.
+    /// The version of the record's key.
     pub version: u64,
 }
 
@@ -89,17 +89,17 @@
 pub struct StoredFencingPage {
     /// The page's number.
     pub page: u32,
-    /// The version of its key.
+    /// The version of the record's key.
     pub version: u64,
-    /// The workers that it names; `None` if the page does not parse.
+    /// The workers on the page; `None` if the page does not parse.
     pub workers: Option<Vec<FencedWorker>>,
 }
 
-/// A fenced worker, and how long ago it was last answered at least.
+/// A fenced worker, and a lower bound of the time since its last answered heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FencedWorker {
     /// The worker's name.
     pub name: String,
-    /// Time since its last answer in ms.
+    /// Minimum time since the worker's last answered heartbeat, in ms.
     pub age_ms: u64,
 }
--- a/src/storage/store/error.rs
+++ b/src/storage/store/error.rs
@@ -1,71 +1,73 @@
-//! Why a request to the state service failed, and whether it may have been carried out.
+//! Errors of requests to the state service, which tell whether the request may have been carried
+//! out.
 
 use thiserror::Error;
 
 use crate::storage::records::RecordError;
 use crate::transport::client::CallError;
 
-/// Why a request to the state service failed.
+/// A request to the state service failed.
 #[derive(Debug, Clone, Error)]
 pub enum StoreError {
-    /// Surely not carried out: the state service answered with this status.
-    #[error("the state service refuses: {0}")]
+    /// Certainly not carried out: the state service answered with this status.
+    #[error("the state service answered with status {0}")]
     Refused(u16),
-    /// Surely not carried out: no connection came about.
-    #[error("the state service was not reached")]
-    NotReached,
-    /// May have been carried out, or may still be.
+    /// Certainly not carried out: the connection could not be established.
+    #[error("cannot connect to the state service")]
+    ConnectFailed,
+    /// The request may have been carried out, or may still be carried out later.
     #[error("outcome unknown: {0}")]
     Unknown(UnknownOutcome),
-    /// The keys whose condition failed.
-    #[error("conditions failed: {0:?}")]
+    /// Conditions of the transaction failed, on these keys.
+    #[error("conditions failed on keys {0:?}")]
     Conflict(Vec<String>),
-    /// The lease has ended.
-    #[error("no such lease")]
+    /// The lease does not exist or has ended.
+    #[error("the lease does not exist or has ended")]
     LeaseNotFound,
-    /// The watch fell behind what the service keeps, or what one answer may hold: only reading
-    /// everything anew leads on from there.
-    #[error("too old")]
-    TooOld,
+    /// The service no longer has all changes since the watched revision, or they exceed the maximum
+    /// size of a response. The caller has to list the prefix again.
+    #[error("the changes since the watched revision are not available")]
+    WatchExpired,
 }
 
-/// Why it is not known whether a request was carried out, or what was read.
+/// The reason why it is unknown whether a request was carried out, or what was read.
 #[derive(Debug, Clone, Error)]
 pub enum UnknownOutcome {
-    /// The answer did not arrive.
+    /// The HTTP call failed after the request may have been sent.
     #[error(transparent)]
-    Exchange(CallError),
-    /// The answer does not parse.
-    #[error("{0}")]
-    InvalidAnswer(String),
-    /// A controller was asked to relay the request, and its answer did not arrive.
-    #[error("peer gave no answer")]
-    RelayLost,
+    CallFailed(CallError),
+    /// The response does not parse.
+    #[error("invalid response: {0}")]
+    InvalidResponse(String),
+    /// A peer was asked to relay the request, and sent no valid response.
+    #[error("no response from the relaying peer")]
+    RelayNotAnswered,
     /// The record that was read does not parse.
-    #[error("unreadable record")]
+    #[error("the stored record does not parse")]
     InvalidRecord(#[source] RecordError),
 }
 
 impl StoreError {
-    /// A request that failed in the exchange.
-    pub(super) fn from_exchange(error: CallError) -> Self {
+    /// Converts the error of an HTTP call.
+    pub(super) fn from_call_error(error: CallError) -> Self {
         match error {
-            CallError::Unsent => Self::NotReached,
-            other => Self::Unknown(UnknownOutcome::Exchange(other)),
+            CallError::Unsent => Self::ConnectFailed,
+            other => Self::Unknown(UnknownOutcome::CallFailed(other)),
         }
     }
 
-    /// A watch that failed in the exchange.
-    pub(super) fn from_watch(error: CallError) -> Self {
+    /// Converts the error of the HTTP call of a watch.
+    pub(super) fn from_watch_error(error: CallError) -> Self {
         match error {
-            // The service has no limit to an answer; the same question gets the same again.
-            CallError::TooLarge => Self::TooOld,
-            other => Self::Unknown(UnknownOutcome::Exchange(other)),
+            // The service does not limit the size of a response, so a retry of the same watch would
+            // fail again.
+            CallError::TooLarge => Self::WatchExpired,
+            other => Self::Unknown(UnknownOutcome::CallFailed(other)),
         }
     }
 
-    /// An answer with a body that does not parse.
-    pub(super) fn from_body(error: serde_json::Error) -> Self {
-        Self::Unknown(UnknownOutcome::InvalidAnswer(error.to_string()))
+    /// Converts the error of parsing a response body.
+    pub(super) fn from_parse_error(error: serde_json::Error) -> Self {
+        Self::Unknown(UnknownOutcome::InvalidResponse(error.to_string()))
     }
 }
--- a/src/storage/store/mod.rs
+++ b/src/storage/store/mod.rs
@@ -1,5 +1,5 @@
-//! The client of the state service: rate limits, deadlines, and the relaying of requests through
-//! peers when the service does not answer this controller alone.
+//! The client of the state service. It applies rate limits and timeouts, and relays requests
+//! through peers when the service does not answer this controller directly.
 
 mod error;
 mod lease;
@@ -25,18 +25,18 @@
 use reachability::Reachability;
 pub use relay::call_peer;
 
-/// How long one attempt may take: answers normally come within 10 ms, now and then within a few
-/// hundred.
-const ATTEMPT: Duration = Duration::from_millis(900);
-/// How often a request is sent that the service answers with [`TOO_MANY_REQUESTS`].
-const ATTEMPTS: usize = 3;
-/// Pause after such an answer.
-const SLOW_DOWN: Duration = Duration::from_millis(100);
-/// The service asks its clients to slow down. Not counted as a failure.
+/// Timeout of one attempt. Responses normally arrive within 10 ms, occasionally after a few hundred
+/// milliseconds.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(900);
+/// Maximum number of attempts for a request that the service answers with [`TOO_MANY_REQUESTS`].
+const MAX_ATTEMPTS: usize = 3;
+/// Delay after a [`TOO_MANY_REQUESTS`] response.
+const TOO_MANY_REQUESTS_DELAY: Duration = Duration::from_millis(100);
+/// Status with which the service asks clients to slow down. It does not count as a failure.
 const TOO_MANY_REQUESTS: u16 = 429;
-/// Seconds of the published rates that may be used at once.
+/// Burst size of the rate limiters, in seconds of the published rates.
 const BURST_S: f64 = 1.0;
-/// In the answer to a transaction whose lease has ended.
+/// Text in the response to a transaction whose lease has ended.
 const NO_SUCH_LEASE: &[u8] = b"no such lease";
 
 /// The client of the state service.
@@ -44,11 +44,11 @@
     http: Arc<dyn Network>,
     address: SocketAddr,
     peers: Vec<SocketAddr>,
-    requests: RateLimiter,
-    writes: RateLimiter,
+    request_limiter: RateLimiter,
+    write_limiter: RateLimiter,
     reachability: Reachability,
-    /// Index of the peer that last relayed a request.
-    last_peer: AtomicUsize,
+    /// Index in `peers` of the peer that last relayed a request successfully.
+    last_relay_peer: AtomicUsize,
 }
 
 /// One request to the state service.
@@ -56,16 +56,17 @@
     method: Method,
     path: &'a str,
     body: &'a [u8],
-    /// Changes that it makes, which are limited by themselves.
+    /// The number of changes, which have a rate limit of their own.
     changes: usize,
     urgency: Urgency,
-    /// Whether it may go through a peer: only what needs no guard against a long delay may.
+    /// Whether the request may be relayed through a peer. Only requests that remain correct after a
+    /// long delay may be relayed.
     may_relay: bool,
 }
 
 impl Store {
-    /// A client of the service at `address`, for the published rates of requests and changes per
-    /// second. `peers` are the other controllers.
+    /// Creates a client of the service at `address` that keeps to the given rates of requests and
+    /// changes per second. `peers` are the addresses of the other controllers.
     pub fn new(
         http: Arc<dyn Network>,
         address: SocketAddr,
@@ -77,35 +78,35 @@
             http,
             address,
             peers,
-            requests: RateLimiter::new(requests_per_s, BURST_S),
-            writes: RateLimiter::new(changes_per_s, BURST_S),
+            request_limiter: RateLimiter::new(requests_per_s, BURST_S),
+            write_limiter: RateLimiter::new(changes_per_s, BURST_S),
             reachability: Reachability::new(),
-            last_peer: AtomicUsize::new(0),
+            last_relay_peer: AtomicUsize::new(0),
         }
     }
 
-    /// Seconds since the state service last answered this controller, directly or through a peer.
+    /// Returns the seconds since the state service last answered this controller, directly or
+    /// through a peer.
     pub fn since_last_answer_s(&self) -> f64 {
         self.reachability.since_last_answer_s()
     }
 
-    /// Whether the service does not answer this controller directly, as far as is known from a
-    /// moment ago.
+    /// Returns whether the service seems unreachable: the last direct request failed, and recently.
     pub fn is_unreachable(&self) -> bool {
         self.reachability.is_unreachable()
     }
 
-    /// How long a request would wait behind those that wait already.
+    /// Returns how long a new request would wait for the requests queued before it.
     pub fn read_backlog(&self) -> Duration {
-        self.requests.backlog()
+        self.request_limiter.backlog()
     }
 
-    /// How long a write would wait behind those that wait already.
+    /// Returns how long a new write would wait for the changes queued before it.
     pub fn write_backlog(&self) -> Duration {
-        self.writes.backlog()
+        self.write_limiter.backlog()
     }
 
-    /// Reads a key.
+    /// Reads a key; `None` if it does not exist.
     pub async fn get(
         &self,
         key: &str,
@@ -130,7 +131,8 @@
         }
     }
 
-    /// Returns the revision of the transaction, which is the version of all it wrote.
+    /// Commits a transaction. Returns its revision, which becomes the version of every key that it
+    /// wrote.
     pub async fn commit(
         &self,
         transaction: &Transaction,
@@ -150,48 +152,49 @@
         match answer.status {
             200 => parse::<Revision>(&answer).map(|r| r.revision),
             409 => Err(StoreError::Conflict(parse::<Conflict>(&answer)?.failed)),
-            400 if contains(&answer.body, NO_SUCH_LEASE) => Err(StoreError::LeaseNotFound),
+            400 if contains_bytes(&answer.body, NO_SUCH_LEASE) => Err(StoreError::LeaseNotFound),
             other => Err(StoreError::Refused(other)),
         }
     }
 
-    /// Sends a request within the rate limits, again if the service asks to slow down.
+    /// Sends a request within the rate limits. Retries if the service asks to slow down.
     async fn call(&self, request: Request<'_>) -> Result<Answer, StoreError> {
-        for _ in 0..ATTEMPTS {
-            self.requests.acquire(1.0, request.urgency).await;
+        for _ in 0..MAX_ATTEMPTS {
+            self.request_limiter.acquire(1.0, request.urgency).await;
             if request.changes > 0 {
                 let changes = request.changes as f64;
-                self.writes.acquire(changes, request.urgency).await;
+                self.write_limiter.acquire(changes, request.urgency).await;
             }
             let answer = self.attempt(&request).await?;
             if answer.status != TOO_MANY_REQUESTS {
                 return Ok(answer);
             }
-            tokio::time::sleep(SLOW_DOWN).await;
+            tokio::time::sleep(TOO_MANY_REQUESTS_DELAY).await;
         }
         Err(StoreError::Refused(TOO_MANY_REQUESTS))
     }
 
-    /// One attempt: directly if that has worked, else through the peers at once.
+    /// Makes one attempt. The request is sent directly unless direct requests have failed recently,
+    /// and is relayed through a peer otherwise or if the direct attempt certainly had no effect.
     async fn attempt(&self, request: &Request<'_>) -> Result<Answer, StoreError> {
         let may_relay = request.may_relay && !self.peers.is_empty();
-        if may_relay && self.reachability.avoids_direct() {
-            return self.through_peers(request).await;
+        if may_relay && self.reachability.prefers_relay() {
+            return self.call_via_peers(request).await;
         }
         let body = request.body.to_vec();
         let direct = self
-            .direct(request.method.clone(), request.path, body, ATTEMPT)
+            .call_directly(request.method.clone(), request.path, body, ATTEMPT_TIMEOUT)
             .await;
         match direct {
-            Err(StoreError::Refused(_) | StoreError::NotReached) if may_relay => {
-                self.through_peers(request).await
+            Err(StoreError::Refused(_) | StoreError::ConnectFailed) if may_relay => {
+                self.call_via_peers(request).await
             }
             other => other,
         }
     }
 
-    /// One direct attempt.
-    async fn direct(
+    /// Sends a request directly, without a retry.
+    async fn call_directly(
         &self,
         method: Method,
         path: &str,
@@ -208,26 +211,26 @@
                 Ok(answer)
             }
             Ok(answer) => {
-                self.reachability.record_fault();
+                self.reachability.record_server_error();
                 Err(StoreError::Refused(answer.status))
             }
             Err(error) => {
-                self.reachability.record_loss();
-                Err(StoreError::from_exchange(error))
+                self.reachability.record_no_answer();
+                Err(StoreError::from_call_error(error))
             }
         }
     }
 }
 
 fn parse<T: DeserializeOwned>(answer: &Answer) -> Result<T, StoreError> {
-    serde_json::from_slice(&answer.body).map_err(StoreError::from_body)
+    serde_json::from_slice(&answer.body).map_err(StoreError::from_parse_error)
 }
 
-fn contains(body: &[u8], part: &[u8]) -> bool {
+fn contains_bytes(body: &[u8], part: &[u8]) -> bool {
     body.windows(part.len()).any(|window| window == part)
 }
 
-/// A change that writes a key without a lease.
+/// Returns a change that writes a key without a lease.
 pub fn put(key: String, value: Value) -> Change {
     Change::Put {
         key,
--- a/src/storage/store/outcome.rs
+++ b/src/storage/store/outcome.rs
@@ -1,4 +1,4 @@
-//! What the state service has of one job.
+//! Reads the stored outcome of a job.
 
 use super::{Store, StoreError, UnknownOutcome};
 use crate::protocol::JobId;
@@ -7,7 +7,7 @@
 use crate::transport::rate_limiter::Urgency;
 
 impl Store {
-    /// The stored outcome of a job, which is pending while it lives; `None` if it was never
+    /// Reads the outcome of a job; its phase is pending for a live job. `None` if the job was never
     /// accepted. The order of the two reads matters, see [`crate::storage`].
     pub async fn outcome(&self, job: JobId) -> Result<Option<JobOutcome>, StoreError> {
         let urgency = Urgency::Low;
@@ -20,7 +20,7 @@
         Ok(terminal.or(live.map(|_| pending)))
     }
 
-    /// The terminal state of a job; `None` if there is none.
+    /// Reads the terminal state of a job; `None` if there is none.
     pub async fn terminal(
         &self,
         job: JobId,
--- a/src/storage/store/relay.rs
+++ b/src/storage/store/relay.rs
@@ -1,5 +1,5 @@
-//! Requests that reach the state service through another controller, where the service does not
-//! answer this one.
+//! Relaying of requests to the state service through another controller, for when the service does
+//! not answer this one.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -7,82 +7,89 @@
 
 use hyper::Method;
 
-use super::{ATTEMPT, Request, Store, StoreError, UnknownOutcome};
+use super::{ATTEMPT_TIMEOUT, Request, Store, StoreError, UnknownOutcome};
 use crate::protocol::peer::{PeerReply, PeerRequest};
 use crate::transport::client::{Answer, Network};
 use crate::transport::rate_limiter::Urgency;
 
-/// What a relay may take beyond its own attempt.
+/// Time that a relayed request may take in addition to the attempt of the relaying peer.
 const RELAY_MARGIN: Duration = Duration::from_millis(300);
-/// The status that a peer gets for a service that could not be reached.
+/// The status returned to a peer if the service cannot be reached.
 const UNAVAILABLE: u16 = 503;
-/// Changes that a relayed transaction is taken to have: the relay does not read it.
+/// The number of changes that a relayed transaction is charged with. The relaying controller does
+/// not parse transactions.
 const RELAYED_CHANGES: f64 = 2.0;
 
 impl Store {
-    /// Carries out a request of another controller. Only directly, so that no request goes in
-    /// circles.
+    /// Sends a request on behalf of another controller. It is only sent directly, to prevent relay
+    /// loops.
     pub async fn relay(&self, method: &str, path: &str, body: Vec<u8>) -> PeerReply {
         let Ok(method) = Method::from_bytes(method.as_bytes()) else {
             return PeerReply::Unable;
         };
-        self.requests.acquire(1.0, Urgency::Normal).await;
+        self.request_limiter.acquire(1.0, Urgency::Normal).await;
         if method == Method::POST {
-            self.writes.acquire(RELAYED_CHANGES, Urgency::Normal).await;
+            self.write_limiter
+                .acquire(RELAYED_CHANGES, Urgency::Normal)
+                .await;
         }
-        match self.direct(method, path, body, ATTEMPT).await {
+        match self
+            .call_directly(method, path, body, ATTEMPT_TIMEOUT)
+            .await
+        {
             Ok(answer) => PeerReply::State {
                 status: answer.status,
                 body: answer.body.to_vec(),
             },
-            Err(StoreError::Refused(status)) => refusal(status),
-            Err(StoreError::NotReached) => refusal(UNAVAILABLE),
-            // A peer cannot distinguish "unknown" from "unable": it gets the worse of the two.
+            Err(StoreError::Refused(status)) => error_reply(status),
+            Err(StoreError::ConnectFailed) => error_reply(UNAVAILABLE),
+            // The peer treats every reply other than `State` as an unknown outcome.
             Err(_) => PeerReply::Unable,
         }
     }
 
-    /// Asks one peer after another, beginning with the last that had an answer.
-    pub(super) async fn through_peers(&self, request: &Request<'_>) -> Result<Answer, StoreError> {
-        let first = self.last_peer.load(Ordering::Relaxed);
+    /// Tries to relay a request through the peers in turn, starting with the one that last
+    /// succeeded.
+    pub(super) async fn call_via_peers(&self, request: &Request<'_>) -> Result<Answer, StoreError> {
+        let first = self.last_relay_peer.load(Ordering::Relaxed);
         let mut error = StoreError::Refused(UNAVAILABLE);
         for offset in 0..self.peers.len() {
             let peer = (first + offset) % self.peers.len();
-            match self.ask_peer(self.peers[peer], request).await {
+            match self.relay_via_peer(self.peers[peer], request).await {
                 Some(PeerReply::State { status, body }) if status < 500 => {
-                    self.last_peer.store(peer, Ordering::Relaxed);
+                    self.last_relay_peer.store(peer, Ordering::Relaxed);
                     self.reachability.record_relayed_answer();
                     let body = body.into();
                     return Ok(Answer { status, body });
                 }
                 Some(PeerReply::State { .. }) => {}
-                // It may have been relayed before the answer was lost.
-                _ => error = StoreError::Unknown(UnknownOutcome::RelayLost),
+                // The peer may have relayed the request although its response is missing.
+                _ => error = StoreError::Unknown(UnknownOutcome::RelayNotAnswered),
             }
         }
         Err(error)
     }
 
-    async fn ask_peer(&self, peer: SocketAddr, request: &Request<'_>) -> Option<PeerReply> {
+    async fn relay_via_peer(&self, peer: SocketAddr, request: &Request<'_>) -> Option<PeerReply> {
         let request = PeerRequest::State {
             method: request.method.to_string(),
             path: request.path.to_string(),
             body: request.body.to_vec(),
         };
-        let deadline = ATTEMPT + RELAY_MARGIN;
+        let deadline = ATTEMPT_TIMEOUT + RELAY_MARGIN;
         call_peer(self.http.as_ref(), peer, &request, deadline).await
     }
 }
 
-/// The reply to a request that was surely not carried out.
-fn refusal(status: u16) -> PeerReply {
+/// Returns the reply to a request that was certainly not carried out.
+fn error_reply(status: u16) -> PeerReply {
     PeerReply::State {
         status,
         body: Vec::new(),
     }
 }
 
-/// Asks another controller; `None` if it gave no answer that can be read.
+/// Sends a request to another controller; `None` if there is no valid response.
 pub async fn call_peer(
     http: &dyn Network,
     peer: SocketAddr,
--- a/src/storage/store/watch.rs
+++ b/src/storage/store/watch.rs
@@ -1,4 +1,4 @@
-//! Reading everything below a prefix, and following what changes there.
+//! Lists the items below a key prefix, and watches the prefix for changes.
 
 use std::time::Duration;
 
@@ -8,13 +8,14 @@
 use crate::protocol::state::{Changes, Item, Page};
 use crate::transport::rate_limiter::Urgency;
 
-/// Items that are asked for at once.
+/// Maximum number of items per page of a list.
 const PAGE_ITEMS: usize = 500;
-/// What a watch may take beyond the time that the service may hold it open.
+/// Time that a watch may take in addition to the time that the service may hold it open.
 const WATCH_MARGIN: Duration = Duration::from_millis(1500);
 
 impl Store {
-    /// Every item below a prefix, with the revision before the first page was read.
+    /// Lists all items below a prefix. Returns them with the revision at the time of the first
+    /// page.
     pub async fn list(&self, prefix: &str) -> Result<(Vec<Item>, u64), StoreError> {
         let mut items: Vec<Item> = Vec::new();
         let mut revision = None;
@@ -49,20 +50,20 @@
         }
     }
 
-    /// What has changed below a prefix since a revision; waits up to `block` for a change.
+    /// Returns the changes below a prefix since a revision. Waits up to `block` for a change.
     pub async fn watch(
         &self,
         prefix: &str,
         since: u64,
         block: Duration,
     ) -> Result<Changes, StoreError> {
-        self.requests.acquire(1.0, Urgency::High).await;
+        self.request_limiter.acquire(1.0, Urgency::High).await;
         let path = format!(
             "/watch?prefix={prefix}&since={since}&block_ms={}",
             block.as_millis()
         );
-        // Not through `direct`: an open watch that outlasts an outage is no evidence about other
-        // requests.
+        // This bypasses `call_directly`, because a watch that stays open during an outage does not
+        // show whether other requests are answered.
         let answer = self
             .http
             .call(
@@ -73,10 +74,10 @@
                 block + WATCH_MARGIN,
             )
             .await
-            .map_err(StoreError::from_watch)?;
+            .map_err(StoreError::from_watch_error)?;
         match answer.status {
             200 => parse(&answer),
-            410 => Err(StoreError::TooOld),
+            410 => Err(StoreError::WatchExpired),
             other => Err(StoreError::Refused(other)),
         }
     }
--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -1,8 +1,8 @@
-//! The leader's writes: what to write, and one guarded transaction at a time.
+//! The leader's writes, which are stored in guarded transactions, one at a time.
 //!
-//! Each write is guarded by the leader key's version and by the version that its own key is
-//! believed to have. A transaction whose outcome stayed unknown and that is applied minutes later
-//! therefore fails instead of undoing newer writes.
+//! Each transaction is conditional on the version of the leader key and on the expected version of
+//! each key that it writes. A transaction whose outcome is unknown, and which the state service may
+//! receive minutes later, therefore fails instead of overwriting newer values.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,72 +23,73 @@
 use super::snapshot::FencedWorker;
 use super::store::{Store, StoreError, put};
 
-/// Pause before a key is read back again after a failure.
-const READ_BACK_RETRY: Duration = Duration::from_millis(200);
+/// Delay before a failed read-back of a key is retried.
+const READ_BACK_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// One write of the leader. `version` is what the key is believed to have, 0 if there is none.
+/// One write of the leader. `version` is the expected version of the key, 0 if the key should not
+/// exist.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Write {
-    /// The end of a job: its terminal state appears, its description goes.
+    /// Finishes a job: creates its terminal state and deletes its description.
     Finish {
-        /// The job.
+        /// The job's ID.
         job: JobId,
-        /// Version of the job's description.
+        /// The expected version of the job's description.
         version: u64,
-        /// All its tasks.
+        /// The number of completed tasks, which is all tasks of the job.
         done: u32,
     },
-    /// One chunk of a job's bitmap of done tasks.
+    /// Stores one chunk of a job's bitmap of completed tasks.
     Progress {
-        /// The job.
+        /// The job's ID.
         job: JobId,
-        /// The chunk's position in the job.
+        /// The index of the chunk within the job.
         chunk: u32,
-        /// The bitmap's record.
+        /// The value to store.
         value: Value,
-        /// Version of the chunk's key.
+        /// The expected version of the chunk's key.
         version: u64,
     },
-    /// The removal of a chunk whose job has ended.
+    /// Deletes a chunk of the bitmap of a job that has ended.
     DeleteProgress {
-        /// The job.
+        /// The job's ID.
         job: JobId,
-        /// The chunk's position in the job.
+        /// The index of the chunk within the job.
         chunk: u32,
-        /// Version of the chunk's key.
+        /// The expected version of the chunk's key.
         version: u64,
     },
-    /// One page of the worker registry.
+    /// Stores one page of the worker registry.
     WorkerRegistry {
         /// The page's number.
         page: u32,
-        /// The page's record.
+        /// The value to store.
         value: Value,
-        /// Version of the page's key.
+        /// The expected version of the page's key.
         version: u64,
     },
-    /// One page of the fencing record.
+    /// Stores one page of the fencing record.
     FencingRecord {
         /// The page's number.
         page: u32,
-        /// The fenced workers, with their ages when the write was decided.
+        /// The fenced workers, with their ages at the time when the write was requested.
         workers: Vec<FencedWorker>,
-        /// Version of the page's key.
+        /// The expected version of the page's key.
         version: u64,
     },
-    /// A drain that begins or changes (`Some`), or ends.
+    /// Stores or deletes the drain of a worker.
     Drain {
-        /// The worker's name, by which operators call it a node.
+        /// The name of the worker, which operators know as a node.
         node: String,
-        /// The drain's record; `None` removes it.
+        /// The record to store; `None` deletes it.
         record: Option<DrainRecord>,
-        /// Version of the drain's key.
+        /// The expected version of the drain's key.
         version: u64,
     },
 }
 
 impl Write {
-    /// How many changes of a transaction it takes.
+    /// Returns the number of changes that the write adds to a transaction.
     pub fn changes(&self) -> usize {
         match self {
             Self::Finish { .. } => 2,
@@ -96,12 +97,12 @@
         }
     }
 
-    /// Whether users or workers wait for it.
+    /// Returns whether users or workers wait for the write.
     fn is_urgent(&self) -> bool {
         matches!(self, Self::Finish { .. } | Self::FencingRecord { .. })
     }
 
-    /// Whether it removes its key.
+    /// Returns whether the write only deletes a key.
     fn is_deletion(&self) -> bool {
         matches!(
             self,
@@ -109,7 +110,8 @@
         )
     }
 
-    /// Adds the write to a transaction. `unix_ms` has been read after the write was decided.
+    /// Adds the write to a transaction. `unix_ms` must have been read after the write was
+    /// requested.
     fn add_to(&self, transaction: &mut Transaction, unix_ms: u64) {
         if let Self::Finish { job, done, .. } = self {
             let key = terminal_key(*job);
@@ -129,7 +131,7 @@
         });
     }
 
-    /// The value that the guarded key gets; `None` removes the key.
+    /// Returns the new value of [`Self::guarded_key`]; `None` deletes the key.
     fn value(&self, unix_ms: u64) -> Option<Value> {
         match self {
             Self::Finish { .. } | Self::DeleteProgress { .. } => None,
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The version that [`Self::guarded_key`] is believed to have.
+    /// Returns the expected version of [`Self::guarded_key`].
     fn version(&self) -> u64 {
         match self {
             Self::Finish { version, .. }
@@ -168,15 +170,15 @@
         }
     }
 
-    /// The key whose value shows whether the write was applied.
-    fn evidence_key(&self) -> String {
+    /// Returns the key whose value shows whether the write was applied.
+    fn read_back_key(&self) -> String {
         match self {
             Self::Finish { job, .. } => terminal_key(*job),
             _ => self.guarded_key(),
         }
     }
 
-    /// What became of the write, by what is read from [`Self::evidence_key`] after it.
+    /// Returns the outcome of the write, given the item read from [`Self::read_back_key`] after it.
     fn outcome(&self, found: Option<Item>) -> WriteOutcome {
         match (self, found) {
             (Self::Finish { .. }, Some(item)) => match parse_terminal(&item.value) {
@@ -195,7 +197,8 @@
     }
 }
 
-/// The value of a page of the fencing record: names, and when each was last answered.
+/// Returns the value of a page of the fencing record: for each worker name, the Unix time of its
+/// last answered heartbeat.
 fn fencing_page(workers: &[FencedWorker], unix_ms: u64) -> Value {
     let entry = |worker: &FencedWorker| {
         let answered_at = timestamp::from_age(worker.age_ms, unix_ms);
@@ -204,24 +207,24 @@
     Value::Object(workers.iter().map(entry).collect())
 }
 
-/// What became of one write of a batch.
+/// The outcome of one write of a batch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteOutcome {
-    /// Stored.
+    /// The write has been applied.
     Stored {
-        /// The key's version, 0 after a deletion.
+        /// The new version of the key, 0 after a deletion.
         version: u64,
     },
-    /// Not stored, or not known to be: to be tried again.
+    /// The write has not been applied, or may not have been. It has to be retried.
     Retry {
-        /// The key's version as read since.
+        /// The version of the key as read after the attempt.
         version: u64,
     },
-    /// Another controller has ended the job.
+    /// The job already has a terminal state, which is this outcome.
     JobAlreadyEnded(JobOutcome),
 }
 
-/// The outcome of a job all of whose tasks are done.
+/// Returns the outcome of a job with all of its tasks completed.
 pub fn completed(done: u32) -> JobOutcome {
     JobOutcome {
         phase: Phase::Done,
@@ -229,42 +232,48 @@
     }
 }
 
-/// Why a batch was abandoned.
+/// A batch was abandoned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum WriteError {
-    /// Another controller has written the leader key.
-    #[error("another controller leads")]
+    /// This controller is no longer the leader.
+    #[error("this controller is no longer the leader")]
     NotLeader,
 }
 
-/// Carries one batch out, however long it takes, unless another controller leads.
+/// Commits one batch and returns the outcome of each write.
 ///
-/// If the outcome is unknown or a key has moved on, each key is read again. The next attempt is
-/// guarded by what is read now, so the unknown one cannot be applied after it.
+/// If the transaction failed or its outcome is unknown, each key is read back, with retries until
+/// the state service answers. The caller's next attempt is conditional on the versions read here,
+/// so the transaction with the unknown outcome cannot be applied after it.
+///
+/// # Errors
+/// This controller is no longer the leader.
 pub async fn write(
     store: Arc<Store>,
     token: u64,
     batch: Vec<Write>,
     unix_ms: u64,
-    still_wanted: impl Fn() -> bool,
+    still_leads: impl Fn() -> bool,
 ) -> Result<Vec<(Write, WriteOutcome)>, WriteError> {
     match commit(&store, token, &batch, unix_ms).await {
-        Ok(revision) => return Ok(stored(batch, revision)),
+        Ok(revision) => return Ok(stored_outcomes(batch, revision)),
         Err(StoreError::Conflict(failed)) if failed.iter().any(|key| key == LEADER) => {
             return Err(WriteError::NotLeader);
         }
-        Err(error) => tracing::debug!(%error, writes = batch.len(), "transaction not confirmed"),
+        Err(error) => {
+            tracing::debug!(%error, writes = batch.len(), "transaction not confirmed, reading its keys back")
+        }
     }
     let mut results = Vec::with_capacity(batch.len());
     for write in batch {
-        let found = read_back(&store, &write.evidence_key(), &still_wanted).await?;
-        let written = write.outcome(found);
-        results.push((write, written));
+        let found = read_back(&store, &write.read_back_key(), &still_leads).await?;
+        let outcome = write.outcome(found);
+        results.push((write, outcome));
     }
     Ok(results)
 }
 
-/// One attempt; returns the revision of the transaction.
+/// Makes one attempt to commit a batch, and returns the revision of the transaction.
 async fn commit(
     store: &Store,
     token: u64,
@@ -286,29 +295,29 @@
     store.commit(&transaction, urgency, false).await
 }
 
-fn stored(batch: Vec<Write>, revision: u64) -> Vec<(Write, WriteOutcome)> {
-    let with_version = |write: Write| {
+fn stored_outcomes(batch: Vec<Write>, revision: u64) -> Vec<(Write, WriteOutcome)> {
+    let with_outcome = |write: Write| {
         let version = if write.is_deletion() { 0 } else { revision };
         (write, WriteOutcome::Stored { version })
     };
-    batch.into_iter().map(with_version).collect()
+    batch.into_iter().map(with_outcome).collect()
 }
 
-/// Reads a key until the state service answers.
+/// Reads a key, with retries until the state service answers.
 async fn read_back(
     store: &Store,
     key: &str,
-    still_wanted: &impl Fn() -> bool,
+    still_leads: &impl Fn() -> bool,
 ) -> Result<Option<Item>, WriteError> {
     loop {
-        if !still_wanted() {
+        if !still_leads() {
             return Err(WriteError::NotLeader);
         }
         match store.get(key, Urgency::High, false).await {
             Ok(item) => return Ok(item),
             Err(error) => {
-                tracing::debug!(%error, key, "cannot read back");
-                tokio::time::sleep(READ_BACK_RETRY).await;
+                tracing::debug!(%error, key, "cannot read back a key, retrying");
+                tokio::time::sleep(READ_BACK_RETRY_DELAY).await;
             }
         }
     }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,4 +1,4 @@
-//! One pooled HTTP client for everything a controller calls.
+//! The HTTP client for all calls of a controller, with a connection pool.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,24 +13,23 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 const MAX_IDLE_PER_ADDRESS: usize = 4;
-/// Responses larger than this are refused: a page of the state service is
-/// 512 KiB at most, and memory is short.
+/// Larger responses are rejected to limit memory use. A page of the state service has at most
+/// 512 KiB.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A call that is under way.
+/// The future of a call.
 pub type CallFuture<'a> = Pin<Box<dyn Future<Output = Result<Answer, CallError>> + Send + 'a>>;
 
-/// How a controller reaches others, and the time of day that it shares with them. Tests put
-/// a simulated network in its place.
+/// The network and the wall clock of a controller. Tests replace them with a simulation.
 pub trait Network: Send + Sync {
-    /// Milliseconds since 1970, within the platform's `clock_error_ms`.
+    /// Returns the Unix time in milliseconds. Its error is at most the platform's `clock_error_ms`.
     fn unix_ms(&self) -> u64 {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |since| since.as_millis() as u64)
     }
 
-    /// Sends a request and waits for the answer until `deadline` has passed.
+    /// Sends a request and waits at most `deadline` for the response.
     fn call(
         &self,
         method: Method,
@@ -41,7 +40,7 @@
     ) -> CallFuture<'_>;
 }
 
-/// The real network.
+/// The implementation of [`Network`] on TCP and the system clock.
 pub struct HttpClient {
     pool: Pool,
 }
@@ -70,27 +69,27 @@
     ) -> CallFuture<'_> {
         let path = path.to_string();
         Box::pin(async move {
-            let exchange = self.pool.call(&method, to, &path, &body);
-            within(deadline, exchange).await
+            let call = self.pool.call(&method, to, &path, &body);
+            within(deadline, call).await
         })
     }
 }
 
-/// Timers may fire this late without anything being wrong.
+/// How late a timer may fire in normal operation.
 const TIMER_SLACK: Duration = Duration::from_millis(100);
 
-/// Ends an exchange at its deadline, also where this process was paused meanwhile: a timer alone
-/// accepts an answer that lay in the socket during the pause, and a controller that woke after
-/// 25 s took an outdated leader key for the current one.
+/// Runs a call with a deadline that also holds if this process is paused during the call. With a
+/// timer alone, a response that was received during the pause would be accepted: after a pause of
+/// 25 s, a controller took an outdated leader key for the current one.
 ///
 /// # Errors
-/// The exchange failed, or the deadline has passed.
+/// The call failed, or the deadline has passed.
 pub async fn within(
     deadline: Duration,
-    exchange: impl Future<Output = Result<Answer, CallError>>,
+    call: impl Future<Output = Result<Answer, CallError>>,
 ) -> Result<Answer, CallError> {
     let started = Instant::now();
-    match timeout(deadline, exchange).await {
+    match timeout(deadline, call).await {
         Ok(result) if result.is_err() || started.elapsed() <= deadline + TIMER_SLACK => result,
         _ => Err(CallError::Unknown("deadline passed".into())),
     }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,10 +1,10 @@
-//! HTTP in and out.
+//! The HTTP server and the HTTP client of a controller.
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | [`server`] | serves users, workers and the other controllers |
-//! | [`client`] | the pooled client for all that a controller calls |
-//! | [`rate_limiter`] | keeps calls under the published limits |
+//! | [`server`] | servers for users, workers and the other controllers |
+//! | [`client`] | client with a connection pool for all calls of a controller |
+//! | [`rate_limiter`] | rate limits for calls to services with published limits |
 
 #![warn(missing_docs)]
 
--- a/src/transport/rate_limiter.rs
+++ b/src/transport/rate_limiter.rs
@@ -1,39 +1,43 @@
-//! A token bucket that keeps a controller under its share of a published limit.
+//! A token bucket that keeps a controller within its share of a published rate limit.
 //!
-//! Crates for rate limits serve requests in order of arrival. Here the urgent ones go first: each
-//! [`Urgency`] leaves a part of the bucket to those above it, a lease renewal may take the bucket
-//! below zero, and the server asks for the [backlog](RateLimiter::backlog) before it accepts more.
-//! Time is tokio's, so that tests run in simulated time.
+//! Available rate limiting crates serve requests in order of arrival. This one serves urgent
+//! requests first: each [`Urgency`] leaves a part of the bucket to the levels above it, and a lease
+//! renewal may make the number of tokens negative. Servers check the
+//! [backlog](RateLimiter::backlog) before they accept more requests. The clock is tokio's, so that
+//! tests can use simulated time.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep};
 
-/// Who may still take tokens when few are left.
+/// The urgency of a request, which determines how many tokens it leaves in the bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Housekeeping: leaves half of the bucket to others.
+    /// Housekeeping. Leaves half of the bucket to more urgent requests.
     Low,
-    /// Users waiting for an answer.
+    /// Requests on behalf of users who wait for a response. Leaves a fifth of the bucket.
     Normal,
-    /// What service levels depend on: terminal states, a cancellation.
+    /// Requests that service levels depend on, such as terminal states and cancellations. May empty
+    /// the bucket.
     High,
-    /// Lease renewals: never wait.
+    /// Lease renewals, which never wait and may make the number of tokens negative.
     Renewal,
 }
 
-/// The part of the bucket that requests of low urgency leave to others.
+/// Fraction of the bucket that requests of [`Urgency::Low`] leave to more urgent requests.
 const LOW_RESERVE: f64 = 0.5;
-/// The part of the bucket that users leave to more urgent requests.
+/// Fraction of the bucket that requests of [`Urgency::Normal`] leave to more urgent requests.
 const NORMAL_RESERVE: f64 = 0.2;
-/// A request that waits looks at the bucket again after at least so long,
+/// Minimum time until a queued request checks the bucket again.
 const MIN_WAIT_S: f64 = 0.001;
-/// and at most so long, since others may have left the queue.
+/// Maximum time until a queued request checks the bucket again. Tokens may become available early
+/// if other requests leave the queue.
 const MAX_WAIT_S: f64 = 1.0;
 
 impl Urgency {
-    /// The tokens that a request of this urgency leaves in a bucket of `burst` tokens.
+    /// Returns the number of tokens that a request of this urgency leaves in a bucket of size
+    /// `burst`.
     fn reserve(self, burst: f64) -> f64 {
         match self {
             Self::Low => burst * LOW_RESERVE,
@@ -48,26 +52,27 @@
 struct TokenBucket {
     tokens: f64,
     refilled_at: Instant,
-    /// The tokens that requests in the queue wait for.
+    /// The total cost of the queued requests.
     queued: f64,
 }
 
-/// Holds requests to a rate, the urgent ones first.
+/// Limits the rate of requests, and serves urgent requests first.
 #[derive(Debug)]
 pub struct RateLimiter {
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
-    /// Size of the bucket.
+    /// Size of the bucket in tokens.
     burst: f64,
     bucket: Mutex<TokenBucket>,
 }
 
 impl RateLimiter {
-    /// `rate` tokens a second, and a bucket that fills in `burst_s`.
+    /// Creates a limiter of `rate` tokens per second, with a bucket that an idle limiter fills in
+    /// `burst_s` seconds.
     ///
-    /// At first it holds what is kept for urgent requests and nothing more: a process that is
-    /// restarted must not acquire again what the one before it has spent, so that a controller
-    /// takes no more for its users than one process would, however often it restarts.
+    /// The bucket starts with only the tokens that are reserved for urgent requests. If it started
+    /// full, a controller that restarts repeatedly would have a new burst for its users after every
+    /// restart and exceed its rate.
     pub fn new(rate: f64, burst_s: f64) -> Self {
         let burst = (rate * burst_s).max(1.0);
         Self {
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Takes `cost` tokens, and waits for them if need be.
+    /// Takes `cost` tokens, and waits until they are available.
     pub async fn acquire(&self, cost: f64, urgency: Urgency) {
         let Err(mut wait) = self.try_take(cost, urgency) else {
             return;
@@ -91,24 +96,25 @@
             sleep(wait).await;
             match self.try_take(cost, urgency) {
                 Ok(()) => return,
-                Err(longer) => wait = longer,
+                Err(remaining) => wait = remaining,
             }
         }
     }
 
-    /// How long it takes to serve the requests that wait now.
+    /// Returns how long it takes to serve the requests that are queued now.
     pub fn backlog(&self) -> Duration {
         Duration::from_secs_f64((self.lock().queued / self.rate).max(0.0))
     }
 
-    /// Takes `cost` tokens or returns how long to wait for them.
+    /// Takes `cost` tokens, or returns how long to wait before the next attempt.
     fn try_take(&self, cost: f64, urgency: Urgency) -> Result<(), Duration> {
         let mut bucket = self.lock();
         let now = Instant::now();
-        let passed = now.duration_since(bucket.refilled_at).as_secs_f64();
-        bucket.tokens = (bucket.tokens + passed * self.rate).min(self.burst);
+        let elapsed_s = now.duration_since(bucket.refilled_at).as_secs_f64();
+        bucket.tokens = (bucket.tokens + elapsed_s * self.rate).min(self.burst);
         bucket.refilled_at = now;
-        // A cost above the bucket's size must pass some time: let it go at a full bucket.
+        // A request that costs more than the size of the bucket passes when the bucket is full.
+        // Otherwise it would wait forever.
         let needed = (cost + urgency.reserve(self.burst)).min(self.burst);
         if bucket.tokens >= needed {
             bucket.tokens -= cost;
@@ -125,7 +131,8 @@
     }
 }
 
-/// The cost of a request in the queue, until it is served or no longer waited for.
+/// Counts the cost of a request as queued until it is dropped, which also happens if the caller
+/// stops waiting.
 struct QueuedCost<'a> {
     limiter: &'a RateLimiter,
     cost: f64,
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,4 +1,4 @@
-//! The warp servers: one for users and workers, one for peers.
+//! The warp servers of a controller: one for users and workers, one for peers.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,34 +17,34 @@
 use warp::reject::{LengthRequired, MethodNotAllowed, PayloadTooLarge};
 use warp::{Filter, Rejection, Reply};
 
-/// A request as the layers above see it.
+/// A request as passed to the API handlers.
 #[derive(Debug)]
 pub struct ApiRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path of the target, without the query.
+    /// The path of the request target, without the query.
     pub path: String,
-    /// The query of the target.
+    /// The query string of the request target.
     pub query: Option<String>,
     /// The `Authorization` header.
     pub authorization: Option<String>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// An answer as the layers above give it.
+/// A response as returned by the API handlers.
 #[derive(Debug)]
 pub struct ApiResponse {
     /// The status code.
     pub status: u16,
-    /// The whole body, JSON.
+    /// The complete JSON body.
     pub body: Vec<u8>,
-    /// The `Retry-After` header.
+    /// The value of the `Retry-After` header in seconds.
     pub retry_after_s: Option<u32>,
 }
 
 impl ApiResponse {
-    /// An answer with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, value: &serde_json::Value) -> Self {
         Self {
             status,
@@ -53,16 +53,17 @@
         }
     }
 
-    /// An answer that says what went wrong.
-    pub fn error(status: u16, what: &str) -> Self {
-        Self::json(status, &json!({ "error": what }))
+    /// Creates a response with an error message.
+    pub fn error(status: u16, message: &str) -> Self {
+        Self::json(status, &json!({ "error": message }))
     }
 
-    /// 503. Nothing is held back: the client learns at once when to come again.
-    pub fn busy(what: &str, retry_after_s: u32) -> Self {
+    /// Creates a 503 response that tells the client when to retry. Requests are rejected at once
+    /// instead of being queued.
+    pub fn busy(message: &str, retry_after_s: u32) -> Self {
         Self {
             retry_after_s: Some(retry_after_s),
-            ..Self::error(503, what)
+            ..Self::error(503, message)
         }
     }
 
@@ -79,33 +80,35 @@
     }
 }
 
-/// A client that sends nothing for so long on an open connection is hung up on: healthy
-/// workers and users come every few seconds.
+/// A connection is closed if the client sends nothing for this time. Healthy workers and users send
+/// a request every few seconds.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// From the head of a request to the end of its answer. Nobody waits longer than 5 s.
+/// Maximum time from the head of a request to the end of its response. Clients wait at most 5 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// With less than one in so many connections free, users get no second answer on theirs: idle
-/// ones once kept the heartbeats of workers out for a whole lease.
+/// If less than one connection in this many is free, users' connections are closed after one
+/// response. Otherwise, idle connections of users can keep out the heartbeats of workers for a
+/// whole lease, as has happened.
 const RESERVED_FRACTION: usize = 4;
-/// The path of users' requests.
+/// Path prefix of users' requests.
 const USER_PATH: &str = "/work";
 
-/// Binds an address. Here rather than by warp, so that a taken one is an error and not a panic.
+/// Binds a listener to an address. warp would panic if the address is in use; this returns an
+/// error.
 ///
 /// # Errors
-/// Another process has it.
+/// The address cannot be bound, for example because another process uses it.
 pub async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
 
-/// Serves `handler` on a bound address until the process ends, on at most `max_connections`
-/// connections. The next is left in the queue of the system, where a load balancer
-/// soon finds another controller for it; without a limit, clients that stall took the
-/// sockets with which the leader reaches everyone else. `meter` limits what the requests in
-/// flight hold together.
+/// Serves `handler` on a bound listener until the process ends, with at most `max_connections`
+/// connections. Further connections wait in the system's accept queue, and a load balancer soon
+/// sends such clients to another controller. Without the limit, stalled clients used up the sockets
+/// that the leader needs for its own calls. `meter` limits the total memory of the requests in
+/// flight.
 ///
 /// # Errors
-/// None yet: a connection that cannot be accepted is tried again.
+/// None: if a connection cannot be accepted, accepting is retried.
 pub async fn serve<H, F>(
     listener: TcpListener,
     max_connections: usize,
@@ -129,9 +132,9 @@
         error_response,
     };
     copperfield_http::serve(listener, config, move |request| {
-        let answer = service.clone().call(request);
+        let response = service.clone().call(request);
         async move {
-            let (parts, body) = answer
+            let (parts, body) = response
                 .await
                 .unwrap_or_else(|never| match never {})
                 .into_parts();
@@ -145,7 +148,7 @@
     .await
 }
 
-/// Any path: the handler finds its own way.
+/// Returns a filter that accepts every path. The handler does its own routing.
 fn routes<H, F>(
     max_body: u64,
     handler: H,
@@ -171,17 +174,17 @@
         .and(without_body.or(with_body).unify())
         .then(
             move |method: Method, path: FullPath, query, authorization, body: Bytes| {
-                let answer = handler(ApiRequest {
+                let response = handler(ApiRequest {
                     method,
                     path: path.as_str().to_string(),
                     query,
                     authorization,
                     body,
                 });
-                async move { answer.await.into_response() }
+                async move { response.await.into_response() }
             },
         )
-        .recover(reject)
+        .recover(handle_rejection)
 }
 
 fn client_class(path: &str) -> ClientClass {
@@ -192,15 +195,16 @@
     }
 }
 
-/// The answer to a request that does not reach a handler.
-fn error_response(status: StatusCode, what: &str) -> Response<Bytes> {
-    let mut answer = ApiResponse::error(status.as_u16(), what);
-    answer.retry_after_s = (status == StatusCode::SERVICE_UNAVAILABLE).then_some(1);
-    answer.into_response()
+/// Returns the response to a request that does not reach the handler.
+fn error_response(status: StatusCode, message: &str) -> Response<Bytes> {
+    let mut response = ApiResponse::error(status.as_u16(), message);
+    response.retry_after_s = (status == StatusCode::SERVICE_UNAVAILABLE).then_some(1);
+    response.into_response()
 }
 
-async fn reject(rejection: Rejection) -> Result<Response<Bytes>, Infallible> {
-    let (status, what) = if rejection.find::<PayloadTooLarge>().is_some() {
+/// Converts a rejection of the warp filters to a response.
+async fn handle_rejection(rejection: Rejection) -> Result<Response<Bytes>, Infallible> {
+    let (status, message) = if rejection.find::<PayloadTooLarge>().is_some() {
         (400, "body: over 64 KiB")
     } else if rejection.find::<LengthRequired>().is_some() {
         (400, "body: missing, or without Content-Length")
@@ -209,5 +213,5 @@
     } else {
         (400, "malformed request")
     };
-    Ok(ApiResponse::error(status, what).into_response())
+    Ok(ApiResponse::error(status, message).into_response())
 }
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -325,7 +325,7 @@
     let some = Duration::from_millis(1234);
     let _ = store.list("x/").await;
     let _ = store.watch("x/", 5, some).await;
-    let _ = store.new_lease(some).await;
+    let _ = store.create_lease(some).await;
     let _ = store.extend_lease(6, some).await;
     store.end_lease(6).await;
     let _ = store.outcome(JobId(412)).await;
