--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -1,4 +1,4 @@
-//! The values that are allowed in both files, and the errors about the others.
+//! Validation of the values in both settings files.
 
 use std::ops::RangeInclusive;
 
@@ -6,34 +6,35 @@
 
 use super::{Class, Operators, Settings, Team, Tuning};
 
-/// An operators' key of fewer bytes could be guessed.
-const MIN_KEY_LENGTH: usize = 16;
+/// Minimum length of the operators' key in bytes. Shorter keys could be guessed.
+const MIN_KEY_BYTES: usize = 16;
 
-/// Quotas and limits of a team.
-const TEAM_RESOURCES: RangeInclusive<f64> = 0.0..=1e9;
+/// The allowed values of a team's quotas and limits.
+const TEAM_RESOURCE_RANGE: RangeInclusive<f64> = 0.0..=1e9;
 
-/// Why a settings file is refused.
+/// A settings file is invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file cannot be opened, or is not text.
+    /// The file cannot be read, or is not UTF-8 text.
     #[error("{file}: cannot be read: {source}")]
     Unreadable {
         /// The path of the file.
         file: String,
-        /// What the system reports.
+        /// The error of the system.
         source: std::io::Error,
     },
-    /// A field is missing, unknown, or of a wrong type.
+    /// The file does not parse, or a field is missing, unknown, of a wrong type or inconsistent
+    /// with another field.
     #[error("{file}: {field}: {problem}")]
     Malformed {
         /// The path of the file.
         file: String,
         /// The path of the field in the file.
         field: String,
-        /// What is wrong with it.
+        /// A description of the problem.
         problem: String,
     },
-    /// A value is of the right type, but not allowed.
+    /// A field has the right type, but a value that is not allowed.
     #[error("{file}: {field}: found {found}, allowed is {allowed}")]
     OutOfRange {
         /// The path of the file.
@@ -42,31 +43,31 @@
         field: &'static str,
         /// The value in the file.
         found: String,
-        /// The values that are allowed.
+        /// A description of the allowed values.
         allowed: String,
     },
 }
 
-/// The leader's lease is too long for the times agreed with the workers.
+/// The leader's lease (`leader_ttl_ms`) is too long for the platform's worker settings.
 #[derive(Debug, Clone, PartialEq, Error)]
 #[error(
     "leader_ttl_ms: found {found_ms}, allowed is at most {allowed_ms} ms with these worker settings"
 )]
 pub struct LeaderTtlTooLong {
-    /// The length in the operators' file.
+    /// The value in the operators' file.
     pub found_ms: u64,
-    /// The longest that the platform's settings leave room for.
+    /// The maximum that the platform's settings allow.
     pub allowed_ms: f64,
 }
 
-/// A number in a settings file and the values that it may have.
+/// A numeric field of a settings file, with its value and its allowed range.
 struct RangeCheck {
     field: &'static str,
     value: f64,
     allowed: RangeInclusive<f64>,
 }
 
-/// In a table, one line a field.
+/// Creates a [`RangeCheck`]; this keeps each entry of the tables below on one line.
 const fn range(field: &'static str, value: f64, allowed: RangeInclusive<f64>) -> RangeCheck {
     RangeCheck {
         field,
@@ -107,8 +108,8 @@
 impl Settings {
     pub(super) fn check(&self, file: &str) -> Result<(), SettingsError> {
         if self.member.is_empty() {
-            let found = "an empty name";
-            return Err(out_of_range(file, "member", found, "a non-empty name"));
+            let (found, allowed) = ("an empty name", "a non-empty name");
+            return Err(out_of_range(file, "member", found, allowed));
         }
         if self.cluster.zones.is_empty() {
             let (found, allowed) = ("no zone", "at least one zone");
@@ -158,7 +159,7 @@
 impl Team {
     fn check(&self, file: &str) -> Result<(), SettingsError> {
         let values = [self.cpus, self.cpus_max, self.gpus, self.gpus_max];
-        let checks = values.map(|value| range("cluster.teams", value, TEAM_RESOURCES));
+        let checks = values.map(|value| range("cluster.teams", value, TEAM_RESOURCE_RANGE));
         checks.into_iter().try_for_each(|range| range.check(file))
     }
 }
@@ -171,12 +172,12 @@
             problem,
         };
         for (name, class) in &self.class {
-            if let Some(problem) = class.contradiction() {
+            if let Some(problem) = class.movable_problem() {
                 let field = format!("class.{name}.movable");
                 return Err(malformed(field, problem.into()));
             }
         }
-        if let Some(problem) = self.operators.as_ref().and_then(Operators::weakness) {
+        if let Some(problem) = self.operators.as_ref().and_then(Operators::key_problem) {
             return Err(malformed("operators.key".into(), problem));
         }
         let mut ranges = self.ranges().into_iter();
@@ -206,12 +207,13 @@
         ]
     }
 
-    /// Checks the length of the leader's lease against the platform's settings: a cancelled job
-    /// must be gone in time even if the leader ends at once, so its lease must run out and then
-    /// the leases of workers that nobody reaches.
+    /// Checks the length of the leader's lease against the platform's settings. A cancelled job
+    /// must be stopped within `cancel_s` even if the leader fails at once. In the worst case the
+    /// leader's lease has to expire first, and then the leases of workers that no controller can
+    /// reach.
     ///
     /// # Errors
-    /// The lease is too long.
+    /// The leader's lease is too long.
     pub fn check_against(&self, settings: &Settings) -> Result<(), LeaderTtlTooLong> {
         let workers = &settings.cluster.workers;
         let ttl_s = self.leader_ttl_ms as f64 / 1000.0;
@@ -227,20 +229,22 @@
 }
 
 impl Class {
-    fn contradiction(&self) -> Option<&'static str> {
-        let contradicts = self.protected && self.movable == Some(true);
-        contradicts.then_some("found true, allowed is only false as the class is protected")
+    /// Returns what is wrong with `movable`, if anything.
+    fn movable_problem(&self) -> Option<&'static str> {
+        let contradictory = self.protected && self.movable == Some(true);
+        contradictory.then_some("found true, allowed is only false as the class is protected")
     }
 }
 
 impl Operators {
-    fn weakness(&self) -> Option<String> {
+    /// Returns what is wrong with the key, if anything.
+    fn key_problem(&self) -> Option<String> {
         let length = self.key.len();
-        if length >= MIN_KEY_LENGTH && self.key.bytes().all(|byte| byte.is_ascii_graphic()) {
+        if length >= MIN_KEY_BYTES && self.key.bytes().all(|byte| byte.is_ascii_graphic()) {
             return None;
         }
         Some(format!(
-            "found a key of {length} bytes, allowed are {MIN_KEY_LENGTH} or more visible ASCII characters"
+            "found a key of {length} bytes, allowed are {MIN_KEY_BYTES} or more visible ASCII characters"
         ))
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,13 +1,13 @@
-//! The platform's settings file (JSON) and the operators' own file (HCL).
+//! The platform's settings file (JSON) and the operators' settings file (HCL).
 //!
-//! Both are checked in full before anything starts: a controller that would
-//! misbehave with a bad number must not come up at all.
+//! Both are validated completely before a controller starts, because an invalid value could make it
+//! misbehave while it runs.
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | `platform` | [`Settings`], what the platform hands to each controller |
-//! | `tuning` | [`Tuning`], what operators may set beside it |
-//! | `checks` | the values that are allowed, and the errors about the others |
+//! | `platform` | [`Settings`], the settings that the platform gives to each controller |
+//! | `tuning` | [`Tuning`], the settings that operators may add |
+//! | `checks` | validation of both files, and its errors |
 
 #![warn(missing_docs)]
 
@@ -25,7 +25,7 @@
     Class, Defragmentation, Log, LogFormat, Operators, Switch, Tuning, default_tuning_path,
 };
 
-fn read(path: &Path) -> Result<String, SettingsError> {
+fn read_file(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
         file: path.display().to_string(),
         source,
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -5,41 +5,41 @@
 
 use serde::Deserialize;
 
-use super::{SettingsError, read};
+use super::{SettingsError, read_file};
 
-/// What the platform hands to a controller. Unknown fields are ignored.
+/// The settings that the platform gives to a controller. Unknown fields are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// The name of this controller.
     pub member: String,
-    /// Where this controller runs.
+    /// The site of this controller.
     pub site: String,
-    /// Where users and workers reach this controller.
+    /// The address at which users and workers reach this controller.
     pub public_addr: SocketAddr,
-    /// Where the other controllers reach this one.
+    /// The address at which the other controllers reach this one.
     pub peer_bind: SocketAddr,
     /// The other controllers.
     #[serde(default, rename = "others")]
     pub peers: Vec<Peer>,
-    /// The services that controllers depend on.
+    /// The addresses of the services that controllers depend on.
     pub external: External,
-    /// What is the same for all controllers.
+    /// The settings that are the same for all controllers.
     pub cluster: Cluster,
 }
 
-/// Another controller.
+/// Another controller, as a peer of this one.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The name of the controller.
     pub member: String,
-    /// Where it runs.
+    /// The site of the controller.
     #[serde(default)]
     pub site: String,
-    /// Where it serves its peers.
+    /// The address at which it serves its peers.
     pub peer_addr: SocketAddr,
 }
 
-/// Addresses of the services that controllers depend on.
+/// The addresses of the services that controllers depend on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
     /// The cloud's API, which provisions workers.
@@ -48,124 +48,125 @@
     pub state: SocketAddr,
 }
 
-/// What is the same for all controllers.
+/// The settings that are the same for all controllers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cluster {
-    /// Zones in which workers can be provisioned.
+    /// The zones in which workers can be provisioned.
     pub zones: Vec<String>,
-    /// Teams and their quotas.
+    /// The teams and their quotas.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Service levels that placement serves.
+    /// The service level objectives that placement should meet.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times agreed with the workers.
+    /// Intervals and timeouts that the controllers and the workers share.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: StateLimits,
     /// Limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// What this process may use.
+    /// Limits of this process.
     pub limits: Limits,
-    /// How far the clocks of two controllers may be apart.
+    /// Maximum difference between the clocks of two controllers.
     #[serde(default)]
     pub clock_error_ms: f64,
 }
 
-/// A team: its quotas, and the limits up to which it may borrow.
+/// A team, with its quotas and the limits up to which it may borrow.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Its name, the `owner` of jobs.
+    /// The name of the team, as in the `owner` field of jobs.
     pub name: String,
-    /// Quota of CPUs.
+    /// CPU quota.
     #[serde(default)]
     pub cpus: f64,
-    /// Limit of CPUs.
+    /// CPU limit.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Quota of GPUs.
+    /// GPU quota.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit of GPUs.
+    /// GPU limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// A service level.
+/// A service level objective.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Objective {
-    /// What is measured; a kind that is not known here is ignored.
+    /// The quantity that the objective is about. Objectives of unknown kinds are ignored.
     #[serde(default)]
     pub kind: String,
-    /// The class of jobs that it is about, all if there is none.
+    /// The class of jobs that the objective applies to; `None` for all jobs.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time that is allowed.
+    /// The maximum time.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Of deadlines: the multiple that is still worth something.
+    /// For deadlines: the multiple of a job's deadline within which completing the job still
+    /// counts.
     #[serde(default)]
     #[serde(rename = "times")]
     pub deadline_factor: Option<f64>,
 }
 
-/// Times agreed with the workers.
+/// Intervals and timeouts that the controllers and the workers share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Interval of heartbeats.
+    /// Interval between the heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// How long a worker goes on without an answer.
+    /// How long a worker continues to run tasks without a response to its heartbeats.
     pub lease_s: f64,
-    /// How long a task instance waits for the rest of its gang to start.
+    /// How long a task instance waits for the other tasks of its gang to start.
     pub gang_wait_s: f64,
-    /// How long a gang goes on after one of its tasks was lost.
+    /// How long a gang continues to run after it has lost one of its tasks.
     pub gang_peer_s: f64,
-    /// Within this time a cancelled job must be gone.
+    /// Maximum time from the cancellation of a job until all of its tasks have stopped.
     pub cancel_s: f64,
 }
 
 /// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests a second, of all controllers together.
+    /// Requests per second, for all controllers together.
     pub rps: f64,
-    /// Writes a second, of all controllers together.
+    /// Changes per second, for all controllers together.
     pub write_rps: f64,
-    /// Size of a value.
+    /// Maximum size of a value.
     pub value_kb: f64,
-    /// Operations in a transaction.
+    /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
 }
 
 /// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// How far a list of workers may be behind.
+    /// Maximum age of the data in a list of workers.
     #[serde(default)]
     pub list_lag_s: f64,
 }
 
-/// What this process may use.
+/// Limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
-    /// Memory, 0 if the platform sets no limit.
+    /// Maximum memory; 0 if the platform sets no limit.
     #[serde(default)]
     pub memory_mb: f64,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The file cannot be read, is not understood, or holds a value that is not allowed.
+    /// The file cannot be read, does not parse, or contains a value that is not allowed.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
-        let text = read(path)?;
+        let text = read_file(path)?;
         let mut deserializer = serde_json::Deserializer::from_str(&text);
         let settings: Self =
             serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
@@ -179,7 +180,8 @@
         Ok(settings)
     }
 
-    /// All controllers as (name, site), in an order that is the same in each of them.
+    /// Returns the name and site of every controller, this one included, in an order that is the
+    /// same on all controllers.
     pub fn controllers(&self) -> Vec<(&str, &str)> {
         let peers = self.peers.iter();
         let peers = peers.map(|peer| (peer.member.as_str(), peer.site.as_str()));
@@ -189,7 +191,7 @@
         all
     }
 
-    /// This controller's index among [`Self::controllers`].
+    /// Returns the index of this controller in [`Self::controllers`].
     pub fn own_index(&self) -> u32 {
         let controllers = self.controllers();
         let own = controllers
@@ -198,7 +200,8 @@
         own.unwrap_or(0) as u32
     }
 
-    /// The name of the controller at `index` of [`Self::controllers`]; empty if there is none.
+    /// Returns the name of the controller at `index` in [`Self::controllers`]; empty if there is
+    /// none.
     pub fn controller(&self, index: u32) -> &str {
         let controllers = self.controllers();
         controllers.get(index as usize).map_or("", |(name, _)| name)
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -6,49 +6,52 @@
 
 use serde::Deserialize;
 
-use super::{SettingsError, read};
+use super::{SettingsError, read_file};
 
-/// Operators' own settings. An unknown name is an error, so that a typing
-/// mistake does not silently leave a default in force.
+/// The settings that operators may add. Unknown names are errors, because a misspelled name would
+/// otherwise leave the default in effect without notice.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tuning {
-    /// Bids one batch may make before the greedy assignment takes over.
+    /// Maximum number of bids in the auction of one batch. If it is reached, the greedy assignment
+    /// is used instead.
     pub auction_cap: u32,
-    /// Headroom at which the bid gate is half open.
+    /// The headroom of a worker at which the headroom gate halves the value of a bid, if the
+    /// worker's heartbeat is new.
     #[serde(rename = "headroom_h0")]
     pub headroom_midpoint: f64,
-    /// Headroom lost per second of heartbeat age.
+    /// How much headroom the gate subtracts per second since the worker's last heartbeat.
     #[serde(rename = "headroom_kappa")]
     pub headroom_decay_per_s: f64,
-    /// CPUs per priced slot.
+    /// Number of CPUs per slot in the auction.
     pub slot_cpus: f64,
-    /// Share of the nominal price at which workers that are already up are
-    /// priced in bids.
+    /// Factor on the nominal price of running workers in bids. It does not apply to spot workers.
     #[serde(rename = "owned_price")]
     pub running_price_factor: f64,
-    /// Expected seconds between losses of a spot worker; prices risk in bids.
+    /// Expected lifetime of a spot worker in seconds, from which bids price the risk of losing it.
     pub spot_mean_life_s: f64,
-    /// Seconds an empty worker is kept before it is scaled in.
+    /// How long a worker must have been empty before it is scaled in, while there are unfinished
+    /// jobs.
     #[serde(rename = "idle_return_s")]
     pub scale_in_idle_s: f64,
-    /// The same while no job is unfinished.
+    /// How long a worker must have been empty before it is scaled in, while there are no unfinished
+    /// jobs.
     #[serde(rename = "deserted_return_s")]
     pub scale_in_idle_no_jobs_s: f64,
-    /// Most workers the fleet may hold, 0 for no limit of our own.
+    /// Maximum number of workers; 0 for no limit.
     pub fleet_max: u32,
     /// Length of the leader's lease.
     pub leader_ttl_ms: u64,
     /// Whether the workers are sharded, so that each controller serves a part of them.
     #[serde(rename = "shares")]
     pub sharding: Switch,
-    /// Frees whole workers by migrating tasks.
+    /// Defragmentation, which frees whole workers by migrating tasks.
     pub defragmentation: Defragmentation,
-    /// Settings of classes of jobs, by the name of the class.
+    /// Settings of job classes, by the name of the class.
     pub class: BTreeMap<String, Class>,
-    /// Switches the operators' endpoints on.
+    /// Settings of the operators' endpoints, which are enabled if this block is present.
     pub operators: Option<Operators>,
-    /// How log lines are written.
+    /// Settings of the log.
     pub log: Log,
 }
 
@@ -74,37 +77,37 @@
     }
 }
 
-/// Whether something is done.
+/// Whether a feature is enabled, written `on` or `off`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Switch {
-    /// It is.
+    /// The feature is enabled.
     On,
-    /// It is not.
+    /// The feature is disabled.
     Off,
 }
 
-/// The block `defragmentation`.
+/// The `defragmentation` block.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Defragmentation {
-    /// Whether tasks are migrated to make room for whole-worker tasks that wait. A drain
-    /// migrates tasks either way, within the same limits.
+    /// Whether tasks are migrated to make room for waiting whole-worker tasks. Drains migrate tasks
+    /// even if this is disabled, within the same limits.
     pub enabled: bool,
-    /// Migrations in progress at once.
+    /// Maximum number of concurrent migrations.
     #[serde(rename = "most_moves")]
     pub max_migrations: u32,
-    /// A task without checkpoints is migrated only while it would lose less work than this.
+    /// A task without checkpoints is migrated only if it would lose less work than this.
     #[serde(rename = "lost_work_s")]
     pub max_lost_work_s: f64,
-    /// The same task is not migrated again within this time.
+    /// Minimum time between two migrations of the same task.
     #[serde(rename = "again_after_s")]
     pub migration_cooldown_s: f64,
-    /// Share of a job's tasks that may be migrating at once; at least one may.
+    /// Maximum share of a job's tasks that may be migrating at the same time. One task always may.
     #[serde(rename = "away_share")]
     pub max_migrating_share: f64,
-    /// What a place on a whole worker is worth: the seconds of waiting that it spares,
-    /// paid in seconds of work that migrations lose.
+    /// Maximum waiting time that freeing a whole worker is assumed to save. The planner weighs it
+    /// against the seconds of work that the migrations lose.
     #[serde(rename = "worth_s")]
     pub max_saved_wait_s: f64,
 }
@@ -122,38 +125,39 @@
     }
 }
 
-/// A block `class "NAME"`.
+/// A `class "NAME"` block.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Class {
-    /// Whether its tasks may be migrated; what a job sets for itself counts if it is stricter.
+    /// Whether tasks of the class may be migrated. A stricter setting of a job takes precedence.
     pub movable: Option<bool>,
-    /// Never migrated, and a drain that disturbs it must be confirmed.
+    /// Whether the class is protected: its tasks are never migrated, and a drain of a worker that
+    /// holds such tasks must be confirmed.
     pub protected: bool,
 }
 
-/// The block `operators`.
+/// The `operators` block.
 #[derive(Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operators {
-    /// What a request must carry: `Authorization: Bearer KEY`.
+    /// The key that requests must contain, as `Authorization: Bearer KEY`.
     pub key: String,
 }
 
-/// Without the key, so that it does not get into a log.
+/// Omits the key, so that it cannot appear in a log.
 impl fmt::Debug for Operators {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Operators { key: (hidden) }")
     }
 }
 
-/// The block `log`.
+/// The `log` block.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// Lines carry the time of day; off where the platform adds its own.
+    /// Whether lines contain a timestamp. Disabled by default, for platforms that add their own.
     pub time: bool,
-    /// The format of a line.
+    /// The format of the lines.
     pub format: LogFormat,
 }
 
@@ -161,29 +165,29 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// A message and `name=value` fields.
+    /// The message, followed by `name=value` fields.
     #[default]
     Text,
-    /// A JSON object.
+    /// One JSON object per line.
     Json,
 }
 
 impl Tuning {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The file cannot be read, is not understood, or holds a value that is not allowed.
+    /// The file cannot be read, does not parse, or contains a value that is not allowed.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
-        let text = read(path)?;
+        let text = read_file(path)?;
         let malformed = |field: String, problem: String| SettingsError::Malformed {
             file: file.clone(),
             field,
             problem: problem.replace('\n', " "),
         };
-        // By way of plain values, so that an error can name the field it is about.
+        // The text is parsed to a JSON value first, so that errors can name the field.
         let value: serde_json::Value = hcl::from_str(&text)
-            .map_err(|error| malformed("operators' settings".into(), error.to_string()))?;
+            .map_err(|error| malformed("invalid HCL".into(), error.to_string()))?;
         let tuning: Self = serde_path_to_error::deserialize(value)
             .map_err(|error| malformed(error.path().to_string(), error.inner().to_string()))?;
         tuning.check(&file)?;
@@ -191,7 +195,8 @@
     }
 }
 
-/// The operators' file beside the platform's: `settings.json` -> `settings.hcl`.
+/// Returns the operators' file next to the platform's file, such as `settings.hcl` for
+/// `settings.json`, if it exists.
 pub fn default_tuning_path(config: &Path) -> Option<PathBuf> {
     let path = config.with_extension("hcl");
     path.is_file().then_some(path)
