--- a/deploy/defragmentation.hcl
+++ b/deploy/defragmentation.hcl
@@ -1,23 +1,24 @@
-# Operators' settings that switch on what is new: copy beside the platform's file (the
-# same name, ending in .hcl), or name it with --tuning. See docs/defragmentation.md.
+# Operators' settings that enable defragmentation. Copy this file next to the platform's settings
+# file, under the same name with the extension .hcl, or pass its path with --tuning. See
+# docs/defragmentation.md.
 
-# Work that may move is moved off machines that whole-machine tasks wait for.
+# Frees whole workers for waiting whole-worker tasks by migrating tasks that may be migrated.
 defragmentation {
   enabled       = true
-  most_moves    = 16   # under way at once
-  lost_work_s   = 30   # what does not save is moved only while it would lose less
-  again_after_s = 300  # before the same task is moved again
-  away_share    = 0.1  # of a job's tasks that may be away for moves, one at least
-  worth_s       = 60   # seconds of waiting that a freed place is taken to spare
+  most_moves    = 16   # maximum number of concurrent migrations
+  lost_work_s   = 30   # a task without checkpoints is migrated only if it would lose less work
+  again_after_s = 300  # minimum time between two migrations of the same task
+  away_share    = 0.1  # maximum share of a job's tasks migrating at the same time; one always may
+  worth_s       = 60   # maximum waiting time that freeing a worker is assumed to save
 }
 
-# What must never be moved, and is asked about before a drain disturbs it. Services of
-# rank production are so anyway.
+# Tasks of a protected class are never migrated, and a drain that would disturb them must be
+# confirmed. Services of rank production are always protected.
 # class "settlement" {
 #   protected = true
 # }
 
-# Commands for operators (copperfield nodes, drain, undrain, moves) need a key of their own.
+# The operators' commands (copperfield nodes, drain, undrain, moves) require this key.
 # operators {
 #   key = "choose 16 or more characters"
 # }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -103,8 +103,8 @@
     /// The maximum time.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// For deadlines: the multiple of a job's deadline within which completing the job still
-    /// counts.
+    /// For deadlines: the multiple of a job's deadline up to which completing the job still
+    /// has value.
     #[serde(default)]
     #[serde(rename = "times")]
     pub deadline_factor: Option<f64>,
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -1,6 +1,6 @@
-//! Stored records and settings as an earlier build wrote or read them, kept as files under
-//! `tests/pinned`. The files are never made anew: a difference is a change of what is stored, or
-//! of what settings mean.
+//! Compares stored records, requests to the state service and the interpretation of settings with
+//! the files under `tests/pinned`, which an earlier build produced. The files are never
+//! regenerated: a difference means that the stored format or the meaning of settings has changed.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -30,22 +30,22 @@
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// The lines of a file, without those that only explain.
+/// Returns the lines of a pinned file, without its comments.
 fn lines(file: &str) -> Vec<String> {
     let text = pinned(file);
     let lines = text.lines().filter(|l| !l.starts_with('#'));
     lines.map(str::to_string).collect()
 }
 
-fn check_lines(file: &str, made: &[String]) {
-    let kept = lines(file);
-    for (ix, (kept, made)) in kept.iter().zip(made).enumerate() {
-        assert_eq!(kept, made, "{file}, line {}", ix + 1);
+fn check_lines(file: &str, actual: &[String]) {
+    let pinned = lines(file);
+    for (ix, (pinned, actual)) in pinned.iter().zip(actual).enumerate() {
+        assert_eq!(pinned, actual, "{file}, line {}", ix + 1);
     }
-    assert_eq!(kept.len(), made.len(), "{file}: number of lines");
+    assert_eq!(pinned.len(), actual.len(), "{file}: number of lines");
 }
 
-/// Each line is read, and written back to the same bytes.
+/// Parses each line, checks that it serializes to the same bytes, and returns the parsed values.
 fn check_records<T>(file: &str, read: impl Fn(Value) -> T, write: impl Fn(&T) -> Value) -> Vec<T> {
     let values = lines(file).into_iter().map(|line| {
         let value = serde_json::from_str(&line).expect(&line);
@@ -66,11 +66,11 @@
     )
 }
 
-fn or_dash<T: ToString>(value: Option<T>) -> String {
+fn value_or_dash<T: ToString>(value: Option<T>) -> String {
     value.map_or("-".into(), |v| v.to_string())
 }
 
-/// So that an empty text is seen.
+/// Quotes a text, so that an empty one is visible.
 fn quoted(text: &str) -> String {
     Value::from(text).to_string()
 }
@@ -78,9 +78,9 @@
 // ---- stored records ----
 
 #[test]
-fn keys_keep_their_spelling() {
+fn keys_are_unchanged() {
     let (small, large) = (JobId(412), JobId(1_234_567));
-    let made = [
+    let actual = [
         storage::LEADER.to_string(),
         storage::TERM_MARKER.to_string(),
         storage::JOBS.to_string(),
@@ -98,29 +98,29 @@
         storage::fencing_key(4),
         storage::drain_key("vm-1"),
     ];
-    check_lines("records/keys.txt", &made);
+    check_lines("records/keys.txt", &actual);
 }
 
 #[test]
-fn records_are_read_and_written_back() {
+fn records_round_trip_unchanged() {
     let jobs = check_records(
         "records/jobs.txt",
         |v| storage::parse_job_record(&v).expect("a job"),
         |job| storage::job_record(&job.spec, job.accepted_ms),
     );
-    let made: Vec<String> = jobs.iter().map(|job| job.accepted_ms.to_string()).collect();
-    check_lines("records/jobs_at.txt", &made);
+    let actual: Vec<String> = jobs.iter().map(|job| job.accepted_ms.to_string()).collect();
+    check_lines("records/jobs_at.txt", &actual);
 
     let outcomes = check_records(
         "records/ends.txt",
         |v| storage::parse_terminal(&v).expect("an outcome"),
         |outcome| storage::terminal_record(*outcome),
     );
-    let made: Vec<String> = outcomes
+    let actual: Vec<String> = outcomes
         .iter()
         .map(|e| format!("{} {}", e.phase == Phase::Done, e.done))
         .collect();
-    check_lines("records/ends_read.txt", &made);
+    check_lines("records/ends_read.txt", &actual);
 
     let bitmaps = check_records(
         "records/progress.txt",
@@ -131,20 +131,20 @@
         let bytes = bitmap.as_bytes().iter().map(u8::to_string);
         bytes.collect::<Vec<_>>().join(" ")
     };
-    let made: Vec<String> = bitmaps.iter().map(numbers).collect();
-    check_lines("records/progress_read.txt", &made);
-    let made = [1024, 8 * 1024, 64 * 1024].map(|b| tasks_per_chunk(b).to_string());
-    check_lines("records/progress_chunks.txt", &made);
+    let actual: Vec<String> = bitmaps.iter().map(numbers).collect();
+    check_lines("records/progress_read.txt", &actual);
+    let actual = [1024, 8 * 1024, 64 * 1024].map(|b| tasks_per_chunk(b).to_string());
+    check_lines("records/progress_chunks.txt", &actual);
 
     let drains: Vec<DrainRecord> = check_serde("records/drains.txt");
-    let made: Vec<String> = drains
+    let actual: Vec<String> = drains
         .iter()
-        .map(|d| format!("{} {}", d.at_ms, or_dash(d.until_ms)))
+        .map(|d| format!("{} {}", d.at_ms, value_or_dash(d.until_ms)))
         .collect();
-    check_lines("records/drains_read.txt", &made);
+    check_lines("records/drains_read.txt", &actual);
 
     let workers: Vec<WorkerRecord> = check_serde("records/machines.txt");
-    let made: Vec<String> = workers
+    let actual: Vec<String> = workers
         .iter()
         .map(|m| {
             let images = m.images.join(",");
@@ -154,32 +154,33 @@
             )
         })
         .collect();
-    check_lines("records/machines_read.txt", &made);
+    check_lines("records/machines_read.txt", &actual);
 }
 
-/// What earlier versions stored, or what is not written in full, is read all the same.
+/// Records with missing fields, as earlier versions stored them, are read with defaults or rejected
+/// as before.
 #[test]
-fn records_that_lack_something_are_read() {
+fn records_with_missing_fields_are_read_as_before() {
     let value = |file: &str| -> Vec<Value> {
         let lines = lines(file).into_iter();
         lines
             .map(|l| serde_json::from_str(&l).expect("JSON"))
             .collect()
     };
-    let made: Vec<String> = value("records/lacking_ends.txt")
+    let actual: Vec<String> = value("records/lacking_ends.txt")
         .iter()
-        .map(|v| or_dash(storage::parse_terminal(v).ok().map(|e| e.done)))
+        .map(|v| value_or_dash(storage::parse_terminal(v).ok().map(|e| e.done)))
         .collect();
-    check_lines("records/lacking_ends_read.txt", &made);
-    let made: Vec<String> = value("records/lacking_jobs.txt")
+    check_lines("records/lacking_ends_read.txt", &actual);
+    let actual: Vec<String> = value("records/lacking_jobs.txt")
         .iter()
         .map(|v| match storage::parse_job_record(v) {
             Ok(JobRecord { spec, accepted_ms }) => format!("{accepted_ms} {}", spec.to_json()),
             Err(error) => error.to_string(),
         })
         .collect();
-    check_lines("records/lacking_jobs_read.txt", &made);
-    let made: Vec<String> = value("records/lacking_others.txt")
+    check_lines("records/lacking_jobs_read.txt", &actual);
+    let actual: Vec<String> = value("records/lacking_others.txt")
         .into_iter()
         .map(|v| {
             let drain = serde_json::from_value::<DrainRecord>(v.clone()).is_ok();
@@ -187,31 +188,31 @@
             format!("{drain} {worker} {}", TaskBitmap::from_record(&v).is_ok())
         })
         .collect();
-    check_lines("records/lacking_others_read.txt", &made);
+    check_lines("records/lacking_others_read.txt", &actual);
 }
 
 #[test]
-fn timestamps_of_fenced_workers_stay() {
-    let made: Vec<String> = [0u64, 1, 999, 1000, 60_000, 3_600_000]
+fn timestamps_of_fenced_workers_are_unchanged() {
+    let actual: Vec<String> = [0u64, 1, 999, 1000, 60_000, 3_600_000]
         .iter()
         .map(|&age| {
             let at = timestamp::from_age(age, 1_700_000_000_000);
-            let later = 1_700_000_012_345;
+            let read_at = 1_700_000_012_345;
             format!(
                 "{at} {} {}",
-                timestamp::min_age(at, later, 0),
-                timestamp::min_age(at, later, 250)
+                timestamp::min_age(at, read_at, 0),
+                timestamp::min_age(at, read_at, 250)
             )
         })
         .collect();
-    check_lines("records/stamps.txt", &made);
+    check_lines("records/stamps.txt", &actual);
 }
 
-/// Takes every request, and answers each with the same revision.
+/// A network that records every request and answers each with the same response.
 #[derive(Default)]
-struct Recorder(Mutex<Vec<String>>);
+struct RecordingNetwork(Mutex<Vec<String>>);
 
-impl Network for Recorder {
+impl Network for RecordingNetwork {
     fn call(
         &self,
         method: Method,
@@ -242,7 +243,7 @@
 
 fn writes() -> Vec<Write> {
     let value: Value = serde_json::from_str(&pinned("records/value.json")).expect("JSON");
-    let until = [
+    let records = [
         None,
         Some(DrainRecord {
             at_ms: 1,
@@ -253,7 +254,7 @@
             until_ms: None,
         }),
     ];
-    let drains = until
+    let drains = records
         .into_iter()
         .zip(20..)
         .map(|(record, version)| Write::Drain {
@@ -293,12 +294,12 @@
     all
 }
 
-/// What a leader writes, each kind alone and all in one.
+/// Checks the transactions for each kind of write alone and for one batch of all kinds.
 #[tokio::test(start_paused = true)]
-async fn transactions_of_a_leader_keep_their_bytes() {
-    let recorder = Arc::new(Recorder::default());
+async fn transactions_of_a_leader_are_unchanged() {
+    let network = Arc::new(RecordingNetwork::default());
     let at = SocketAddr::from(([10, 0, 0, 1], 1));
-    let store = Arc::new(Store::new(recorder.clone(), at, Vec::new(), 1000.0, 1000.0));
+    let store = Arc::new(Store::new(network.clone(), at, Vec::new(), 1000.0, 1000.0));
     let mut batches: Vec<Vec<Write>> = writes().into_iter().map(|w| vec![w]).collect();
     batches.push(writes());
     for batch in batches {
@@ -307,32 +308,29 @@
     }
     check_lines(
         "records/transactions.txt",
-        &recorder.0.lock().expect("no panic"),
+        &network.0.lock().expect("no panic"),
     );
-    let end = completed(5);
-    let same = JobOutcome {
+    let outcome = completed(5);
+    let expected = JobOutcome {
         phase: Phase::Done,
         done: 5,
     };
-    assert!(end == same);
+    assert!(outcome == expected);
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_to_the_state_service_keep_their_bytes() {
-    let recorder = Arc::new(Recorder::default());
+async fn requests_to_the_state_service_are_unchanged() {
+    let network = Arc::new(RecordingNetwork::default());
     let at = SocketAddr::from(([10, 0, 0, 1], 1));
-    let store = Store::new(recorder.clone(), at, Vec::new(), 1000.0, 1000.0);
-    let some = Duration::from_millis(1234);
+    let store = Store::new(network.clone(), at, Vec::new(), 1000.0, 1000.0);
+    let duration = Duration::from_millis(1234);
     let _ = store.list("x/").await;
-    let _ = store.watch("x/", 5, some).await;
-    let _ = store.create_lease(some).await;
-    let _ = store.extend_lease(6, some).await;
+    let _ = store.watch("x/", 5, duration).await;
+    let _ = store.create_lease(duration).await;
+    let _ = store.extend_lease(6, duration).await;
     store.end_lease(6).await;
     let _ = store.outcome(JobId(412)).await;
-    check_lines(
-        "records/requests.txt",
-        &recorder.0.lock().expect("no panic"),
-    );
+    check_lines("records/requests.txt", &network.0.lock().expect("no panic"));
 }
 
 // ---- settings ----
@@ -359,12 +357,12 @@
         ));
     }
     for o in &c.objectives {
-        let class = or_dash(o.class.as_ref());
+        let class = value_or_dash(o.class.as_ref());
         all.push(format!(
             "{} {class} {} {}",
             quoted(&o.kind),
-            or_dash(o.within_s),
-            or_dash(o.deadline_factor)
+            value_or_dash(o.within_s),
+            value_or_dash(o.deadline_factor)
         ));
     }
     let w = &c.workers;
@@ -410,11 +408,11 @@
     for (name, class) in &t.class {
         all.push(format!(
             "{name} {} {}",
-            or_dash(class.movable),
+            value_or_dash(class.movable),
             class.protected
         ));
     }
-    all.push(or_dash(t.operators.as_ref().map(|o| &o.key)));
+    all.push(value_or_dash(t.operators.as_ref().map(|o| &o.key)));
     all.push(format!(
         "{} {}",
         t.log.time,
@@ -424,53 +422,57 @@
 }
 
 #[test]
-fn settings_files_are_read_as_before() {
+fn settings_files_are_read_unchanged() {
     let read = |file: &str| Settings::load(&pinned_path(file)).expect(file);
-    let (full, least) = (read("settings/full.json"), read("settings/least.json"));
+    let (full, minimal) = (read("settings/full.json"), read("settings/least.json"));
     check_lines("settings/full.txt", &settings_lines(&full));
-    check_lines("settings/least.txt", &settings_lines(&least));
-    let tuning = Tuning::load(&pinned_path("settings/full.hcl")).expect("good");
+    check_lines("settings/least.txt", &settings_lines(&minimal));
+    let tuning = Tuning::load(&pinned_path("settings/full.hcl")).expect("valid");
     check_lines("settings/full_hcl.txt", &tuning_lines(&tuning));
-    let other = Tuning::load(&pinned_path("settings/other.hcl")).expect("good");
+    let other = Tuning::load(&pinned_path("settings/other.hcl")).expect("valid");
     check_lines("settings/other_hcl.txt", &tuning_lines(&other));
     check_lines(
         "settings/default_hcl.txt",
         &tuning_lines(&Tuning::default()),
     );
-    let refused = tuning.check_against(&full).expect_err("too long");
-    check_lines("settings/against.txt", &[refused.to_string()]);
+    let error = tuning.check_against(&full).expect_err("too long");
+    check_lines("settings/against.txt", &[error.to_string()]);
 }
 
-/// The first line of what is said of a settings file, without the file's name.
-fn said<T, E: std::fmt::Display>(
+/// Loads a settings file with this text. Returns the error with the path replaced by `FILE`, or
+/// `good`.
+fn load_result<T, E: std::fmt::Display>(
     text: &str,
     load: impl Fn(&std::path::Path) -> Result<T, E>,
 ) -> String {
     let name = format!("copperfield-pinned-{}", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).expect("writable");
-    let said = load(&path).map_or_else(|e| e.to_string(), |_| "good".into());
-    std::fs::remove_file(&path).expect("ours");
-    said.replace(&path.display().to_string(), "FILE")
+    let result = load(&path).map_or_else(|e| e.to_string(), |_| "good".into());
+    std::fs::remove_file(&path).expect("the file exists");
+    result.replace(&path.display().to_string(), "FILE")
 }
 
-/// One wrong field each: where, what, and the text of the refusal.
+/// Checks the error for settings files with one invalid field each.
 #[test]
-fn refusals_of_settings_keep_their_text() {
+fn errors_of_settings_are_unchanged() {
     let full: Value = serde_json::from_str(&pinned("settings/full.json")).expect("JSON");
-    let wrong: Vec<Value> = serde_json::from_str(&pinned("settings/wrong.json")).expect("JSON");
-    let texts: Vec<String> = wrong
+    let cases: Vec<Value> = serde_json::from_str(&pinned("settings/wrong.json")).expect("JSON");
+    let texts: Vec<String> = cases
         .iter()
         .map(|case| {
-            let mut bad = full.clone();
-            let pointer = case["at"].as_str().expect("a place");
-            *bad.pointer_mut(pointer).expect(pointer) = case["is"].clone();
-            said(&bad.to_string(), Settings::load)
+            let mut invalid = full.clone();
+            let pointer = case["at"].as_str().expect("a JSON pointer");
+            *invalid.pointer_mut(pointer).expect(pointer) = case["is"].clone();
+            load_result(&invalid.to_string(), Settings::load)
         })
         .collect();
     check_lines("settings/wrong.txt", &texts);
-    let wrong: Vec<String> =
+    let cases: Vec<String> =
         serde_json::from_str(&pinned("settings/wrong_hcl.json")).expect("JSON");
-    let texts: Vec<String> = wrong.iter().map(|text| said(text, Tuning::load)).collect();
+    let texts: Vec<String> = cases
+        .iter()
+        .map(|text| load_result(text, Tuning::load))
+        .collect();
     check_lines("settings/wrong_hcl.txt", &texts);
 }
--- a/tests/rate_limiter.rs
+++ b/tests/rate_limiter.rs
@@ -1,4 +1,4 @@
-//! The rate limiter, in simulated time.
+//! Tests of the rate limiter in simulated time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,6 +9,7 @@
 const RATE: f64 = 10.0;
 const BURST_S: f64 = 1.0;
 
+/// Returns a limiter whose bucket is full. A new limiter starts with a partly filled bucket.
 async fn full_limiter() -> RateLimiter {
     let limiter = RateLimiter::new(RATE, BURST_S);
     sleep(Duration::from_secs(1)).await;
@@ -16,7 +17,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn backlog_counts_requests_that_wait_and_not_those_cancelled() {
+async fn backlog_counts_queued_requests_but_not_cancelled_ones() {
     let limiter = Arc::new(full_limiter().await);
     let waiting: Vec<_> = (0..40)
         .map(|_| {
@@ -26,7 +27,11 @@
         .collect();
     tokio::task::yield_now().await;
     sleep(Duration::from_millis(1)).await;
-    assert_eq!(limiter.backlog().as_secs_f64(), 3.0, "30 beyond the burst");
+    assert_eq!(
+        limiter.backlog().as_secs_f64(),
+        3.0,
+        "30 requests more than the burst"
+    );
     for request in &waiting {
         request.abort();
     }
@@ -35,16 +40,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn renewals_pass_at_once_while_other_requests_keep_the_rate() {
+async fn renewals_do_not_wait_while_other_requests_keep_to_the_rate() {
     let limiter = full_limiter().await;
     let start = Instant::now();
     for _ in 0..30 {
         limiter.acquire(1.0, Urgency::High).await;
     }
-    let spent = start.elapsed().as_secs_f64();
+    let elapsed_s = start.elapsed().as_secs_f64();
     assert!(
-        (1.9..2.2).contains(&spent),
-        "20 beyond the burst at 10/s: {spent}"
+        (1.9..2.2).contains(&elapsed_s),
+        "20 requests more than the burst at 10/s: {elapsed_s}"
     );
     let before = Instant::now();
     limiter.acquire(1.0, Urgency::Renewal).await;
@@ -52,29 +57,30 @@
     limiter.acquire(1.0, Urgency::Low).await;
     assert!(
         before.elapsed() > Duration::from_millis(600),
-        "low urgency leaves half"
+        "low urgency leaves half of the bucket"
     );
 }
 
-/// Restarted five times a second, five controllers once had a full bucket each time: 25 times the
-/// burst.
+/// A new limiter must not start with a full bucket: controllers that restart often would get a
+/// burst after each restart. Five controllers, each restarted five times per second, used 25 times
+/// the burst.
 #[tokio::test(start_paused = true)]
-async fn process_restarts_spend_no_more_than_one_process() {
+async fn restarts_do_not_increase_the_rate() {
     let start = Instant::now();
-    let mut spent = 0;
+    let mut acquired = 0;
     while start.elapsed() < Duration::from_secs(10) {
         let limiter = RateLimiter::new(RATE, BURST_S);
-        let process = sleep(Duration::from_millis(350));
-        tokio::pin!(process);
+        let restart = sleep(Duration::from_millis(350));
+        tokio::pin!(restart);
         loop {
             tokio::select! {
-                () = &mut process => break,
-                () = limiter.acquire(1.0, Urgency::Normal) => spent += 1,
+                () = &mut restart => break,
+                () = limiter.acquire(1.0, Urgency::Normal) => acquired += 1,
             }
         }
     }
     assert!(
-        (80..=100).contains(&spent),
-        "{spent} in 10 s at 10 a second"
+        (80..=100).contains(&acquired),
+        "{acquired} requests in 10 s at 10/s"
     );
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,17 +1,19 @@
-//! Bad settings end the process with one line that names the field.
+//! Invalid settings files are rejected with a one-line error that names the field.
 
 use std::path::PathBuf;
 
 use copperfield::settings::{Settings, Tuning};
 use serde_json::{Value, json};
 
-fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a settings file to the temporary directory and returns its path.
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("copperfield-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("writable");
     path
 }
 
-fn good() -> Value {
+/// A valid platform settings file, with a field that controllers do not know.
+fn valid_settings() -> Value {
     json!({"member": "host-0", "site": "a", "public_addr": "127.0.0.1:8080", "peer_bind": "127.0.0.1:8081",
         "others": [], "external": {"cloud": "127.0.0.1:1", "state": "127.0.0.1:2"}, "a_new_field": 1,
         "cluster": {"zones": ["a"], "workers": {"report_s": 2.5, "lease_s": 12.0, "gang_wait_s": 45.0, "gang_peer_s": 6.0, "cancel_s": 32.0},
@@ -20,10 +22,10 @@
 }
 
 #[test]
-fn each_bad_field_is_named() {
-    let path = file("good.json", &good().to_string());
+fn errors_name_the_invalid_platform_field() {
+    let path = write_file("good.json", &valid_settings().to_string());
     Settings::load(&path).expect("unknown fields are ignored");
-    for (pointer, value, named) in [
+    for (pointer, value, expected) in [
         ("/public_addr", json!("localhost"), "public_addr"),
         ("/member", Value::Null, "member"),
         (
@@ -44,22 +46,25 @@
         ("/cluster/cloud/rps", json!(0), "cluster.cloud.rps"),
         ("/cluster/zones", json!([]), "cluster.zones"),
     ] {
-        let mut bad = good();
-        *bad.pointer_mut(pointer).expect("exists") = value;
-        let path = file("bad.json", &bad.to_string());
+        let mut invalid = valid_settings();
+        *invalid.pointer_mut(pointer).expect("exists") = value;
+        let path = write_file("bad.json", &invalid.to_string());
         let error = Settings::load(&path).expect_err(pointer).to_string();
-        assert!(error.contains(named), "{pointer}: {error}");
+        assert!(error.contains(expected), "{pointer}: {error}");
     }
-    let broken = file("broken.json", "{");
-    assert!(Settings::load(&broken).is_err());
+    let truncated = write_file("broken.json", "{");
+    assert!(Settings::load(&truncated).is_err());
     assert!(Settings::load(&std::env::temp_dir().join("copperfield-none.json")).is_err());
 }
 
 #[test]
-fn operators_settings_are_checked_and_unknown_names_refused() {
-    let tuning = Tuning::load(&file("good.hcl", "idle_return_s = 60\nauction_cap = 100\n"));
+fn operators_settings_are_validated_and_unknown_names_rejected() {
+    let tuning = Tuning::load(&write_file(
+        "good.hcl",
+        "idle_return_s = 60\nauction_cap = 100\n",
+    ));
     assert_eq!(tuning.expect("valid").auction_cap, 100);
-    for (text, named) in [
+    for (text, expected) in [
         ("idle_retrun_s = 60", "idle_retrun_s"),
         ("slot_cpus = 0", "slot_cpus"),
         ("auction_cap = \"many\"", "many"),
@@ -68,18 +73,20 @@
             "shares: unknown variant `some`, expected `on` or `off`",
         ),
     ] {
-        let error = Tuning::load(&file("bad.hcl", text))
+        let error = Tuning::load(&write_file("bad.hcl", text))
             .expect_err(text)
             .to_string();
-        assert!(error.contains(named), "{text}: {error}");
+        assert!(error.contains(expected), "{text}: {error}");
     }
-    let settings = Settings::load(&file("fits.json", &good().to_string())).expect("valid");
-    let slow = Tuning {
+    let settings =
+        Settings::load(&write_file("fits.json", &valid_settings().to_string())).expect("valid");
+    let long_lease = Tuning {
         leader_ttl_ms: 20_000,
         ..Tuning::default()
     };
     assert!(
-        slow.check_against(&settings)
+        long_lease
+            .check_against(&settings)
             .expect_err("too long")
             .to_string()
             .starts_with("leader_ttl_ms")
@@ -87,9 +94,9 @@
 }
 
 #[test]
-fn blocks_of_operators_settings_are_checked() {
+fn blocks_of_operators_settings_are_validated() {
     let text = include_str!("../deploy/defragmentation.hcl");
-    let tuning = Tuning::load(&file("shipped.hcl", text)).expect("what is shipped is good");
+    let tuning = Tuning::load(&write_file("shipped.hcl", text)).expect("the shipped file is valid");
     assert!(tuning.defragmentation.enabled && tuning.operators.is_none());
     assert!(!Tuning::default().defragmentation.enabled, "off by default");
     let full = r#"
@@ -100,13 +107,13 @@
           format = "json"
           time = true
         }"#;
-    let tuning = Tuning::load(&file("blocks.hcl", full)).expect("good");
+    let tuning = Tuning::load(&write_file("blocks.hcl", full)).expect("valid");
     assert_eq!(tuning.class["bake"].movable, Some(false));
     assert!(
         !format!("{tuning:?}").contains("sixteen"),
-        "a key is not printed"
+        "the key is not printed"
     );
-    for (text, named) in [
+    for (text, expected) in [
         ("defragmentation { enabled = 1 }", "defragmentation.enabled"),
         (
             "defragmentation { most_moves = 0 }",
@@ -129,11 +136,11 @@
         ("operators { }", "missing field `key`"),
         ("log { format = \"xml\" }", "log.format"),
     ] {
-        let error = Tuning::load(&file("bad-block.hcl", text))
+        let error = Tuning::load(&write_file("bad-block.hcl", text))
             .expect_err(text)
             .to_string();
         assert!(
-            error.contains(named) && !error.contains('\n'),
+            error.contains(expected) && !error.contains('\n'),
             "{text}: {error}"
         );
     }
