--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -261,7 +261,8 @@
             return Err(WriteError::NotLeader);
         }
         Err(error) => {
-            tracing::debug!(%error, writes = batch.len(), "transaction not confirmed, reading its keys back")
+            let writes = batch.len();
+            tracing::debug!(%error, writes, "transaction not confirmed, reading its keys back");
         }
     }
     let mut results = Vec::with_capacity(batch.len());
