--- a/crates/simulation/src/service_levels.rs
+++ b/crates/simulation/src/service_levels.rs
@@ -18,11 +18,11 @@
     /// A service: measured by the time for which its replicas run.
     pub service: bool,
     /// When it was submitted.
-    pub submitted: f64,
+    pub submitted_at: f64,
     /// The start of the measured period: of a service, some time after it was submitted.
-    pub from: f64,
+    pub measured_from: f64,
     /// The end of the measured period: of the run, or when the job was cancelled.
-    pub until: f64,
+    pub measured_until: f64,
 }
 
 /// How much of the work of a class or a team was served.
@@ -35,9 +35,9 @@
     /// Tasks that completed.
     pub completed: u32,
     /// Seconds for which replicas of services were requested.
-    pub wanted_s: f64,
+    pub requested_s: f64,
     /// Seconds for which replicas of services ran.
-    pub up_s: f64,
+    pub running_s: f64,
 }
 
 impl ServiceLevel {
@@ -47,7 +47,7 @@
         let tasks = f64::from(self.tasks);
         share(f64::from(self.started), tasks)
             .min(share(f64::from(self.completed), tasks))
-            .min(share(self.up_s, self.wanted_s))
+            .min(share(self.running_s, self.requested_s))
     }
 }
 
@@ -99,10 +99,10 @@
                 .map_or(first_start, |(at, _)| first_start.min(*at));
             if job.service {
                 let within = |(from, until): &(f64, f64)| {
-                    (until.min(job.until) - from.max(job.from)).max(0.0)
+                    (until.min(job.measured_until) - from.max(job.measured_from)).max(0.0)
                 };
-                own.wanted_s += (job.until - job.from).max(0.0);
-                own.up_s += stays.iter().map(within).sum::<f64>();
+                own.requested_s += (job.measured_until - job.measured_from).max(0.0);
+                own.running_s += stays.iter().map(within).sum::<f64>();
             } else {
                 own.tasks += 1;
                 own.started += u32::from(!stays.is_empty());
@@ -110,7 +110,7 @@
             }
         }
         let largest = job.tasks * 2 >= largest_tasks[job.class.as_str()];
-        let in_time = first_start <= job.submitted + START_DEADLINE_S;
+        let in_time = first_start <= job.submitted_at + START_DEADLINE_S;
         let mut sums = vec![
             (format!("class {}", job.class), own),
             (format!("team {}", job.team), own),
@@ -125,8 +125,8 @@
             sum.tasks += own.tasks;
             sum.started += own.started;
             sum.completed += own.completed;
-            sum.wanted_s += own.wanted_s;
-            sum.up_s += own.up_s;
+            sum.requested_s += own.requested_s;
+            sum.running_s += own.running_s;
         }
     }
     all
--- a/crates/simulation/tests/service_levels.rs
+++ b/crates/simulation/tests/service_levels.rs
@@ -21,9 +21,9 @@
         team: "t".into(),
         tasks,
         service,
-        submitted: 0.0,
-        from: 2.0,
-        until: 12.0,
+        submitted_at: 0.0,
+        measured_from: 2.0,
+        measured_until: 12.0,
     };
     let all = service_levels(
         &history,
@@ -34,7 +34,10 @@
         (a.tasks, a.started, a.completed, a.min_share()),
         (4, 2, 1, 0.25)
     );
-    assert_eq!((s.wanted_s, s.up_s, s.min_share()), (10.0, 8.0, 0.8));
+    assert_eq!(
+        (s.requested_s, s.running_s, s.min_share()),
+        (10.0, 8.0, 0.8)
+    );
     assert_eq!(all["team t"].min_share(), 0.25);
 }
 
@@ -54,9 +57,9 @@
         team: "t".into(),
         tasks,
         service: false,
-        submitted: 0.0,
-        from: 0.0,
-        until: 300.0,
+        submitted_at: 0.0,
+        measured_from: 0.0,
+        measured_until: 300.0,
     };
     let all = service_levels(
         &history,
--- a/tests/service_levels.rs
+++ b/tests/service_levels.rs
@@ -145,14 +145,17 @@
                         team: class.team.into(),
                         tasks: body["shards"].as_u64().expect("a number") as u32,
                         service,
-                        submitted: at,
-                        from: at + 15.0,
-                        until,
+                        submitted_at: at,
+                        measured_from: at + 15.0,
+                        measured_until: until,
                     },
                 ));
             }
         }
-        for (job, _) in requested.iter().filter(|(_, r)| r.service && r.until == at) {
+        for (job, _) in requested
+            .iter()
+            .filter(|(_, r)| r.service && r.measured_until == at)
+        {
             harness.cancel(*job);
         }
         let workers_with =
