--- a/crates/simulation/src/loopback.rs
+++ b/crates/simulation/src/loopback.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use copperfield::protocol::MAX_BODY;
-use copperfield::transport::client::{Answer, HttpClient, Network};
+use copperfield::transport::client::{HttpClient, HttpResponse, Network};
 use copperfield::transport::server::{ApiRequest, ApiResponse, bind, serve};
 use copperfield_http::Meter;
 use hyper::Method;
@@ -213,7 +213,7 @@
         to: SocketAddr,
         path: &str,
         body: &Value,
-    ) -> Option<Answer> {
+    ) -> Option<HttpResponse> {
         let body = match body {
             Value::Null => Vec::new(),
             body => body.to_string().into_bytes(),
@@ -334,7 +334,7 @@
     }
 
     /// Handles the answer to a heartbeat; returns the controller for the next one.
-    fn answered(&self, name: &str, node: usize, sent: f64, answer: Option<Answer>) -> usize {
+    fn answered(&self, name: &str, node: usize, sent: f64, answer: Option<HttpResponse>) -> usize {
         let other = (node + 1) % CONTROLLERS;
         let Some(answer) = answer else { return other };
         let value: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -15,7 +15,7 @@
 use crate::protocol::peer::{Lookup, PeerReply, PeerRequest};
 use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::store::{StoreError, put};
-use crate::storage::{LEADER, TERM_MARKER, job_key, terminal_key, terminal_record};
+use crate::storage::{LEADER_KEY, TERM_MARKER_KEY, job_key, terminal_key, terminal_record};
 use crate::transport::rate_limiter::Urgency;
 use crate::transport::server::ApiResponse;
 
@@ -100,7 +100,7 @@
     /// Tries to store a cancellation until that succeeds or this controller no longer leads.
     async fn settle_cancellation(&self, id: JobId, cancellation: CancellationInProgress) -> Lookup {
         let CancellationInProgress { done, token } = cancellation;
-        let guards = [Condition::at_version(LEADER, token)];
+        let guards = [Condition::at_version(LEADER_KEY, token)];
         while self.context.leadership.leads(token) {
             if let Ok(result) = self.store_cancelled(id, done, &guards).await {
                 let outcome = match result {
@@ -146,16 +146,16 @@
     /// changes and which is read before the leader key is found to be missing.
     async fn store_leaderless(&self, id: JobId) -> Lookup {
         let store = &self.context.store;
-        let term_marker = store.get(TERM_MARKER, Urgency::High, true).await;
+        let term_marker = store.get(TERM_MARKER_KEY, Urgency::High, true).await;
         let Ok(marker_version) = term_marker.map(|item| item.map_or(0, |item| item.version)) else {
             return Lookup::NotLeader;
         };
-        let Ok(None) = store.get(LEADER, Urgency::High, true).await else {
+        let Ok(None) = store.get(LEADER_KEY, Urgency::High, true).await else {
             return Lookup::NotLeader;
         };
         let guards = [
-            Condition::absent(LEADER),
-            Condition::at_version(TERM_MARKER, marker_version),
+            Condition::absent(LEADER_KEY),
+            Condition::at_version(TERM_MARKER_KEY, marker_version),
         ];
         let stored = self.store_cancelled(id, 0, &guards).await;
         stored.unwrap_or(Lookup::NotLeader)
@@ -175,7 +175,7 @@
     ) -> Result<Lookup, StoreError> {
         let store = &self.context.store;
         let job_item = store.get(&job_key(id), Urgency::High, true).await?;
-        if let Some(outcome) = store.terminal(id, Urgency::High).await? {
+        if let Some(outcome) = store.terminal_state(id, Urgency::High).await? {
             return Ok(Lookup::Terminal(outcome));
         }
         let Some(job_item) = job_item else {
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -61,7 +61,7 @@
     }
 
     async fn stored_outcome(&self, id: JobId) -> Result<Option<JobOutcome>, StoreError> {
-        let stored = self.context.store.outcome(id).await?;
+        let stored = self.context.store.job_outcome(id).await?;
         if let Some(outcome) = stored
             && outcome.phase.is_terminal()
         {
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -99,7 +99,7 @@
         id: JobId,
         reason: Unschedulable,
     ) -> Result<ApiResponse, ApiError> {
-        match self.context.store.outcome(id).await {
+        match self.context.store.job_outcome(id).await {
             Ok(None) => Err(reason.into()),
             Ok(Some(outcome)) => Ok(outcome_response(id, outcome)),
             Err(_) => Err(ApiError::StateServiceUnavailable),
--- a/src/controller/effects/cloud.rs
+++ b/src/controller/effects/cloud.rs
@@ -8,7 +8,7 @@
 use crate::controller::context::ControllerContext;
 use crate::coordination::core::{Input, ScaleOutOutcome};
 use crate::protocol::cloud::{self, ListedWorker, MachineType, WorkerPage};
-use crate::transport::client::{Answer, CallError};
+use crate::transport::client::{CallError, HttpResponse};
 use crate::transport::rate_limiter::Urgency;
 
 const CLOUD_DEADLINE: Duration = Duration::from_secs(3);
@@ -75,7 +75,7 @@
 }
 
 /// `None` if the response does not state what was provisioned.
-fn scale_out_outcome(response: &Answer) -> Option<ScaleOutOutcome> {
+fn scale_out_outcome(response: &HttpResponse) -> Option<ScaleOutOutcome> {
     match response.status {
         STATUS_OK => {
             let workers = cloud::parse_scale_out(&response.body).ok()?;
@@ -158,7 +158,7 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-) -> Result<Answer, CallError> {
+) -> Result<HttpResponse, CallError> {
     let to = context.settings.external.cloud;
     context
         .http
--- a/src/controller/effects/peers.rs
+++ b/src/controller/effects/peers.rs
@@ -13,7 +13,7 @@
 use crate::coordination::core::{Input, Outcome};
 use crate::protocol::peer::{PeerReply, PeerRequest, RelayedCommand};
 use crate::storage::store::call_peer;
-use crate::transport::client::{Answer, CallError};
+use crate::transport::client::{CallError, HttpResponse};
 
 const PEER_DEADLINE: Duration = Duration::from_millis(1000);
 
@@ -70,7 +70,7 @@
     }
 }
 
-fn is_accepted(response: &Answer) -> bool {
+fn is_accepted(response: &HttpResponse) -> bool {
     matches!(borsh::from_slice(&response.body), Ok(PeerReply::Relaying))
 }
 
--- a/src/controller/effects/workers.rs
+++ b/src/controller/effects/workers.rs
@@ -9,7 +9,7 @@
 use crate::coordination::core::{Input, Outcome};
 use crate::protocol::peer::RelayedCommand;
 use crate::protocol::worker::{Heartbeat, commands_body};
-use crate::transport::client::{Answer, CallError};
+use crate::transport::client::{CallError, HttpResponse};
 
 const COMMAND_DEADLINE: Duration = Duration::from_millis(1500);
 /// The deadline of a message without commands, which requests a heartbeat.
@@ -70,7 +70,7 @@
     }
 }
 
-fn outcome_of(response: &Answer) -> Outcome {
+fn outcome_of(response: &HttpResponse) -> Outcome {
     match (response.status, Heartbeat::parse(&response.body)) {
         (STATUS_OK, Ok(heartbeat)) => Outcome::Executed(heartbeat),
         (STATUS_CONFLICT, heartbeat) => Outcome::Rejected(heartbeat.ok()),
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -237,7 +237,7 @@
             leaderless = ?self.elected_at - self.leader_seen_at,
             recovery = ?self.elected_at.elapsed(),
             jobs = snapshot.jobs.len(),
-            workers = snapshot.workers(),
+            workers = snapshot.worker_count(),
             "recovered"
         );
         let mut core = self.recovered_core(token, snapshot);
--- a/src/coordination/election/campaign.rs
+++ b/src/coordination/election/campaign.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::controller::context::ControllerContext;
-use crate::storage::FENCING;
+use crate::storage::FENCING_PREFIX;
 use crate::storage::store::StoreError;
 use crate::transport::rate_limiter::Urgency;
 
@@ -79,6 +79,6 @@
         return false;
     }
     let names_workers = |value: &Value| value.as_object().is_some_and(|o| !o.is_empty());
-    let pages = context.store.list(FENCING).await;
+    let pages = context.store.list(FENCING_PREFIX).await;
     pages.is_ok_and(|(pages, _)| pages.iter().any(|page| names_workers(&page.value)))
 }
--- a/src/coordination/election/records.rs
+++ b/src/coordination/election/records.rs
@@ -5,7 +5,7 @@
 use crate::controller::context::ControllerContext;
 use crate::protocol::state::{Change, Condition, Item, Transaction};
 use crate::storage::store::{StoreError, put};
-use crate::storage::{LEADER, TERM_MARKER};
+use crate::storage::{LEADER_KEY, TERM_MARKER_KEY};
 use crate::transport::rate_limiter::Urgency;
 
 const MEMBER: &str = "member";
@@ -28,7 +28,10 @@
 
 impl LeaderKey {
     pub(super) async fn read(context: &ControllerContext) -> Result<Option<Self>, StoreError> {
-        let item = context.store.get(LEADER, Urgency::Renewal, false).await?;
+        let item = context
+            .store
+            .get(LEADER_KEY, Urgency::Renewal, false)
+            .await?;
         Ok(item.map(Self::from_item))
     }
 
@@ -54,7 +57,7 @@
     pub(super) async fn read(context: &ControllerContext) -> Result<Option<Self>, StoreError> {
         let item = context
             .store
-            .get(TERM_MARKER, Urgency::Renewal, false)
+            .get(TERM_MARKER_KEY, Urgency::Renewal, false)
             .await?;
         Ok(item.map(|item| Self {
             confirmed_token: item.value.get(CONFIRMED_TOKEN).and_then(Value::as_u64),
@@ -65,14 +68,14 @@
 /// Writes the leader key, if it does not exist, and an unconfirmed term marker.
 pub(super) fn election_transaction(member: &str, nonce: u64, lease: u64) -> Transaction {
     Transaction {
-        conditions: vec![Condition::at_version(LEADER, NO_VERSION)],
+        conditions: vec![Condition::at_version(LEADER_KEY, NO_VERSION)],
         changes: vec![
             Change::Put {
-                key: LEADER.to_string(),
+                key: LEADER_KEY.to_string(),
                 value: json!({ MEMBER: member, NONCE: nonce }),
                 lease: Some(lease),
             },
-            put(TERM_MARKER.to_string(), json!({})),
+            put(TERM_MARKER_KEY.to_string(), json!({})),
         ],
     }
 }
@@ -80,9 +83,9 @@
 /// Confirms the term of this token, if its leader key still exists.
 pub(super) fn confirmation_transaction(token: u64) -> Transaction {
     Transaction {
-        conditions: vec![Condition::at_version(LEADER, token)],
+        conditions: vec![Condition::at_version(LEADER_KEY, token)],
         changes: vec![put(
-            TERM_MARKER.to_string(),
+            TERM_MARKER_KEY.to_string(),
             json!({ CONFIRMED_TOKEN: token }),
         )],
     }
@@ -91,9 +94,9 @@
 /// Removes the leader key of this token.
 pub(super) fn removal_transaction(token: u64) -> Transaction {
     Transaction {
-        conditions: vec![Condition::at_version(LEADER, token)],
+        conditions: vec![Condition::at_version(LEADER_KEY, token)],
         changes: vec![Change::Delete {
-            key: LEADER.to_string(),
+            key: LEADER_KEY.to_string(),
         }],
     }
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -29,9 +29,10 @@
 pub mod writer;
 
 pub use records::{
-    DRAINS, DrainRecord, FENCING, JOBS, JobRecord, LEADER, PROGRESS, REGISTRY, RecordError,
-    TERM_MARKER, WorkerRecord, drain_key, fencing_key, job_key, job_record, parse_job_record,
-    parse_terminal, progress_key, registry_key, terminal_key, terminal_record,
+    DRAINS_PREFIX, DrainRecord, FENCING_PREFIX, JOBS_PREFIX, JobRecord, LEADER_KEY,
+    PROGRESS_PREFIX, REGISTRY_PREFIX, RecordError, TERM_MARKER_KEY, WorkerRecord, drain_key,
+    fencing_key, job_key, job_record, parse_job_record, parse_terminal, progress_key, registry_key,
+    terminal_key, terminal_record,
 };
 pub use snapshot::{
     FencedWorker, Snapshot, StoredDrain, StoredFencingPage, StoredJob, StoredProgress,
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -10,23 +10,23 @@
 use crate::protocol::job::{InvalidField, JobOutcome, JobSpec, Phase};
 
 /// The leader key. The version of the key is the leader's fencing token.
-pub const LEADER: &str = "cf/leader";
+pub const LEADER_KEY: &str = "cf/leader";
 /// The term marker. It is written together with every leader key, written once more by the new
 /// leader, and never deleted. While it does not exist, no leader has ever requested a lease
 /// extension. As long as its version is unchanged, no leader has been elected.
-pub const TERM_MARKER: &str = "cf/founded";
+pub const TERM_MARKER_KEY: &str = "cf/founded";
 /// Key prefix of the live jobs.
-pub const JOBS: &str = "cf/j/";
+pub const JOBS_PREFIX: &str = "cf/j/";
 /// Key prefix of the terminal states of jobs.
-const TERMINAL: &str = "cf/t/";
+const TERMINAL_PREFIX: &str = "cf/t/";
 /// Key prefix of the bitmaps of completed tasks.
-pub const PROGRESS: &str = "cf/p/";
+pub const PROGRESS_PREFIX: &str = "cf/p/";
 /// Key prefix of the pages of the worker registry.
-pub const REGISTRY: &str = "cf/r/";
+pub const REGISTRY_PREFIX: &str = "cf/r/";
 /// Key prefix of the drains.
-pub const DRAINS: &str = "cf/d/";
+pub const DRAINS_PREFIX: &str = "cf/d/";
 /// Key prefix of the pages of the fencing record.
-pub const FENCING: &str = "cf/s/";
+pub const FENCING_PREFIX: &str = "cf/s/";
 
 /// The stored values of the phases that a job can end in.
 const PHASE_DONE: &str = "done";
@@ -34,32 +34,32 @@
 
 /// Returns the key of a live job.
 pub fn job_key(job: JobId) -> String {
-    format!("{JOBS}{job}")
+    format!("{JOBS_PREFIX}{job}")
 }
 
 /// Returns the key of a job's terminal state.
 pub fn terminal_key(job: JobId) -> String {
-    format!("{TERMINAL}{job}")
+    format!("{TERMINAL_PREFIX}{job}")
 }
 
 /// Returns the key of one chunk of a job's bitmap of completed tasks.
 pub fn progress_key(job: JobId, chunk: u32) -> String {
-    format!("{PROGRESS}{job}/{chunk:04}")
+    format!("{PROGRESS_PREFIX}{job}/{chunk:04}")
 }
 
 /// Returns the key of one page of the worker registry.
 pub fn registry_key(page: u32) -> String {
-    format!("{REGISTRY}{page:05}")
+    format!("{REGISTRY_PREFIX}{page:05}")
 }
 
 /// Returns the key of one page of the fencing record.
 pub fn fencing_key(page: u32) -> String {
-    format!("{FENCING}{page:05}")
+    format!("{FENCING_PREFIX}{page:05}")
 }
 
 /// Returns the key of a worker's drain.
 pub fn drain_key(worker: &str) -> String {
-    format!("{DRAINS}{worker}")
+    format!("{DRAINS_PREFIX}{worker}")
 }
 
 /// A stored record does not parse.
--- a/src/storage/recovery.rs
+++ b/src/storage/recovery.rs
@@ -10,7 +10,8 @@
 
 use super::bitmap::TaskBitmap;
 use super::records::{
-    DRAINS, DrainRecord, FENCING, JOBS, PROGRESS, REGISTRY, WorkerRecord, parse_job_record,
+    DRAINS_PREFIX, DrainRecord, FENCING_PREFIX, JOBS_PREFIX, PROGRESS_PREFIX, REGISTRY_PREFIX,
+    WorkerRecord, parse_job_record,
 };
 use super::snapshot::{
     FencedWorker, Snapshot, StoredDrain, StoredFencingPage, StoredJob, StoredProgress,
@@ -82,7 +83,7 @@
 /// Reads the fencing record. The ages are computed here, before the core reads its clock, so
 /// that a delay in between can only make them too small.
 async fn read_fencing(context: &ControllerContext) -> Result<Vec<StoredFencingPage>, StoreError> {
-    let (items, _) = context.store.list(FENCING).await?;
+    let (items, _) = context.store.list(FENCING_PREFIX).await?;
     let unix_ms = context.unix_ms();
     let error_ms = context.settings.cluster.clock_error_ms.ceil() as u64;
     let to_fenced_worker = |(name, answered_at)| FencedWorker {
@@ -91,7 +92,7 @@
     };
     let mut pages = Vec::new();
     for item in items {
-        let Some(page) = parse_page_number(&item.key, FENCING) else {
+        let Some(page) = parse_page_number(&item.key, FENCING_PREFIX) else {
             continue;
         };
         let answered_at = parse_page::<u64>(&item.key, item.value);
@@ -107,10 +108,10 @@
 /// Reads the worker registry. A page that does not parse is included without its workers, so that
 /// the core assumes that unknown workers hold task instances.
 async fn read_registry(context: &ControllerContext) -> Result<Vec<StoredRegistryPage>, StoreError> {
-    let (items, _) = context.store.list(REGISTRY).await?;
+    let (items, _) = context.store.list(REGISTRY_PREFIX).await?;
     let mut pages = Vec::new();
     for item in items {
-        let Some(page) = parse_page_number(&item.key, REGISTRY) else {
+        let Some(page) = parse_page_number(&item.key, REGISTRY_PREFIX) else {
             continue;
         };
         let workers = parse_page::<WorkerRecord>(&item.key, item.value);
@@ -124,7 +125,7 @@
 }
 
 async fn read_progress(context: &ControllerContext) -> Result<Vec<StoredProgress>, StoreError> {
-    let (items, _) = context.store.list(PROGRESS).await?;
+    let (items, _) = context.store.list(PROGRESS_PREFIX).await?;
     Ok(items.into_iter().filter_map(parse_progress).collect())
 }
 
@@ -146,19 +147,19 @@
     }
 }
 
-/// Parses the job and the chunk index from a key below [`PROGRESS`].
+/// Parses the job and the chunk index from a key below [`PROGRESS_PREFIX`].
 fn parse_progress_key(key: &str) -> Option<(JobId, u32)> {
-    let (job, chunk) = key.strip_prefix(PROGRESS)?.split_once('/')?;
+    let (job, chunk) = key.strip_prefix(PROGRESS_PREFIX)?.split_once('/')?;
     Some((JobId::parse(job)?, chunk.parse().ok()?))
 }
 
 async fn read_drains(context: &ControllerContext) -> Result<Vec<StoredDrain>, StoreError> {
-    let (items, _) = context.store.list(DRAINS).await?;
+    let (items, _) = context.store.list(DRAINS_PREFIX).await?;
     let mut drains = Vec::new();
     for item in items {
         let worker = item
             .key
-            .strip_prefix(DRAINS)
+            .strip_prefix(DRAINS_PREFIX)
             .unwrap_or_default()
             .to_string();
         let record: Option<DrainRecord> = serde_json::from_value(item.value)
@@ -176,7 +177,7 @@
 }
 
 async fn read_jobs(context: &ControllerContext) -> Result<(Vec<StoredJob>, u64), StoreError> {
-    let (items, revision) = context.store.list(JOBS).await?;
+    let (items, revision) = context.store.list(JOBS_PREFIX).await?;
     let jobs = items
         .iter()
         .filter_map(|item| {
@@ -234,7 +235,7 @@
             let watched = self
                 .context
                 .store
-                .watch(JOBS, self.revision, WATCH_BLOCK)
+                .watch(JOBS_PREFIX, self.revision, WATCH_BLOCK)
                 .await;
             match watched {
                 Ok(changes) => {
@@ -256,7 +257,7 @@
 
     /// Lists all jobs, because the watch cannot continue from the last revision.
     async fn relist_jobs(&mut self) {
-        let Ok((items, revision)) = self.context.store.list(JOBS).await else {
+        let Ok((items, revision)) = self.context.store.list(JOBS_PREFIX).await else {
             return tokio::time::sleep(WATCH_RETRY_DELAY).await;
         };
         self.revision = revision;
--- a/src/storage/snapshot.rs
+++ b/src/storage/snapshot.rs
@@ -25,7 +25,7 @@
 
 impl Snapshot {
     /// Returns the number of workers in the registry.
-    pub fn workers(&self) -> usize {
+    pub fn worker_count(&self) -> usize {
         self.registry
             .iter()
             .flat_map(|page| &page.workers)
--- a/src/storage/store/lease.rs
+++ b/src/storage/store/lease.rs
@@ -14,11 +14,11 @@
     pub async fn create_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
         self.request_limiter.acquire(1.0, Urgency::Renewal).await;
         let body = json!({"ttl_ms": ttl.as_millis() as u64}).to_string();
-        let answer = self
+        let response = self
             .call_directly(Method::POST, "/leases", body.into_bytes(), ATTEMPT_TIMEOUT)
             .await?;
-        match answer.status {
-            200 => parse::<NewLease>(&answer).map(|created| created.lease),
+        match response.status {
+            200 => parse::<NewLease>(&response).map(|created| created.lease),
             other => Err(StoreError::Refused(other)),
         }
     }
@@ -27,10 +27,10 @@
     pub async fn extend_lease(&self, lease: u64, deadline: Duration) -> Result<(), StoreError> {
         self.request_limiter.acquire(1.0, Urgency::Renewal).await;
         let path = format!("/leases/{lease}/extend");
-        let answer = self
+        let response = self
             .call_directly(Method::POST, &path, b"{}".to_vec(), deadline)
             .await?;
-        match answer.status {
+        match response.status {
             200 => Ok(()),
             404 => Err(StoreError::LeaseNotFound),
             other => Err(StoreError::Refused(other)),
--- a/src/storage/store/mod.rs
+++ b/src/storage/store/mod.rs
@@ -18,7 +18,7 @@
 use serde_json::Value;
 
 use crate::protocol::state::{Change, Conflict, Item, Revision, Transaction};
-use crate::transport::client::{Answer, Network};
+use crate::transport::client::{HttpResponse, Network};
 use crate::transport::rate_limiter::{RateLimiter, Urgency};
 
 pub use error::{StoreError, UnknownOutcome};
@@ -114,7 +114,7 @@
         may_relay: bool,
     ) -> Result<Option<Item>, StoreError> {
         let path = format!("/kv/{key}");
-        let answer = self
+        let response = self
             .call(Request {
                 method: Method::GET,
                 path: &path,
@@ -124,9 +124,9 @@
                 may_relay,
             })
             .await?;
-        match answer.status {
+        match response.status {
             404 => Ok(None),
-            200 => parse(&answer).map(Some),
+            200 => parse(&response).map(Some),
             other => Err(StoreError::Refused(other)),
         }
     }
@@ -139,7 +139,7 @@
         urgency: Urgency,
         may_relay: bool,
     ) -> Result<u64, StoreError> {
-        let answer = self
+        let response = self
             .call(Request {
                 method: Method::POST,
                 path: "/multi",
@@ -149,25 +149,25 @@
                 may_relay,
             })
             .await?;
-        match answer.status {
-            200 => parse::<Revision>(&answer).map(|r| r.revision),
-            409 => Err(StoreError::Conflict(parse::<Conflict>(&answer)?.failed)),
-            400 if contains_bytes(&answer.body, NO_SUCH_LEASE) => Err(StoreError::LeaseNotFound),
+        match response.status {
+            200 => parse::<Revision>(&response).map(|r| r.revision),
+            409 => Err(StoreError::Conflict(parse::<Conflict>(&response)?.failed)),
+            400 if contains_bytes(&response.body, NO_SUCH_LEASE) => Err(StoreError::LeaseNotFound),
             other => Err(StoreError::Refused(other)),
         }
     }
 
     /// Sends a request within the rate limits. Retries if the service asks to slow down.
-    async fn call(&self, request: Request<'_>) -> Result<Answer, StoreError> {
+    async fn call(&self, request: Request<'_>) -> Result<HttpResponse, StoreError> {
         for _ in 0..MAX_ATTEMPTS {
             self.request_limiter.acquire(1.0, request.urgency).await;
             if request.changes > 0 {
                 let changes = request.changes as f64;
                 self.write_limiter.acquire(changes, request.urgency).await;
             }
-            let answer = self.attempt(&request).await?;
-            if answer.status != TOO_MANY_REQUESTS {
-                return Ok(answer);
+            let response = self.attempt(&request).await?;
+            if response.status != TOO_MANY_REQUESTS {
+                return Ok(response);
             }
             tokio::time::sleep(TOO_MANY_REQUESTS_DELAY).await;
         }
@@ -176,7 +176,7 @@
 
     /// Makes one attempt. The request is sent directly unless direct requests have failed recently,
     /// and is relayed through a peer otherwise or if the direct attempt certainly had no effect.
-    async fn attempt(&self, request: &Request<'_>) -> Result<Answer, StoreError> {
+    async fn attempt(&self, request: &Request<'_>) -> Result<HttpResponse, StoreError> {
         let may_relay = request.may_relay && !self.peers.is_empty();
         if may_relay && self.reachability.prefers_relay() {
             return self.call_via_peers(request).await;
@@ -200,19 +200,19 @@
         path: &str,
         body: Vec<u8>,
         deadline: Duration,
-    ) -> Result<Answer, StoreError> {
+    ) -> Result<HttpResponse, StoreError> {
         let result = self
             .http
             .call(method, self.address, path, body, deadline)
             .await;
         match result {
-            Ok(answer) if answer.status < 500 => {
+            Ok(response) if response.status < 500 => {
                 self.reachability.record_answer();
-                Ok(answer)
+                Ok(response)
             }
-            Ok(answer) => {
+            Ok(response) => {
                 self.reachability.record_server_error();
-                Err(StoreError::Refused(answer.status))
+                Err(StoreError::Refused(response.status))
             }
             Err(error) => {
                 self.reachability.record_no_answer();
@@ -222,8 +222,8 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(answer: &Answer) -> Result<T, StoreError> {
-    serde_json::from_slice(&answer.body).map_err(StoreError::from_parse_error)
+fn parse<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, StoreError> {
+    serde_json::from_slice(&response.body).map_err(StoreError::from_parse_error)
 }
 
 fn contains_bytes(body: &[u8], part: &[u8]) -> bool {
--- a/src/storage/store/outcome.rs
+++ b/src/storage/store/outcome.rs
@@ -9,10 +9,10 @@
 impl Store {
     /// Reads the outcome of a job; its phase is pending for a live job. `None` if the job was never
     /// accepted. The order of the two reads matters, see [`crate::storage`].
-    pub async fn outcome(&self, job: JobId) -> Result<Option<JobOutcome>, StoreError> {
+    pub async fn job_outcome(&self, job: JobId) -> Result<Option<JobOutcome>, StoreError> {
         let urgency = Urgency::Low;
         let live = self.get(&job_key(job), urgency, true).await?;
-        let terminal = self.terminal(job, urgency).await?;
+        let terminal = self.terminal_state(job, urgency).await?;
         let pending = JobOutcome {
             phase: Phase::Pending,
             done: 0,
@@ -21,7 +21,7 @@
     }
 
     /// Reads the terminal state of a job; `None` if there is none.
-    pub async fn terminal(
+    pub async fn terminal_state(
         &self,
         job: JobId,
         urgency: Urgency,
--- a/src/storage/store/relay.rs
+++ b/src/storage/store/relay.rs
@@ -9,7 +9,7 @@
 
 use super::{ATTEMPT_TIMEOUT, Request, Store, StoreError, UnknownOutcome};
 use crate::protocol::peer::{PeerReply, PeerRequest};
-use crate::transport::client::{Answer, Network};
+use crate::transport::client::{HttpResponse, Network};
 use crate::transport::rate_limiter::Urgency;
 
 /// Time that a relayed request may take in addition to the attempt of the relaying peer.
@@ -37,9 +37,9 @@
             .call_directly(method, path, body, ATTEMPT_TIMEOUT)
             .await
         {
-            Ok(answer) => PeerReply::State {
-                status: answer.status,
-                body: answer.body.to_vec(),
+            Ok(response) => PeerReply::State {
+                status: response.status,
+                body: response.body.to_vec(),
             },
             Err(StoreError::Refused(status)) => error_reply(status),
             Err(StoreError::ConnectFailed) => error_reply(UNAVAILABLE),
@@ -50,7 +50,10 @@
 
     /// Tries to relay a request through the peers in turn, starting with the one that last
     /// succeeded.
-    pub(super) async fn call_via_peers(&self, request: &Request<'_>) -> Result<Answer, StoreError> {
+    pub(super) async fn call_via_peers(
+        &self,
+        request: &Request<'_>,
+    ) -> Result<HttpResponse, StoreError> {
         let first = self.last_relay_peer.load(Ordering::Relaxed);
         let mut error = StoreError::Refused(UNAVAILABLE);
         for offset in 0..self.peers.len() {
@@ -60,7 +63,7 @@
                     self.last_relay_peer.store(peer, Ordering::Relaxed);
                     self.reachability.record_relayed_answer();
                     let body = body.into();
-                    return Ok(Answer { status, body });
+                    return Ok(HttpResponse { status, body });
                 }
                 Some(PeerReply::State { .. }) => {}
                 // The peer may have relayed the request although its response is missing.
@@ -97,12 +100,12 @@
     deadline: Duration,
 ) -> Option<PeerReply> {
     let body = borsh::to_vec(request).ok()?;
-    let answer = http
+    let response = http
         .call(Method::POST, peer, "/peer", body, deadline)
         .await
         .ok()?;
-    if answer.status != 200 {
+    if response.status != 200 {
         return None;
     }
-    borsh::from_slice(&answer.body).ok()
+    borsh::from_slice(&response.body).ok()
 }
--- a/src/storage/store/watch.rs
+++ b/src/storage/store/watch.rs
@@ -34,7 +34,7 @@
         let since = last.map(|item| format!("&since={}", item.key));
         let since = since.unwrap_or_default();
         let path = format!("/kv?prefix={prefix}{since}&page={PAGE_ITEMS}");
-        let answer = self
+        let response = self
             .call(Request {
                 method: Method::GET,
                 path: &path,
@@ -44,8 +44,8 @@
                 may_relay: false,
             })
             .await?;
-        match answer.status {
-            200 => parse(&answer),
+        match response.status {
+            200 => parse(&response),
             other => Err(StoreError::Refused(other)),
         }
     }
@@ -64,7 +64,7 @@
         );
         // This bypasses `call_directly`, because a watch that stays open during an outage does not
         // show whether other requests are answered.
-        let answer = self
+        let response = self
             .http
             .call(
                 Method::GET,
@@ -75,8 +75,8 @@
             )
             .await
             .map_err(StoreError::from_watch_error)?;
-        match answer.status {
-            200 => parse(&answer),
+        match response.status {
+            200 => parse(&response),
             410 => Err(StoreError::WatchExpired),
             other => Err(StoreError::Refused(other)),
         }
--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -17,7 +17,7 @@
 use crate::transport::rate_limiter::Urgency;
 
 use super::records::{
-    DrainRecord, LEADER, drain_key, fencing_key, job_key, parse_terminal, progress_key,
+    DrainRecord, LEADER_KEY, drain_key, fencing_key, job_key, parse_terminal, progress_key,
     registry_key, terminal_key, terminal_record,
 };
 use super::snapshot::FencedWorker;
@@ -257,7 +257,7 @@
 ) -> Result<Vec<(Write, WriteOutcome)>, WriteError> {
     match commit(&store, token, &batch, unix_ms).await {
         Ok(revision) => return Ok(stored_outcomes(batch, revision)),
-        Err(StoreError::Conflict(failed)) if failed.iter().any(|key| key == LEADER) => {
+        Err(StoreError::Conflict(failed)) if failed.iter().any(|key| key == LEADER_KEY) => {
             return Err(WriteError::NotLeader);
         }
         Err(error) => {
@@ -282,7 +282,7 @@
     unix_ms: u64,
 ) -> Result<u64, StoreError> {
     let mut transaction = Transaction {
-        conditions: vec![Condition::at_version(LEADER, token)],
+        conditions: vec![Condition::at_version(LEADER_KEY, token)],
         changes: Vec::new(),
     };
     for write in batch {
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-pub use copperfield_http::{CallError, Reply as Answer};
+pub use copperfield_http::{CallError, Reply as HttpResponse};
 use copperfield_http::{Pool, PoolConfig};
 use hyper::Method;
 use tokio::time::{Instant, timeout};
@@ -18,7 +18,8 @@
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// The future of a call.
-pub type CallFuture<'a> = Pin<Box<dyn Future<Output = Result<Answer, CallError>> + Send + 'a>>;
+pub type CallFuture<'a> =
+    Pin<Box<dyn Future<Output = Result<HttpResponse, CallError>> + Send + 'a>>;
 
 /// The network and the wall clock of a controller. Tests replace them with a simulation.
 pub trait Network: Send + Sync {
@@ -70,7 +71,7 @@
         let path = path.to_string();
         Box::pin(async move {
             let call = self.pool.call(&method, to, &path, &body);
-            within(deadline, call).await
+            with_deadline(deadline, call).await
         })
     }
 }
@@ -84,10 +85,10 @@
 ///
 /// # Errors
 /// The call failed, or the deadline has passed.
-pub async fn within(
+pub async fn with_deadline(
     deadline: Duration,
-    call: impl Future<Output = Result<Answer, CallError>>,
-) -> Result<Answer, CallError> {
+    call: impl Future<Output = Result<HttpResponse, CallError>>,
+) -> Result<HttpResponse, CallError> {
     let started = Instant::now();
     match timeout(deadline, call).await {
         Ok(result) if result.is_err() || started.elapsed() <= deadline + TIMER_SLACK => result,
--- a/tests/api_answers.rs
+++ b/tests/api_answers.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use copperfield::api::Api;
 use copperfield::settings::{Operators, Settings, Tuning};
-use copperfield::transport::client::{Answer, CallError, CallFuture, Network};
+use copperfield::transport::client::{CallError, CallFuture, HttpResponse, Network};
 use copperfield::transport::server::{ApiRequest, ApiResponse};
 use copperfield_simulation::state_service::StateService;
 use hyper::Method;
@@ -51,7 +51,7 @@
                 let types = json!({"flavors": [{"name": "small", "cpus": 8.0, "memory_gb": 32.0,
                     "price": 1.0, "regions": ["a"]}]});
                 let body = types.to_string().into();
-                return Ok(Answer { status: 200, body });
+                return Ok(HttpResponse { status: 200, body });
             }
             if to != STATE
                 || !self.state_reachable.load(Ordering::Relaxed)
@@ -64,7 +64,7 @@
             let mut state = self.state.lock().expect("no panic while held");
             let (status, value) = state.handle(now, method.as_str(), &path, &body);
             let body = value.to_string().into();
-            Ok(Answer { status, body })
+            Ok(HttpResponse { status, body })
         })
     }
 }
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -12,7 +12,7 @@
 use copperfield::protocol::worker::{Exit, Heartbeat, TaskPhase, TaskStatus};
 use copperfield::protocol::{JobId, MAX_PEER_BODY};
 use copperfield::settings::{Settings, Tuning};
-use copperfield::transport::client::{Answer, CallFuture, Network};
+use copperfield::transport::client::{CallFuture, HttpResponse, Network};
 use copperfield::transport::server::ApiRequest;
 use copperfield_heartbeat_forwarder::HeartbeatForwarder;
 use copperfield_sharding::{ShardChange, ShardLease};
@@ -86,7 +86,7 @@
         Box::pin(async move {
             if to == CLOUD.parse().expect("an address") {
                 let body = self.cloud(&path).to_string().into();
-                return Ok(Answer { status: 200, body });
+                return Ok(HttpResponse { status: 200, body });
             }
             if to != STATE.parse().expect("an address") || path.starts_with("/watch") {
                 std::future::pending::<()>().await;
@@ -98,7 +98,7 @@
             let mut state = self.state.lock().expect("no panic while held");
             let (status, value) = state.handle(now, method.as_str(), &path, &body);
             let body = value.to_string().into();
-            Ok(Answer { status, body })
+            Ok(HttpResponse { status, body })
         })
     }
 }
--- a/tests/pinned_bytes.rs
+++ b/tests/pinned_bytes.rs
@@ -14,7 +14,7 @@
 use copperfield::storage::store::Store;
 use copperfield::storage::writer::{Write, completed, write};
 use copperfield::storage::{self, DrainRecord, FencedWorker, JobRecord, WorkerRecord};
-use copperfield::transport::client::{Answer, CallFuture, Network};
+use copperfield::transport::client::{CallFuture, HttpResponse, Network};
 use copperfield_fencing::timestamp;
 use hyper::Method;
 use serde::Serialize;
@@ -81,13 +81,13 @@
 fn keys_are_unchanged() {
     let (small, large) = (JobId(412), JobId(1_234_567));
     let actual = [
-        storage::LEADER.to_string(),
-        storage::TERM_MARKER.to_string(),
-        storage::JOBS.to_string(),
-        storage::PROGRESS.to_string(),
-        storage::REGISTRY.to_string(),
-        storage::DRAINS.to_string(),
-        storage::FENCING.to_string(),
+        storage::LEADER_KEY.to_string(),
+        storage::TERM_MARKER_KEY.to_string(),
+        storage::JOBS_PREFIX.to_string(),
+        storage::PROGRESS_PREFIX.to_string(),
+        storage::REGISTRY_PREFIX.to_string(),
+        storage::DRAINS_PREFIX.to_string(),
+        storage::FENCING_PREFIX.to_string(),
         storage::job_key(small),
         storage::job_key(large),
         storage::terminal_key(small),
@@ -226,7 +226,7 @@
         self.0.lock().expect("no panic").push(line);
         let answer = pinned("records/answer.json").into_bytes();
         Box::pin(async move {
-            Ok(Answer {
+            Ok(HttpResponse {
                 status: 200,
                 body: answer.into(),
             })
@@ -329,7 +329,7 @@
     let _ = store.create_lease(duration).await;
     let _ = store.extend_lease(6, duration).await;
     store.end_lease(6).await;
-    let _ = store.outcome(JobId(412)).await;
+    let _ = store.job_outcome(JobId(412)).await;
     check_lines("records/requests.txt", &network.0.lock().expect("no panic"));
 }
 
--- a/tests/pinned_exchange.rs
+++ b/tests/pinned_exchange.rs
@@ -11,7 +11,7 @@
 
 use copperfield::api::Api;
 use copperfield::settings::{Settings, Tuning};
-use copperfield::transport::client::{Answer, CallFuture, Network};
+use copperfield::transport::client::{CallFuture, HttpResponse, Network};
 use copperfield::transport::server::ApiRequest;
 use copperfield_simulation::state_service::StateService;
 use hyper::Method;
@@ -270,7 +270,7 @@
             if recorded {
                 cluster.requests.insert(format!("{method} {path} {text}"));
             }
-            Ok(Answer {
+            Ok(HttpResponse {
                 status,
                 body: answer.to_string().into_bytes().into(),
             })
--- a/tests/simulated_cluster/network.rs
+++ b/tests/simulated_cluster/network.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use copperfield::transport::client::{Answer, CallError, CallFuture, Network, within};
+use copperfield::transport::client::{CallError, CallFuture, HttpResponse, Network, with_deadline};
 use copperfield::transport::server::ApiRequest;
 use hyper::Method;
 use rand::Rng;
@@ -117,7 +117,7 @@
             }
             // Detached: what was sent arrives, be it minutes after the sender gave up.
             let relayed = tokio::spawn(sent);
-            let result = within(deadline, async {
+            let result = with_deadline(deadline, async {
                 let lost = |_| Err(CallError::Unknown("lost".into()));
                 let result = relayed.await.unwrap_or_else(lost);
                 thaw(&self.world, &self.me).await;
@@ -232,14 +232,14 @@
     method: Method,
     path: String,
     body: Vec<u8>,
-) -> Result<Answer, CallError> {
+) -> Result<HttpResponse, CallError> {
     let number = world
         .lock()
         .unwrap()
         .record_message(format_args!("{from} -> {to}:{port} {method} {path}"), &body);
     pass(&world, &from, &to).await;
     let multi = path == "/multi";
-    let answer = |(status, value): (u16, Value)| Answer {
+    let answer = |(status, value): (u16, Value)| HttpResponse {
         status,
         body: value.to_string().into(),
     };
@@ -315,7 +315,7 @@
         if !alive.load(Ordering::Relaxed) {
             return Err(CallError::Unknown("reset".into()));
         }
-        Answer {
+        HttpResponse {
             status: out.status,
             body: out.body.into(),
         }
