--- a/crates/heartbeat-forwarder/src/status.rs
+++ b/crates/heartbeat-forwarder/src/status.rs
@@ -1,8 +1,8 @@
 //! Decides when a status is sent to the leader, how much it contains, and what is sent again after
 //! a loss.
 
-use copperfield_protocol::MAX_PEER_BODY;
-use copperfield_protocol::peer::Outcome;
+use copperfield_protocol::MAX_PEER_BODY_BYTES;
+use copperfield_protocol::peer::CommandOutcome;
 use copperfield_protocol::worker::Heartbeat;
 
 /// A status is sent to the leader at this interval even without new content.
@@ -15,13 +15,13 @@
 /// Maximum number of statuses in flight. The oldest status beyond that counts as lost.
 pub(crate) const MAX_IN_FLIGHT: usize = 4;
 /// Maximum estimated size of a status, well below the limit for a body between controllers.
-const MAX_STATUS_BYTES: usize = MAX_PEER_BODY as usize / 2;
+const MAX_STATUS_BYTES: usize = MAX_PEER_BODY_BYTES as usize / 2;
 const BYTES_PER_HEARTBEAT: usize = 128;
 const BYTES_PER_TASK: usize = 24;
 const BYTES_PER_OUTCOME: usize = 16;
 
 /// The leader's number for a relayed message, and its outcome.
-type MessageOutcome = (u64, Outcome);
+type MessageOutcome = (u64, CommandOutcome);
 
 /// The space that is left in a status. Sizes are estimates.
 pub(crate) struct StatusBudget {
@@ -53,9 +53,9 @@
         self.reserve(heartbeat_bytes(heartbeat))
     }
 
-    fn reserve_outcome(&mut self, outcome: &Outcome) -> bool {
+    fn reserve_outcome(&mut self, outcome: &CommandOutcome) -> bool {
         self.reserve(match outcome {
-            Outcome::Executed(heartbeat) | Outcome::Rejected(Some(heartbeat)) => {
+            CommandOutcome::Executed(heartbeat) | CommandOutcome::Rejected(Some(heartbeat)) => {
                 heartbeat_bytes(heartbeat)
             }
             _ => BYTES_PER_OUTCOME,
@@ -93,7 +93,7 @@
         self.is_expedited = true;
     }
 
-    pub(crate) fn push_outcome(&mut self, message_id: u64, outcome: Outcome) {
+    pub(crate) fn push_outcome(&mut self, message_id: u64, outcome: CommandOutcome) {
         self.outcomes.push((message_id, outcome));
         self.is_expedited = true;
     }
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -36,7 +36,7 @@
 const BATCH_SIZE: usize = 128;
 const TICK_PERIOD: Duration = Duration::from_millis(50);
 /// The maximum number of heartbeats that wait while a new leader reads the stored state: one for
-/// each worker of a site with 6,000 workers. The meter for requests in progress bounds the memory
+/// each worker of a site with 6,000 workers. The memory budget for requests in progress bounds the memory
 /// that they hold.
 const MAX_PENDING_HEARTBEATS: usize = 6144;
 /// After a process pause longer than this, the requests in the sockets may be stale. Users wait at
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,13 +7,13 @@
 
 use clap::{Parser, Subcommand};
 use copperfield::api::Api;
-use copperfield::protocol::{MAX_BODY, MAX_PEER_BODY};
+use copperfield::protocol::{MAX_BODY_BYTES, MAX_PEER_BODY_BYTES};
 use copperfield::settings::{
     LeaderTtlTooLong, Limits, Log, LogFormat, Settings, SettingsError, Tuning, default_tuning_path,
 };
 use copperfield::transport::client::HttpClient;
 use copperfield::transport::server::{bind, serve};
-use copperfield_http::Meter;
+use copperfield_http::MemoryBudget;
 use thiserror::Error;
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::filter::Targets;
@@ -220,7 +220,7 @@
     // The remaining sockets are for the controller's own requests, most of which go to workers.
     let max_public_connections = limits.max_sockets * 6 / 10;
     let max_peer_connections = limits.max_sockets / 20;
-    let meter = Meter::new(connection_memory_bytes(limits));
+    let memory_budget = MemoryBudget::new(connection_memory_bytes(limits));
     // The addresses are bound first, so that this process does nothing while an earlier process of
     // the same member still runs. After binding, it may remove a leader key of the earlier process.
     let public_listener = bind(settings.public_addr).await?;
@@ -231,15 +231,15 @@
     let public_server = serve(
         public_listener,
         max_public_connections,
-        MAX_BODY,
-        meter.clone(),
+        MAX_BODY_BYTES,
+        memory_budget.clone(),
         move |request| public_api.clone().public(request),
     );
     let peer_server = serve(
         peer_listener,
         max_peer_connections,
-        MAX_PEER_BODY,
-        meter,
+        MAX_PEER_BODY_BYTES,
+        memory_budget,
         move |request| api.clone().peer(request),
     );
     // The process cannot continue without any one of these.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -109,7 +109,7 @@
 
 /// Returns the value stored for a job that has ended.
 pub fn terminal_record(outcome: JobOutcome) -> Value {
-    json!({"phase": outcome.phase.spelling(), "done": outcome.done})
+    json!({"phase": outcome.phase.as_str(), "done": outcome.done})
 }
 
 /// Parses a value written by [`terminal_record`]. Records of earlier versions do not contain the
--- a/src/storage/store/relay.rs
+++ b/src/storage/store/relay.rs
@@ -25,7 +25,7 @@
     /// loops.
     pub async fn relay(&self, method: &str, path: &str, body: Vec<u8>) -> PeerReply {
         let Ok(method) = Method::from_bytes(method.as_bytes()) else {
-            return PeerReply::Unable;
+            return PeerReply::Unavailable;
         };
         self.request_limiter.acquire(1.0, Urgency::Normal).await;
         if method == Method::POST {
@@ -44,7 +44,7 @@
             Err(StoreError::Refused(status)) => error_reply(status),
             Err(StoreError::ConnectFailed) => error_reply(UNAVAILABLE),
             // The peer treats every reply other than `State` as an unknown outcome.
-            Err(_) => PeerReply::Unable,
+            Err(_) => PeerReply::Unavailable,
         }
     }
 
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperfield_http::{ClientClass, Meter, ServerConfig};
+use copperfield_http::{ClientClass, MemoryBudget, ServerConfig};
 use http_body_util::BodyExt;
 use serde_json::json;
 use tokio::net::TcpListener;
@@ -104,7 +104,7 @@
 /// Serves `handler` on a bound listener until the process ends, with at most `max_connections`
 /// connections. Further connections wait in the system's accept queue, and a load balancer soon
 /// sends such clients to another controller. Without the limit, stalled clients used up the sockets
-/// that the leader needs for its own calls. `meter` limits the total memory of the requests in
+/// that the leader needs for its own calls. `memory_budget` limits the total memory of the requests in
 /// flight.
 ///
 /// # Errors
@@ -113,7 +113,7 @@
     listener: TcpListener,
     max_connections: usize,
     max_body: u64,
-    meter: Meter,
+    memory_budget: MemoryBudget,
     handler: H,
 ) -> std::io::Result<()>
 where
@@ -127,7 +127,7 @@
         request_timeout: REQUEST_TIMEOUT,
         max_body,
         reserved_fraction: RESERVED_FRACTION,
-        meter,
+        memory_budget,
         client_class,
         error_response,
     };
