--- a/tests/compound_failures_random.rs
+++ b/tests/compound_failures_random.rs
@@ -78,7 +78,7 @@
     faults
 }
 
-/// CPUs that the team may use in every third run.
+/// CPUs that the team may use at once in every third run.
 const LIMIT: f64 = 20.0;
 
 /// Runs a simulation. Returns the violated rules and the terminal phase that the user of each job
--- a/tests/simulated_cluster/faults.rs
+++ b/tests/simulated_cluster/faults.rs
@@ -13,8 +13,9 @@
     start_controller,
 };
 
-/// A fault that a test injects. All durations are in seconds. Controllers are given by index;
-/// worker `i` is the one named `vm-{i:06}`, numbered from 1.
+/// A fault that a test injects. The last `f64` of a variant is how long the fault lasts in seconds,
+/// unless the variant says otherwise. Controllers are given by index; worker `i` is the one named
+/// `vm-{i:06}`, and their numbers begin at 1.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     /// A controller crashes and restarts 3 s later.
@@ -23,11 +24,12 @@
     CrashAll,
     /// All controllers crash together and restart after the given time.
     RestartAll(f64),
-    /// The leader crashes the given number of times, each time as soon as a running controller
-    /// leads, and restarts after the given time.
+    /// The leader crashes and restarts after the given time. This happens the given number of times,
+    /// each time as soon as a running controller is the leader.
     RestartLeaders(u32, f64),
     /// The sender of the n-th message to the state service from now on, counted from 0 and without
-    /// watches, crashes: if `true`, after the message was carried out, otherwise before it is sent.
+    /// watches, crashes. If `true`, it crashes after the message was carried out, otherwise before
+    /// the message is sent.
     CrashAtStateMessage(u32, bool),
     /// A controller pauses for the given time while its clock runs.
     PauseController(usize, f64),
@@ -58,10 +60,10 @@
     DropMessagesToWorker(usize, f64),
     /// A controller is partitioned from the named endpoint, or from everything if it is "*".
     PartitionController(usize, &'static str, f64),
-    /// Each worker switches to another controller for its heartbeats, the given number of times at
-    /// the given interval.
+    /// Each worker sends its heartbeats to another controller. This happens the given number of times
+    /// at the given interval.
     SwitchHeartbeatTargets(u32, f64),
-    /// The n-th message between controllers from now on, counted from 0, is lost: if `true`, it
+    /// The n-th message between controllers from now on, counted from 0, is lost. If `true`, it
     /// arrives and only its answer is lost.
     LosePeerMessage(u32, bool),
     /// A worker is partitioned from everything.
@@ -81,12 +83,12 @@
     RequestBursts(f64),
     /// Users submit accepted jobs again, cancel completed jobs and submit invalid jobs.
     RedundantAndInvalidRequests(f64),
-    /// The given share of jobs is cancelled as soon as the last task completes.
+    /// The given share of jobs is cancelled as soon as their last task completes.
     CancelOnCompletion(f64, f64),
     /// The given number of running jobs is cancelled at once, and one worker of each hangs for the
     /// given time.
     CancelRunningJobs(usize, f64),
-    /// New workers are up half a second after they were provisioned.
+    /// New workers boot within half a second after they were provisioned.
     FastWorkerBoot(f64),
 }
 
--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -271,9 +271,10 @@
     }
 }
 
-/// A controller that restarted a moment ago may have voted to extend a lease just before, so it
+/// A controller that has just restarted may have voted to extend a lease before the restart, so it
 /// must assume that unresponsive workers were answered since. Guards against its election while
-/// another controller remembers all of it: the leases of 396 workers then started anew.
+/// another controller still knows which votes it granted. Such an election once restarted the leases
+/// of 396 workers.
 #[test]
 fn a_restarted_controller_lets_others_lead_while_workers_are_unresponsive() {
     for seed in 100..106 {
@@ -412,9 +413,9 @@
     site.jobs.get_mut("wk-000002").unwrap().last_answer_at = 70.0;
     site.check_jobs_answered(75.0);
     let unanswered_violations = site.violations.split_off(4);
-    let forgotten = |id: &str| format!("80.0 lost_job: {id}, unanswered for 75 s");
+    let lost_job = |id: &str| format!("80.0 lost_job: {id}, unanswered for 75 s");
     let unanswered = ["wk-000001", "wk-000003", "wk-000004", "wk-000005"];
-    assert_eq!(unanswered_violations, unanswered.map(forgotten));
+    assert_eq!(unanswered_violations, unanswered.map(lost_job));
     // The lease of `d` is renewed while a task of the cancelled job is on it.
     site.check_lease_renewal(&d);
     let renewed = site.violations.pop().expect("a violation");
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -122,10 +122,9 @@
                     format!("to {worker}: {}", String::from_utf8_lossy(&body))
                 }
                 Effect::RequestHeartbeat { worker, .. } => format!("ask {worker}"),
-                Effect::RedirectWorker {
-                    ticket,
-                    controller: node,
-                } => format!("report {ticket}: to node {node}"),
+                Effect::RedirectWorker { ticket, controller } => {
+                    format!("report {ticket}: to node {controller}")
+                }
                 Effect::AnswerShardStatus { ticket, update } => {
                     format!("holder {ticket}: {update:?}")
                 }
--- a/tests/wire_fingerprint.rs
+++ b/tests/wire_fingerprint.rs
@@ -67,9 +67,9 @@
 ];
 const RUNTIME_COUNT: usize = 18;
 
-/// The seed of a runtime also depends on the thread that creates it and on how many were created in
-/// this process before. Therefore one separate thread creates all of them, in order, before any is
-/// used.
+/// The runtimes in the order of [`RUNTIME_NAMES`]. Besides [`getrandom`], the seed of a runtime
+/// depends on the thread that creates it and on how many were created in this process before.
+/// Therefore one separate thread creates all of them, in order, before any is used.
 static RUNTIMES: LazyLock<Mutex<Vec<Option<Runtime>>>> = LazyLock::new(|| {
     let paused_runtime = || {
         let mut builder = Builder::new_current_thread();
@@ -202,7 +202,7 @@
     async fn run_recorded(&self, recording: Arc<Mutex<WireRecording>>) {
         let cluster = start_tuned_cluster(self.seed, self.loss, self.limit, self.tune);
         cluster.lock().unwrap().recorder = Some(Box::new(move |line| {
-            recording.lock().unwrap().record(&line)
+            recording.lock().unwrap().record(&line);
         }));
         for (i, (at, runtime_s, shape, tasks, extra)) in self.jobs.iter().enumerate() {
             let number = FIRST_ID + i * ID_STEP;
