--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,37 +1,38 @@
-//! The cloud's machine types, its list of workers, and requests to scale out and in.
+//! The cloud's machine types, its list of workers, and the bodies of scale-out and scale-in
+//! requests.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 
 use crate::job::Resources;
 
-/// Time to fetch images is never estimated with a rate below this.
+/// The lowest rate with which the time to fetch an image is estimated.
 const MIN_FETCH_GB_PER_S: f64 = 0.001;
-/// Assumed where the cloud states no rate.
+/// The fetch rate of a machine type for which the cloud states none.
 const DEFAULT_FETCH_GB_PER_S: f64 = 0.25;
-/// Prices are compared by ratio, so none is 0.
+/// The lowest price of a machine type. Prices are compared by their ratio, so none may be 0.
 const MIN_PRICE: f64 = 1e-6;
-/// Assumed where the cloud does not state how long a worker takes to boot.
+/// The boot time of a machine type for which the cloud states none.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
 /// A machine type that the cloud offers.
 #[derive(Debug, Clone)]
 pub struct MachineType {
-    /// The cloud's name for it.
+    /// The cloud's name for the machine type.
     pub name: String,
-    /// The resources of a worker on which nothing runs.
+    /// The resources of a worker that runs no tasks.
     pub capacity: Resources,
-    /// Room for images in GB.
+    /// The size of the image cache in GB.
     pub cache_gb: f64,
-    /// How fast images are fetched, in GB per second.
+    /// The rate at which images are fetched, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Price of running one, in the cloud's currency.
+    /// The price of an on-demand worker, in the cloud's currency.
     pub price: f64,
-    /// Price of running one as a spot worker, in the cloud's currency.
+    /// The price of a spot worker, in the cloud's currency.
     pub spot_price: f64,
-    /// From a scale-out request to the first heartbeat, in seconds.
+    /// The time from a scale-out request to the first heartbeat, in seconds.
     pub boot_s: f64,
-    /// The zones it is offered in.
+    /// The zones in which the machine type is offered.
     pub zones: Vec<String>,
 }
 
@@ -77,10 +78,10 @@
     }
 }
 
-/// Reads the cloud's machine types.
+/// Parses the cloud's machine types.
 ///
 /// # Errors
-/// Not the JSON that is expected.
+/// Returns an error if the body is not the expected JSON.
 pub fn parse_machine_types(body: &[u8]) -> Result<Vec<MachineType>, serde_json::Error> {
     let wire: WireMachineTypes = serde_json::from_slice(body)?;
     Ok(wire.machine_types.into_iter().map(Into::into).collect())
@@ -92,21 +93,21 @@
     /// The worker's name.
     #[serde(rename = "uid")]
     pub name: String,
-    /// IP address and port; empty until the worker has one.
+    /// IP address and port. Empty until the cloud has assigned them.
     #[serde(default)]
     pub address: String,
     /// The name of its machine type.
     #[serde(rename = "flavor")]
     pub machine_type: String,
-    /// The zone it is in.
+    /// The zone in which the worker runs.
     #[serde(rename = "region")]
     pub zone: String,
-    /// Whether the cloud may reclaim it.
+    /// Whether it is a spot worker, which the cloud may reclaim.
     #[serde(rename = "preemptibles", default)]
     pub spot: bool,
     /// The cloud's name of the worker's state.
     pub phase: String,
-    /// Seconds since it was provisioned.
+    /// Time since the worker was provisioned, in seconds.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
@@ -114,7 +115,7 @@
 /// One page of the cloud's list of workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerPage {
-    /// In the order of their names.
+    /// The workers, ordered by name.
     #[serde(rename = "hosts")]
     pub workers: Vec<ListedWorker>,
     /// Whether another page follows.
@@ -122,24 +123,25 @@
     pub more: bool,
 }
 
-/// Reads a page of the cloud's list of workers.
+/// Parses a page of the cloud's list of workers.
 ///
 /// # Errors
-/// Not the JSON that is expected.
-pub fn parse_list(body: &[u8]) -> Result<WorkerPage, serde_json::Error> {
+/// Returns an error if the body is not the expected JSON.
+pub fn parse_worker_page(body: &[u8]) -> Result<WorkerPage, serde_json::Error> {
     serde_json::from_slice(body)
 }
 
-/// The request for `count` more workers. The cloud executes it once for each name of a `request`.
+/// Returns the body of a request for `count` more workers. The cloud executes requests with
+/// the same `request_name` only once.
 pub fn scale_out_body(
-    request: &str,
+    request_name: &str,
     machine_type: &str,
     zone: &str,
     spot: bool,
     count: u32,
 ) -> Value {
     json!({
-        "rental": request,
+        "rental": request_name,
         "flavor": machine_type,
         "region": zone,
         "preemptibles": spot,
@@ -147,20 +149,20 @@
     })
 }
 
-/// Reads the names of the workers that the cloud provides for a scale-out request.
+/// Parses the answer to a scale-out request: the names of the workers that the cloud provides.
 ///
 /// # Errors
-/// Not the JSON that is expected.
+/// Returns an error if the body is not the expected JSON.
 pub fn parse_scale_out(body: &[u8]) -> Result<Vec<String>, serde_json::Error> {
     #[derive(Deserialize)]
-    struct ScaledOut {
+    struct WireScaleOut {
         #[serde(rename = "hosts")]
         workers: Vec<String>,
     }
-    Ok(serde_json::from_slice::<ScaledOut>(body)?.workers)
+    Ok(serde_json::from_slice::<WireScaleOut>(body)?.workers)
 }
 
-/// The request to return these workers to the cloud.
+/// Returns the body of a request that returns these workers to the cloud.
 pub fn scale_in_body(workers: &[String]) -> Value {
     json!({ "hosts": workers })
 }
--- a/crates/protocol/src/id.rs
+++ b/crates/protocol/src/id.rs
@@ -1,24 +1,24 @@
-//! Identifiers of jobs and of their tasks.
+//! Identifiers of jobs and tasks.
 
 use std::fmt;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 const PREFIX: &str = "wk-";
-/// Shorter numbers are padded with zeros.
+/// Numbers with fewer digits are padded with zeros.
 const MIN_DIGITS: usize = 6;
-/// Every number of so many digits fits an `u64`.
+/// Every number with this many digits fits in a `u64`.
 const MAX_DIGITS: usize = 19;
 
-/// Identifies a job. On the wire it is `wk-` and at least six digits; inside, the number.
+/// Identifies a job. Its text form is `wk-` followed by a number of at least six digits.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, BorshSerialize, BorshDeserialize,
 )]
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Reads the canonical spelling. Any other is refused, so that one job has one key in the
-    /// state service.
+    /// Parses the canonical text form. Any other form is rejected, so that each job has exactly one
+    /// key in the state service.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(PREFIX)?;
         let length = MIN_DIGITS..=MAX_DIGITS;
@@ -36,7 +36,7 @@
     }
 }
 
-/// Splits the identifier of a task, such as `wk-000412/3`, into its job and its number in the job.
+/// Parses the identifier of a task, such as `wk-000412/3`, into the job and the task's index in it.
 pub fn parse_task(text: &str) -> Option<(JobId, u32)> {
     let (job, task) = text.split_once('/')?;
     Some((JobId::parse(job)?, task.parse().ok()?))
--- a/crates/protocol/src/job/fields.rs
+++ b/crates/protocol/src/job/fields.rs
@@ -1,20 +1,21 @@
-//! Reading the fields of a job's JSON description, each with what it allows.
+//! Reads and validates the fields of a job's JSON description.
 
 use std::cell::RefCell;
 
 use serde_json::{Map, Value};
 
-/// Longest name in bytes: a longer one is a mistake, and would not fit the stored record.
+/// The maximum length of a name in bytes. A longer name is a mistake, and it would not fit in the
+/// stored record.
 const MAX_NAME_BYTES: usize = 200;
-/// Most entries of a list of names.
+/// The maximum number of entries in a list of names.
 const MAX_LIST_NAMES: usize = 32;
-/// Characters of a found value that an error repeats at most.
+/// The maximum number of characters of an invalid value that an error quotes.
 const MAX_QUOTED_CHARS: usize = 60;
 
 const FLAG: &str = "true or false";
 const NUMBER: &str = "a number from 0";
 
-/// A field of a job's description that is missing or has a value that is not allowed.
+/// A field of a job's description is missing or has an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: found {found}, allowed is {allowed}")]
 pub struct InvalidField {
@@ -27,19 +28,19 @@
     pub(super) fn new(field: &'static str, found: Option<&Value>, allowed: &str) -> Self {
         Self {
             field,
-            found: found.map_or_else(|| "nothing".to_string(), quoted),
+            found: found.map_or_else(|| "nothing".to_string(), quote),
             allowed: allowed.to_string(),
         }
     }
 
-    /// The name of the field, as the wire spells it.
+    /// The name of the field on the wire.
     pub fn field(&self) -> &'static str {
         self.field
     }
 }
 
-/// The value as JSON, cut to what an error repeats.
-fn quoted(value: &Value) -> String {
+/// Returns the value as JSON, truncated to [`MAX_QUOTED_CHARS`].
+fn quote(value: &Value) -> String {
     let mut text = value.to_string();
     if let Some((end, _)) = text.char_indices().nth(MAX_QUOTED_CHARS) {
         text.truncate(end);
@@ -48,19 +49,19 @@
     text
 }
 
-/// The fields of a description. A `null` counts as omitted.
+/// The fields of a job's description. A `null` counts as omitted.
 ///
-/// Fields read with a `*_or_*` method may be omitted in a stored record, which an earlier version
-/// may have written, but not in a submission: the first of them that is missing is kept for
-/// [`Fields::first_omitted`].
+/// The `*_or_*` methods read fields that are required in a submission but may be missing in a stored
+/// record, because an earlier version may have written it. They return a default for a missing
+/// field, and [`Fields::first_omitted`] returns the error for the first one.
 pub(super) struct Fields<'a> {
     map: &'a Map<String, Value>,
     first_omitted: RefCell<Option<InvalidField>>,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a JSON object; anything else is no description.
-    pub(super) fn of(value: &'a Value) -> Result<Self, InvalidField> {
+    /// Returns the fields of a JSON object, or an error if the value is not an object.
+    pub(super) fn new(value: &'a Value) -> Result<Self, InvalidField> {
         let map = value
             .as_object()
             .ok_or_else(|| InvalidField::new("description", Some(value), "a JSON object"))?;
@@ -70,7 +71,7 @@
         })
     }
 
-    /// The first field read so far that a submission must have and that is missing here.
+    /// Returns the error for the first field read that is missing but required in a submission.
     pub(super) fn first_omitted(self) -> Option<InvalidField> {
         self.first_omitted.into_inner()
     }
@@ -88,7 +89,7 @@
         first.get_or_insert_with(|| self.invalid(name, allowed));
     }
 
-    /// A required name.
+    /// Reads a required name.
     pub(super) fn name(&self, name: &'static str) -> Result<String, InvalidField> {
         let text = self.get(name).and_then(Value::as_str);
         text.filter(|s| !s.is_empty() && s.len() <= MAX_NAME_BYTES)
@@ -126,7 +127,7 @@
         list.iter().map(entry).collect::<Result<_, _>>().map(Some)
     }
 
-    /// An integer of the range.
+    /// Reads a required integer in the range.
     pub(super) fn count(
         &self,
         name: &'static str,
@@ -142,7 +143,7 @@
             })
     }
 
-    /// A flag that stored records may lack.
+    /// Reads a flag that may be missing in a stored record, where it defaults to `false`.
     pub(super) fn flag_or_false(&self, name: &'static str) -> Result<bool, InvalidField> {
         let flag = self.optional_flag(name)?;
         if flag.is_none() {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// A number that stored records may lack.
+    /// Reads a number that may be missing in a stored record, where it defaults to 0.
     pub(super) fn number_or_zero(&self, name: &'static str, max: f64) -> Result<f64, InvalidField> {
         let number = self.optional_number(name, max)?;
         if number.is_none() {
@@ -179,7 +180,7 @@
         }
     }
 
-    /// A required number.
+    /// Reads a required number from 0 to `max`.
     pub(super) fn number(&self, name: &'static str, max: f64) -> Result<f64, InvalidField> {
         let number = self.get(name).and_then(Value::as_f64);
         number
--- a/crates/protocol/src/job/mod.rs
+++ b/crates/protocol/src/job/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs as users submit them and as the state service keeps them.
+//! Jobs as users submit them and as they are stored in the state service.
 
 mod fields;
 mod resources;
@@ -15,14 +15,14 @@
 pub enum Kind {
     /// Independent tasks.
     Array,
-    /// Tasks that run only together.
+    /// Tasks that must run at the same time.
     Gang,
     /// Tasks that run until the job is cancelled.
     Service,
 }
 
 impl Kind {
-    /// The value of a submission's `shape`.
+    /// Returns the value of `shape` in a submission.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Array => "sweep",
@@ -37,21 +37,22 @@
     }
 }
 
-/// Who goes first where not all fit; a later variant goes before an earlier one.
+/// The order in which jobs get resources if there are not enough for all. Later variants come
+/// first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
     /// Best effort.
     Low,
-    /// What most jobs have.
+    /// The usual priority.
     Normal,
     /// Urgent work.
     High,
-    /// What users of the site depend on.
+    /// Work on which the users of the site depend.
     Production,
 }
 
 impl Priority {
-    /// The value of a submission's `rank`.
+    /// Returns the value of `rank` in a submission.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Low => "best_effort",
@@ -70,23 +71,23 @@
 /// The state of a job, as users see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Phase {
-    /// Accepted; none of its tasks runs.
+    /// The job was accepted, and none of its tasks runs.
     Pending,
     /// At least one of its tasks runs.
     Running,
     /// All of its tasks are completed.
     Done,
-    /// Its user has ended it.
+    /// A user has cancelled the job.
     Cancelled,
 }
 
 impl Phase {
-    /// Whether a job in this phase stays in it for ever.
+    /// Whether the phase is final.
     pub fn is_terminal(self) -> bool {
         matches!(self, Self::Done | Self::Cancelled)
     }
 
-    /// The value of `phase` in answers and in stored records.
+    /// Returns the value of `phase` in answers to users and in stored records.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Pending => "pending",
@@ -97,11 +98,12 @@
     }
 }
 
-/// The phase of a job and how many of its tasks were completed by then.
+/// The phase of a job and the number of its completed tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct JobOutcome {
-    /// Terminal, except for a job that was just read from the state service.
+    /// A terminal phase, except for a job that was just read from the state service.
     pub phase: Phase,
-    /// Tasks that are known to be completed; 0 of a job that was cancelled while nobody led.
+    /// The number of tasks known to be completed. 0 for a job that was cancelled while there was no
+    /// leader.
     pub done: u32,
 }
--- a/crates/protocol/src/job/resources.rs
+++ b/crates/protocol/src/job/resources.rs
@@ -1,9 +1,10 @@
-//! Amounts of the resources that tasks need and workers have.
+//! Amounts of the resources that tasks need and that workers have.
 
-/// Units of a resource in one of its whole: amounts are kept in thousandths.
+/// Amounts are stored in thousandths of a CPU, a GPU or a GB.
 const UNITS_PER_WHOLE: f64 = 1000.0;
 
-/// Amounts of resources in integral thousandths, so that adding and subtracting never drifts.
+/// Amounts of resources in integer thousandths, so that additions and subtractions cause no rounding
+/// errors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -15,7 +16,7 @@
 }
 
 impl Resources {
-    /// Amounts in whole CPUs, whole GPUs and GB, rounded to thousandths.
+    /// Creates amounts from CPUs, GPUs and GB of memory, rounded to thousandths.
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Self {
         let units = |whole: f64| (whole * UNITS_PER_WHOLE).round() as i64;
         Self {
@@ -25,44 +26,53 @@
         }
     }
 
-    /// Whether `room` has at least as much of each resource.
-    pub fn fits_in(&self, room: &Self) -> bool {
-        self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
+    /// Whether `available` has at least as much of each resource.
+    pub fn fits_in(&self, available: &Self) -> bool {
+        self.cpus <= available.cpus
+            && self.gpus <= available.gpus
+            && self.memory <= available.memory
     }
 
-    /// Adds each of `other`'s amounts.
+    /// Adds the amounts of `other`.
     pub fn add(&mut self, other: &Self) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory += other.memory;
     }
 
-    /// Subtracts each of `other`'s amounts.
+    /// Subtracts the amounts of `other`.
     pub fn sub(&mut self, other: &Self) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory -= other.memory;
     }
 
-    /// The largest share, of any resource, that `self` takes of `whole`.
-    pub fn dominant_share_of(&self, whole: &Self) -> f64 {
-        let share = |a: i64, b: i64| if b > 0 { a as f64 / b as f64 } else { 0.0 };
-        share(self.cpus, whole.cpus)
-            .max(share(self.gpus, whole.gpus))
-            .max(share(self.memory, whole.memory))
+    /// Returns the dominant share: the largest share of any one resource that these amounts take of
+    /// `capacity`.
+    pub fn dominant_share_of(&self, capacity: &Self) -> f64 {
+        let share = |amount: i64, total: i64| {
+            if total > 0 {
+                amount as f64 / total as f64
+            } else {
+                0.0
+            }
+        };
+        share(self.cpus, capacity.cpus)
+            .max(share(self.gpus, capacity.gpus))
+            .max(share(self.memory, capacity.memory))
     }
 
-    /// Whole CPUs.
+    /// The number of CPUs.
     pub fn whole_cpus(&self) -> f64 {
         self.cpus as f64 / UNITS_PER_WHOLE
     }
 
-    /// Whole GPUs.
+    /// The number of GPUs.
     pub fn whole_gpus(&self) -> f64 {
         self.gpus as f64 / UNITS_PER_WHOLE
     }
 
-    /// Memory in GB.
+    /// The amount of memory in GB.
     pub fn memory_gb(&self) -> f64 {
         self.memory as f64 / UNITS_PER_WHOLE
     }
--- a/crates/protocol/src/job/spec.rs
+++ b/crates/protocol/src/job/spec.rs
@@ -1,4 +1,4 @@
-//! The description of a job, on the wire and in the state service.
+//! The description of a job, which has the same form on the wire and in the state service.
 
 use serde_json::{Value, json};
 
@@ -6,71 +6,71 @@
 use super::{Kind, Priority, Resources};
 use crate::JobId;
 
-/// Most tasks that a job may have.
+/// The maximum number of tasks of a job.
 const MAX_TASKS: u32 = 100_000;
-/// Largest amount of a resource, and largest image in GB.
+/// The maximum amount of a resource, and the maximum size of an image in GB.
 const MAX_AMOUNT: f64 = 1e6;
-/// Longest duration in seconds, some three years.
+/// The maximum duration in seconds, about three years.
 const MAX_DURATION_S: f64 = 1e8;
 
-/// What a user wants to be run.
+/// The description of a job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobSpec {
-    /// Chosen by the user; a second submission under it is the same job.
+    /// Chosen by the user. A second submission with the same identifier is the same job.
     pub id: JobId,
-    /// The name of the job's class, to which the settings may refer.
+    /// The name of the job's class. Settings may refer to it.
     pub class: String,
     /// The team whose quota and limits apply.
     pub team: String,
-    /// How its tasks relate to each other.
+    /// How the tasks relate to each other.
     pub kind: Kind,
-    /// Which jobs it goes before.
+    /// The priority over other jobs.
     pub priority: Priority,
-    /// How many tasks the job has, at least 1.
+    /// The number of tasks, at least 1.
     pub tasks: u32,
-    /// What each of its tasks needs.
+    /// The resources that each task needs.
     pub needs: Resources,
-    /// The image that a worker has to have fetched before it starts a task.
+    /// The image that a worker must fetch before it starts a task.
     pub image: String,
     /// The size of the image in GB.
     pub image_gb: f64,
-    /// The machine types its tasks may run on; `None`: any.
+    /// The machine types on which the tasks may run. `None` allows any.
     pub machine_types: Option<Vec<String>>,
-    /// The zone its tasks must run in; `None`: any.
+    /// The zone in which the tasks must run. `None` allows any.
     pub zone: Option<String>,
-    /// All tasks must run in one zone.
+    /// Whether all tasks must run in the same zone.
     pub one_zone: bool,
-    /// No zone may run more than half of the tasks, rounded up.
+    /// Whether each zone may run at most half of the tasks, rounded up.
     pub spread: bool,
-    /// The tasks may run on spot workers.
+    /// Whether the tasks may run on spot workers.
     pub spot: bool,
-    /// How long a task is estimated to run, in seconds.
+    /// The estimated running time of a task in seconds.
     pub estimated_runtime_s: f64,
-    /// Time between a task's checkpoints in seconds; 0: it makes none.
+    /// The time between two checkpoints of a task in seconds. 0 if tasks save no checkpoints.
     pub checkpoint_interval_s: f64,
-    /// How long a task takes to save a checkpoint, in seconds.
+    /// The time that a task takes to save a checkpoint, in seconds.
     pub checkpoint_save_s: f64,
-    /// When the job should be done, in seconds from its submission.
+    /// The time within which the job should be done, in seconds from its submission.
     pub deadline_s: Option<f64>,
-    /// Whether its tasks may be migrated while they run. An addition of ours (`movable`) that other
-    /// receivers ignore; `None`: as its class says.
+    /// `Some(false)` forbids migrating running tasks. Otherwise the settings of the job's class
+    /// decide. The field is an extension of the job format, which other receivers ignore.
     pub movable: Option<bool>,
 }
 
-/// A description that was read, and what it would lack as a submission.
+/// A parsed description, and the error for the first field that it lacks as a submission.
 struct ParsedSpec {
     spec: JobSpec,
     first_omitted: Option<InvalidField>,
 }
 
 impl JobSpec {
-    /// Reads a submission.
+    /// Parses a submission.
     ///
-    /// Only what may be null may be omitted: a user who leaves out another field is not given a
-    /// default that they never chose.
+    /// Only fields that may be null may be omitted. Other fields have no default, because a user who
+    /// leaves one out has not chosen that value.
     ///
     /// # Errors
-    /// The first field that is missing or has a value that is not allowed.
+    /// Returns an error for one field that is missing or has an invalid value.
     pub fn submitted(value: &Value) -> Result<Self, InvalidField> {
         let parsed = Self::parse(value)?;
         match parsed.first_omitted {
@@ -79,17 +79,17 @@
         }
     }
 
-    /// Reads a job as it is stored: by this version, or by an earlier one that asked for less.
+    /// Parses a stored job. It may have been stored by an earlier version that required fewer fields.
     ///
     /// # Errors
-    /// The first field with a value that is not allowed.
+    /// Returns an error for the first field with an invalid value.
     pub fn from_json(value: &Value) -> Result<Self, InvalidField> {
         Self::parse(value).map(|parsed| parsed.spec)
     }
 
     fn parse(value: &Value) -> Result<ParsedSpec, InvalidField> {
-        let fields = Fields::of(value)?;
-        // Evaluated from top to bottom: the error is about the first field in this order.
+        let fields = Fields::new(value)?;
+        // The order of evaluation matters: the error names the first invalid field in this order.
         let id = parse_id(&fields)?;
         let kind = parse_kind(&fields)?;
         let priority = parse_priority(&fields)?;
@@ -127,7 +127,7 @@
         })
     }
 
-    /// The stored form, which is the wire's, so that one parser reads both.
+    /// Returns the stored form. It is the same as on the wire, so that one parser reads both.
     pub fn to_json(&self) -> Value {
         let mut value = json!({
             "uid": self.id.to_string(),
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! Wire types and their validation: what copperfield exchanges with users, workers, the cloud, the
-//! state service, and between its own controllers.
+//! Wire types and their validation: the messages that copperfield exchanges with users, workers, the
+//! cloud and the state service, and those between its controllers.
 //!
-//! Field names that other parties fix stay in this crate; the rest of the program uses the terms
-//! of the types defined here (job, task, gang, worker, lease, fencing token).
+//! Field names that are fixed by other parties appear only in this crate. The rest of the program
+//! uses the names of the types defined here (job, task, gang, worker, lease, fencing token).
 
 #![warn(missing_docs)]
 
@@ -15,9 +15,9 @@
 
 pub use id::{JobId, parse_task};
 
-/// Largest body that any public interface accepts, in bytes.
+/// The maximum size of a body that a public interface accepts.
 pub const MAX_BODY_BYTES: u64 = 64 * 1024;
 
-/// Largest body between controllers, in bytes. Heartbeats beyond half of it are split among
-/// messages.
+/// The maximum size of a body between controllers. Forwarded heartbeats that take more than half of
+/// it are split among several messages.
 pub const MAX_PEER_BODY_BYTES: u64 = 512 * 1024;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,7 +1,8 @@
-//! Requests and replies between controllers, in `borsh`.
+//! Requests and replies between controllers, encoded with borsh.
 //!
-//! borsh writes positions, not names: fields and variants are added at the end and never reordered.
-//! What a controller of another version does not understand it refuses.
+//! borsh encodes fields and variants by position, not by name, so new ones are added at the end and
+//! existing ones are never reordered. A controller rejects messages of another version that it
+//! cannot decode.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use copperfield_sharding::{OwnerStatus, ShardLease};
@@ -13,69 +14,71 @@
 /// A request from one controller to another.
 #[derive(Debug, Clone, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
-    /// To the leader: what it knows of each of these jobs. Answered by [`PeerReply::Lookups`].
+    /// Asks the leader what it knows about each of these jobs. Answered by [`PeerReply::Lookups`].
     LookUpJobs(Vec<JobId>),
-    /// To the leader: cancel a job. Answered by [`PeerReply::Cancelled`].
+    /// Asks the leader to cancel a job. Answered by [`PeerReply::Cancelled`].
     CancelJob(JobId),
-    /// A request to the state service on behalf of a controller that it refuses. Answered by
-    /// [`PeerReply::State`].
+    /// Asks the receiver to send a request to the state service on behalf of the sender, whose own
+    /// requests the state service refuses. Answered by [`PeerReply::State`].
     State {
         /// The HTTP method.
         method: String,
-        /// Path and query.
+        /// The path with the query.
         path: String,
-        /// The body, empty for none.
+        /// The body. Empty if there is none.
         body: Vec<u8>,
     },
-    /// From the leader of this fencing token, which cannot renew its lease at the state service:
-    /// asks for a vote that extends it. A voter cannot reach the state service either, and
-    /// agrees not to campaign for one TTL.
+    /// Sent by a leader that cannot renew its lease at the state service, to ask for a vote to
+    /// extend it. A controller grants the vote if it cannot reach the state service either, and
+    /// then does not campaign for one TTL.
     VoteToExtendLease {
         /// The leader's fencing token.
         token: u64,
     },
-    /// Whether the controller can be reached. Answered by [`PeerReply::Pong`].
+    /// Checks that the controller can be reached. Answered by [`PeerReply::Pong`].
     Ping,
-    /// To the leader: an operator's request. Answered by [`PeerReply::AdminResponse`].
+    /// Passes an operator's request to the leader. Answered by [`PeerReply::AdminResponse`].
     Admin(AdminRequest),
-    /// Asks the receiver to confirm that it leads no term. Then it acts on no vote that was
-    /// granted until now.
+    /// Asks the receiver to confirm that it is not the leader. After it has confirmed, it acts on no
+    /// vote that was granted earlier. Answered by [`PeerReply::NotLeading`].
     ConfirmNoLeader,
-    /// To the leader: the status of a shard owner. Answered by [`PeerReply::ShardUpdate`].
+    /// Sends a shard owner's status to the leader. Answered by [`PeerReply::ShardUpdate`].
     ShardStatus(ShardStatus),
-    /// From the leader: commands for workers that the receiver is to relay. Answered by
+    /// Sent by the leader: commands that the receiver relays to workers. Answered by
     /// [`PeerReply::Relaying`].
     RelayCommands {
         /// The leader's fencing token.
         token: u64,
-        /// One message for each worker.
+        /// The messages to relay, each to one worker.
         messages: Vec<RelayedCommand>,
     },
-    /// The sender leads now: shard owners forward their workers' heartbeats to it.
+    /// Announces that the sender is the new leader, to which shard owners forward their workers'
+    /// heartbeats.
     LeaderAnnouncement {
         /// The sender's member name.
         member: String,
     },
-    /// From the leader of this fencing token, which has stepped down: asks the receiver to remove
-    /// its leader key and to campaign.
+    /// Sent by a leader that has stepped down. Asks the receiver to remove the sender's leader key
+    /// and to campaign.
     TransferLeadership {
         /// The sender's fencing token.
         token: u64,
     },
 }
 
-/// What a shard owner sends to the leader: it requests a lease and forwards its workers' heartbeats.
+/// The status that a shard owner sends to the leader to request a shard lease and to forward its
+/// workers' heartbeats.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct ShardStatus {
-    /// The sender's index among all controllers, ordered by name.
+    /// The sender's index in the list of all controllers, ordered by name.
     pub from: u32,
     /// The state of its shard.
     pub owner_status: OwnerStatus,
-    /// Heartbeats that the leader has not received, or whose workers wait for an answer.
+    /// Heartbeats that the leader has not received yet, or whose workers still wait for an answer.
     pub forwarded: Vec<ForwardedHeartbeat>,
-    /// The outcomes of messages that it relayed, by the leader's number for each.
+    /// The outcomes of relayed messages, each with the ID that the leader gave the message.
     pub outcomes: Vec<(u64, CommandOutcome)>,
-    /// Everything that it had to send is in this status.
+    /// Whether the status contains everything that the sender had to forward.
     pub complete: bool,
 }
 
@@ -84,66 +87,68 @@
 pub struct ForwardedHeartbeat {
     /// The heartbeat as the worker sent it.
     pub heartbeat: Heartbeat,
-    /// How long ago it came in, in ms.
+    /// Time since it was received, in milliseconds.
     pub age_ms: u64,
-    /// Its worker waits for an answer, which the shard owner may not give.
+    /// Whether its worker waits for an answer that the shard owner may not give.
     pub awaits_reply: bool,
 }
 
 /// The leader's answer to a [`ShardStatus`].
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ShardUpdate {
-    /// The lease, with the changes to the shard.
+    /// The shard lease, with the changes to the shard.
     pub shard_lease: ShardLease,
-    /// The numbers and names of the workers that the changes assign.
+    /// The indexes and names of the workers that the changes assign.
     pub names: Vec<(u32, String)>,
-    /// Workers that are redirected to another controller, by its index.
+    /// The names of workers that are redirected to another controller, each with the controller's
+    /// index.
     pub redirects: Vec<(String, u32)>,
 }
 
 /// A message to a worker that another controller relays for the leader.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct RelayedCommand {
-    /// The leader's number for the message.
+    /// The ID that the leader gave the message.
     pub message_id: u64,
-    /// Where the worker accepts commands.
+    /// The IP address and port at which the worker accepts commands.
     pub address: String,
-    /// The incarnation of the worker that the commands are for.
+    /// The incarnation of the worker for which the commands are meant.
     pub incarnation: u64,
-    /// Without any it is a probe, whose answer is waited for only briefly.
+    /// The commands. An empty list requests only a heartbeat, with a short timeout.
     pub commands: Vec<Command>,
 }
 
 /// The outcome of a message to a worker.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum CommandOutcome {
-    /// Surely not delivered.
+    /// The message was certainly not delivered.
     Unsent,
-    /// Executed, with the heartbeat that followed.
+    /// The worker executed the commands and answered with this heartbeat.
     Executed(Heartbeat),
-    /// Answered, but nothing was executed.
+    /// The worker answered, possibly with a heartbeat, but executed nothing.
     Rejected(Option<Heartbeat>),
-    /// It may still be executed.
+    /// There was no usable answer. The commands may have been executed, or may still be.
     Unknown,
 }
 
-/// An operator's request. Its "node" is the published name for a worker.
+/// An operator's request. The admin API calls a worker a node.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum AdminRequest {
-    /// A page of the nodes in the order of their names.
+    /// List one page of the nodes, ordered by name.
     Nodes {
-        /// The page begins with the first name after this one; empty: with the first of all.
+        /// The page begins after this name. Empty for the first page.
         since: String,
     },
-    /// Migrations under way, the last ones, and the large tasks that wait for whole workers.
+    /// List the migrations in progress, the last ones that ended, and the jobs that wait for whole
+    /// workers.
     Moves,
-    /// Start nothing new on a node, migrate what is movable, and let the rest complete.
+    /// Start nothing new on a node, migrate the movable tasks, and let the others complete.
     Drain {
         /// The worker's name.
         node: String,
-        /// Seconds from now after which what still runs is stopped; `None`: it completes.
+        /// Time in seconds after which remaining tasks are stopped. `None` lets them complete.
         deadline_s: Option<f64>,
-        /// Confirms a drain that disturbs a protected class.
+        /// Confirms a drain that affects tasks of a protected class.
         yes: bool,
     },
     /// End the drain of a node.
@@ -156,11 +161,11 @@
 /// A controller's answer to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum PeerReply {
-    /// How a job stands after the request to cancel it.
+    /// The state of a job after the request to cancel it.
     Cancelled(Lookup),
-    /// One result for each job asked for, in the same order.
+    /// One result for each requested job, in the order of the request.
     Lookups(Vec<Lookup>),
-    /// The state service's answer to a forwarded request, as HTTP has it.
+    /// The state service's HTTP response to a relayed request.
     State {
         /// The HTTP status.
         status: u16,
@@ -169,32 +174,32 @@
     },
     /// The request was received.
     Pong,
-    /// The vote that a leader asked for to extend its lease.
+    /// The receiver votes to extend the leader's lease.
     VoteGranted,
-    /// The controller cannot answer now.
+    /// The receiver cannot answer the request now.
     Unavailable,
-    /// The leader's answer to an operator, as HTTP has it.
+    /// The leader's HTTP response to an operator.
     AdminResponse {
         /// The HTTP status.
         status: u16,
         /// The JSON body.
         body: Vec<u8>,
     },
-    /// The receiver leads no term.
+    /// The receiver is not the leader.
     NotLeading {
-        /// For how long its process has been running.
+        /// The time for which its process has been running, in milliseconds.
         up_ms: u64,
     },
-    /// The leader's answer to a shard owner.
+    /// The leader's answer to a shard owner's status.
     ShardUpdate(ShardUpdate),
-    /// The messages are on their way; their outcomes come with the shard owner's statuses.
+    /// The receiver relays the messages. It reports their outcomes in its next statuses.
     Relaying,
-    /// No vote is granted, as the receiver can reach the state service and has read the leader
-    /// key of the leader that asks: leadership can be transferred to it.
+    /// The receiver does not vote to extend the lease, because it can reach the state service and
+    /// has read the requesting leader's key there. Leadership can be transferred to it.
     ReadyForTransfer,
 }
 
-/// What a controller knows of a job.
+/// What a controller knows about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Lookup {
     /// The job has ended, and its outcome is stored.
@@ -203,16 +208,16 @@
     Live {
         /// Pending or running.
         phase: Phase,
-        /// Tasks that are known to be completed.
+        /// The number of tasks known to be completed.
         done: u32,
-        /// Tasks that run now.
+        /// The number of running tasks.
         running: u32,
     },
-    /// Not in the leader's memory, or its outcome is just being stored: only the state service
-    /// has the answer.
+    /// The leader does not have the job in memory, or its outcome is still being stored. The state
+    /// service must be asked.
     NotInMemory,
-    /// The state service was asked and knows no such job.
+    /// The state service has no such job.
     NotFound,
-    /// The controller that was asked does not lead.
+    /// The controller is not the leader.
     NotLeader,
 }
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -1,4 +1,4 @@
-//! The state service's items, pages, watches, transactions and leases.
+//! Items, pages, watches, transactions and leases of the state service.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -6,40 +6,40 @@
 /// A stored key and its value.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Item {
-    /// Empty where the request named the key.
+    /// The key. Empty in an answer to a request that named the key.
     #[serde(rename = "path", default)]
     pub key: String,
-    /// What was stored, any JSON.
+    /// The stored value, which may be any JSON.
     #[serde(rename = "data")]
     pub value: Value,
-    /// The revision of the transaction that wrote it last.
+    /// The revision of the transaction that last wrote the key.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// One page of the items below a prefix, in the order of their keys.
+/// One page of the items under a prefix.
 #[derive(Debug, Deserialize)]
 pub struct Page {
-    /// In the order of their keys.
+    /// The items, ordered by key.
     pub items: Vec<Item>,
     /// Whether another page follows.
     #[serde(default)]
     pub more: bool,
-    /// The revision of the store as the page was read.
+    /// The revision of the store when the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// One change of a watched key.
+/// A change of a watched key.
 #[derive(Debug, Deserialize)]
 pub struct Event {
-    /// The key that was written; `None`: a key was deleted.
+    /// The key that was written. `None` if a key was deleted.
     #[serde(rename = "set", default)]
     pub put: Option<String>,
-    /// What was written; null where a key was deleted.
+    /// The value that was written. Null if a key was deleted.
     #[serde(rename = "data", default)]
     pub value: Value,
-    /// The revision of the transaction that wrote it.
+    /// The revision of the transaction that wrote the key.
     #[serde(rename = "stamp", default)]
     pub version: u64,
 }
@@ -47,14 +47,14 @@
 /// The answer to a watch.
 #[derive(Debug, Deserialize)]
 pub struct Changes {
-    /// From which the next watch goes on.
+    /// The revision from which the next watch continues.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// In the order in which they were carried out.
+    /// The changes, in the order in which they were made.
     pub events: Vec<Event>,
 }
 
-/// A key and the version that it must have for a transaction to be carried out.
+/// The version that a key must have for a transaction to be applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Condition {
     key: String,
@@ -65,7 +65,8 @@
     /// The version of a key that does not exist.
     const ABSENT: u64 = 0;
 
-    /// The key was last written by the transaction of this revision; 0: it does not exist.
+    /// Requires that the key was last written by the transaction of this revision. 0 requires that
+    /// the key does not exist.
     pub fn at_version(key: impl Into<String>, version: u64) -> Self {
         Self {
             key: key.into(),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The key does not exist.
+    /// Requires that the key does not exist.
     pub fn absent(key: impl Into<String>) -> Self {
         Self::at_version(key, Self::ABSENT)
     }
@@ -83,28 +84,28 @@
     }
 }
 
-/// Changes that are carried out together, if every condition holds, or not at all.
+/// Changes that are applied atomically if all conditions hold, and not applied otherwise.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
-    /// All of them must hold.
+    /// The conditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// What is carried out.
+    /// The changes to apply.
     pub changes: Vec<Change>,
 }
 
-/// One change of a transaction.
+/// A change in a transaction.
 #[derive(Debug, Clone)]
 pub enum Change {
-    /// Writes a key.
+    /// Writes a value to a key.
     Put {
-        /// The key, created if it does not exist.
+        /// The key, which is created if it does not exist.
         key: String,
-        /// Its new value.
+        /// The new value.
         value: Value,
-        /// The key is deleted when this lease ends; `None`: it stays.
+        /// The lease with whose end the key is deleted. `None` keeps the key.
         lease: Option<u64>,
     },
-    /// Deletes a key, if it exists.
+    /// Deletes a key if it exists.
     Delete {
         /// The key.
         key: String,
@@ -126,7 +127,7 @@
 }
 
 impl Transaction {
-    /// The request's JSON body.
+    /// Returns the JSON body of the request.
     pub fn body(&self) -> Vec<u8> {
         let guards: Vec<Value> = self.conditions.iter().map(Condition::to_json).collect();
         let apply: Vec<Value> = self.changes.iter().map(Change::to_json).collect();
@@ -135,25 +136,25 @@
     }
 }
 
-/// The answer to a transaction that was carried out.
+/// The answer to a transaction that was applied.
 #[derive(Debug, Deserialize)]
 pub struct Revision {
-    /// The revision of the transaction, which is the version of all it wrote.
+    /// The revision of the transaction, which is the new version of all keys that it wrote.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// The answer to a transaction of which a condition failed.
+/// The answer to a transaction with a failed condition.
 #[derive(Debug, Deserialize)]
 pub struct Conflict {
     /// The keys whose condition failed.
     pub failed: Vec<String>,
 }
 
-/// The answer to the request for a lease.
+/// The answer to a request for a lease.
 #[derive(Debug, Deserialize)]
 pub struct NewLease {
-    /// The number of the lease.
+    /// The ID of the lease.
     #[serde(rename = "grant")]
     pub lease: u64,
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,63 +1,66 @@
-//! Heartbeats of workers and the commands sent to them.
+//! Heartbeats of workers and commands to workers.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 
 use crate::{JobId, parse_task};
 
-/// Most commands in one message: well under the 64 KiB that a line may have.
+/// The maximum number of commands in one message. It keeps a message well under 64 KiB, the maximum
+/// length of a line.
 pub const MAX_COMMANDS: usize = 400;
 
-/// Longest name of a worker in bytes.
+/// The maximum length of a worker's name in bytes.
 const MAX_WORKER_NAME_BYTES: usize = 100;
-/// Longest notice of a spot worker's end, in seconds.
+/// The maximum reclaim notice of a spot worker in seconds.
 const MAX_NOTICE_S: f64 = 1e9;
 
-/// Why a heartbeat is refused. The texts name fields as the wire spells them.
+/// Why a heartbeat is refused. The messages use the wire names of the fields.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidHeartbeat {
-    /// Not the JSON of a heartbeat.
+    /// The body is not the JSON of a heartbeat.
     #[error("malformed report: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The identifier of a task is not that of a job and a number.
+    /// The identifier of a task is not a job's identifier and an index.
     #[error("shard: bad id {0:?}")]
     TaskId(String),
-    /// The phase of a task is none of those known.
+    /// The phase of a task is unknown.
     #[error("phase: unknown value {0:?}")]
     TaskPhase(String),
-    /// A task has exited, and the heartbeat does not say why.
+    /// A task has exited, and the heartbeat gives no reason.
     #[error("exit_reason: missing")]
     ExitReason,
     /// The worker's name is empty or too long.
     #[error("host: must have 1 to {MAX_WORKER_NAME_BYTES} bytes")]
     WorkerName,
-    /// The notice of a spot worker's end is negative or too long.
+    /// The reclaim notice of a spot worker is negative or too long.
     #[error("reclaim_s: out of range")]
     Notice,
 }
 
-/// The worker's state, as it reports it every few seconds and after each direct command.
+/// The state of a worker, which the worker reports every few seconds and after each direct message.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Heartbeat {
     /// The worker's name.
     pub worker: String,
-    /// Where the worker takes direct commands: IP address and port.
+    /// The IP address and port at which the worker accepts commands.
     pub address: String,
-    /// The worker's machine type.
+    /// The name of the worker's machine type.
     pub machine_type: String,
-    /// The zone it is in.
+    /// The zone in which the worker runs.
     pub zone: String,
-    /// Whether the cloud may reclaim it.
+    /// Whether it is a spot worker, which the cloud may reclaim.
     pub spot: bool,
-    /// Counts the worker's leases from 1: it rises when a lease expires, and all tasks are gone then.
+    /// Numbers the worker's leases from 1. It increases when a lease expires, which ends all tasks
+    /// on the worker.
     pub incarnation: u64,
-    /// Sequence number of the heartbeat within the incarnation.
+    /// The sequence number of the heartbeat within the incarnation.
     pub counter: u64,
-    /// The highest fencing token the worker has seen, 0 for none.
+    /// The highest fencing token that the worker has seen, or 0 if it has seen none.
     pub token: u64,
-    /// The cloud reclaims the worker in so many seconds; `None`: no notice was given.
+    /// The time in seconds after which the cloud reclaims the worker. `None` if the cloud has given
+    /// no notice.
     pub notice_s: Option<f64>,
-    /// Every task instance the worker knows of.
+    /// All task instances that the worker knows about.
     pub tasks: Vec<TaskStatus>,
 }
 
@@ -66,58 +69,58 @@
 pub struct TaskStatus {
     /// The job of the task.
     pub job: JobId,
-    /// The number of the task in its job.
+    /// The index of the task in its job.
     pub task: u32,
-    /// Distinguishes this instance of the task from any other.
+    /// The attempt, which distinguishes this instance from other instances of the task.
     pub attempt: u64,
-    /// How far it has come.
+    /// The phase of the instance.
     pub phase: TaskPhase,
 }
 
-/// How far a task instance has come.
+/// The phase of a task instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum TaskPhase {
-    /// The worker fetches its image.
+    /// The worker fetches the image.
     Fetching,
-    /// Ready; it waits for the other tasks of its gang.
+    /// The instance is ready and waits for the other tasks of its gang.
     Waiting,
-    /// It runs.
+    /// The instance runs.
     Running,
-    /// It received a stop command and saves a checkpoint.
+    /// The instance was told to stop and saves a checkpoint.
     Saving,
-    /// It runs no more.
+    /// The instance has ended.
     Exited(Exit),
 }
 
-/// Why a task instance runs no more.
+/// Why a task instance has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Exit {
-    /// It completed its work.
+    /// The task is completed.
     Done,
-    /// It was stopped.
+    /// A command stopped the instance.
     Stopped {
-        /// Whether its last checkpoint holds what it had done.
+        /// Whether all of its work is saved in a checkpoint.
         saved: bool,
     },
-    /// Other tasks of its gang were lost while it ran.
+    /// Other tasks of its gang were lost while the instance ran.
     PeersGone,
     /// The other tasks of its gang did not become ready in time.
     GangTimeout,
-    /// It ended without a result, for any reason not listed here.
+    /// The instance ended without a result, for any reason not listed here.
     Error,
-    /// The worker has too few resources left.
+    /// The worker has too few free resources.
     NoRoom,
-    /// The worker cannot take it now.
+    /// The worker cannot accept the instance now.
     Busy,
     /// The worker does not know this instance.
     Unknown,
 }
 
 impl Heartbeat {
-    /// Reads a heartbeat, all or nothing: one with an unreadable task changes nothing.
+    /// Parses a heartbeat. One invalid task makes the whole heartbeat invalid.
     ///
     /// # Errors
-    /// What is wrong first, the tasks before the worker's own fields.
+    /// Returns the first problem. The tasks are checked before the worker's own fields.
     pub fn parse(body: &[u8]) -> Result<Self, InvalidHeartbeat> {
         let wire: WireHeartbeat = serde_json::from_slice(body)?;
         let tasks = wire.tasks.unwrap_or_default();
@@ -149,7 +152,7 @@
     }
 }
 
-// Workers are answered with this text when a body is no object: it stays as it was published.
+// `expecting` keeps the name that workers see in the error for a body that is not an object.
 #[derive(Deserialize)]
 #[serde(expecting = "struct WireReport")]
 struct WireHeartbeat {
@@ -210,7 +213,7 @@
             "no_room" => Exit::NoRoom,
             "busy" => Exit::Busy,
             "unknown" => Exit::Unknown,
-            // A reason that this version does not know: it ended without a result.
+            // Reasons that this version does not know.
             _ => Exit::Error,
         })
     }
@@ -232,30 +235,30 @@
     }
 }
 
-/// What a worker is to do with a task instance.
+/// What a worker must do with a task instance.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Verb {
-    /// Fetch its image and run it.
+    /// Fetch the image and run the instance.
     Start,
-    /// Save a checkpoint, if the job makes any and there is time, and end.
+    /// Save a checkpoint, if the job uses checkpoints and there is time, and end the instance.
     Stop {
-        /// How long that may take, in seconds; 0: it is killed at once.
+        /// The time in seconds after which the instance is killed. 0 kills it at once.
         grace_s: f64,
     },
-    /// Report it no longer: its end is known.
+    /// Remove the ended instance from the heartbeats, because the leader knows that it has ended.
     Forget,
 }
 
 /// A command to a worker about one task instance.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Command {
-    /// What to do.
+    /// The action.
     pub verb: Verb,
     /// The job of the task.
     pub job: JobId,
-    /// The number of the task in its job.
+    /// The index of the task in its job.
     pub task: u32,
-    /// Distinguishes this instance of the task from any other.
+    /// The attempt, which distinguishes this instance from other instances of the task.
     pub attempt: u64,
 }
 
@@ -296,8 +299,9 @@
     commands: Vec<WireCommand>,
 }
 
-/// The JSON body with commands to a worker, under the leader's fencing token: the answer to a
-/// heartbeat, without `incarnation`, or a direct message to that incarnation of the worker.
+/// Returns the JSON body with commands to a worker under the leader's fencing token. The answer to a
+/// heartbeat has no `incarnation`. A direct message names the incarnation of the worker for which
+/// it is meant.
 pub fn commands_body(token: u64, incarnation: Option<u64>, commands: &[Command]) -> Vec<u8> {
     let body = WireCommands {
         token,
--- a/crates/protocol/tests/heartbeat.rs
+++ b/crates/protocol/tests/heartbeat.rs
@@ -1,21 +1,22 @@
-//! Heartbeats that are refused, with the text that workers are answered.
+//! Tests of the error texts with which invalid heartbeats are answered. They contain the names of
+//! private structs, so renaming such a struct could change a published text.
 
 use copperfield_protocol::worker::Heartbeat;
 
-fn refusal(body: &str) -> String {
-    let refused = Heartbeat::parse(body.as_bytes());
-    refused.expect_err("no heartbeat").to_string()
+fn parse_error(body: &str) -> String {
+    let parsed = Heartbeat::parse(body.as_bytes());
+    parsed.expect_err("an invalid heartbeat").to_string()
 }
 
 #[test]
-fn a_body_or_a_task_that_is_no_object_is_refused_with_the_published_text() {
+fn a_body_or_task_that_is_not_an_object_is_refused_with_the_published_text() {
     assert_eq!(
-        refusal("3"),
+        parse_error("3"),
         "malformed report: invalid type: integer `3`, expected struct WireReport at line 1 column 1"
     );
     let with_bad_task = r#"{"host":"a","address":"1.2.3.4:9","flavor":"f","region":"r","tenure":1,"counter":1,"shards":[3]}"#;
     assert_eq!(
-        refusal(with_bad_task),
+        parse_error(with_bad_task),
         "malformed report: invalid type: integer `3`, expected struct WireTask at line 1 column 94"
     );
 }
--- a/crates/protocol/tests/pinned_bytes.rs
+++ b/crates/protocol/tests/pinned_bytes.rs
@@ -1,5 +1,6 @@
-//! Messages as an earlier build wrote them, kept as files under `tests/pinned`, against what this
-//! build reads and writes. The files are never made anew: a difference is a change of the wire.
+//! Tests that this build reads and writes the same bytes as an earlier build, whose messages are kept
+//! in `tests/pinned`. The files are never regenerated, because a difference is a change of the wire
+//! format.
 
 use std::path::PathBuf;
 
@@ -33,44 +34,48 @@
     bytes.collect::<Result<_, _>>().expect("hexadecimal")
 }
 
-/// The lines of a file, without those that only explain.
+/// Returns the lines of a file without its comments.
 fn lines(file: &str) -> Vec<String> {
     let text = pinned(file);
     let lines = text.lines().filter(|l| !l.starts_with('#'));
     lines.map(str::to_string).collect()
 }
 
-fn check_lines(file: &str, made: &[String]) {
-    let kept = lines(file);
-    for (ix, (kept, made)) in kept.iter().zip(made).enumerate() {
-        assert_eq!(kept, made, "{file}, line {}", ix + 1);
+fn assert_lines(file: &str, written: &[String]) {
+    let expected = lines(file);
+    for (ix, (expected, written)) in expected.iter().zip(written).enumerate() {
+        assert_eq!(expected, written, "{file}, line {}", ix + 1);
     }
-    assert_eq!(kept.len(), made.len(), "{file}: number of lines");
+    assert_eq!(expected.len(), written.len(), "{file}: number of lines");
 }
 
-/// Each value gives the bytes of its line, and each line reads back as its value. A variant beyond
-/// the last is refused, where there are `variants` of them.
-fn check_values<T: BorshSerialize + BorshDeserialize>(file: &str, variants: u8, values: &[T]) {
-    let made: Vec<String> = values
+/// Asserts that each value encodes to its line and that each line decodes and encodes to itself. For
+/// an enum with `variants` variants, also asserts that the file contains each variant and that a
+/// higher variant is rejected.
+fn assert_encoding<T: BorshSerialize + BorshDeserialize>(file: &str, variants: u8, values: &[T]) {
+    let written: Vec<String> = values
         .iter()
         .map(|v| to_hex(&borsh::to_vec(v).expect("plain data")))
         .collect();
-    check_lines(file, &made);
+    assert_lines(file, &written);
     for line in lines(file) {
-        let read: T = borsh::from_slice(&from_hex(&line)).expect(&line);
-        let again = borsh::to_vec(&read).expect("plain data");
-        assert_eq!(to_hex(&again), line, "{file}");
+        let decoded: T = borsh::from_slice(&from_hex(&line)).expect(&line);
+        let encoded = borsh::to_vec(&decoded).expect("plain data");
+        assert_eq!(to_hex(&encoded), line, "{file}");
     }
     if variants > 0 {
-        let firsts: Vec<String> = lines(file).iter().map(|l| l[..2].to_string()).collect();
+        let first_bytes: Vec<String> = lines(file).iter().map(|l| l[..2].to_string()).collect();
         for variant in 0..variants {
-            let first = to_hex(&[variant]);
-            assert!(firsts.contains(&first), "{file} has no variant {first}");
+            let byte = to_hex(&[variant]);
+            assert!(first_bytes.contains(&byte), "{file} has no variant {byte}");
         }
-        let mut beyond = vec![0u8; 256];
-        beyond[0] = variants;
-        let mut rest = beyond.as_slice();
-        assert!(T::deserialize(&mut rest).is_err(), "{file}: one more");
+        let mut unknown_variant = vec![0u8; 256];
+        unknown_variant[0] = variants;
+        let mut rest = unknown_variant.as_slice();
+        assert!(
+            T::deserialize(&mut rest).is_err(),
+            "{file}: a variant too many is decoded"
+        );
     }
 }
 
@@ -78,7 +83,7 @@
     JobId(number)
 }
 
-fn exits() -> Vec<Exit> {
+fn all_exits() -> Vec<Exit> {
     vec![
         Exit::Done,
         Exit::Stopped { saved: true },
@@ -92,19 +97,19 @@
     ]
 }
 
-fn phases() -> Vec<TaskPhase> {
+fn task_phases() -> Vec<TaskPhase> {
     let mut all = vec![
         TaskPhase::Fetching,
         TaskPhase::Waiting,
         TaskPhase::Running,
         TaskPhase::Saving,
     ];
-    all.extend(exits().into_iter().map(TaskPhase::Exited));
+    all.extend(all_exits().into_iter().map(TaskPhase::Exited));
     all
 }
 
 fn heartbeat() -> Heartbeat {
-    let tasks = phases().into_iter().enumerate();
+    let tasks = task_phases().into_iter().enumerate();
     Heartbeat {
         worker: "vm-1".into(),
         address: "10.0.1.2:7000".into(),
@@ -126,7 +131,7 @@
     }
 }
 
-fn short_report() -> Heartbeat {
+fn heartbeat_without_tasks() -> Heartbeat {
     Heartbeat {
         worker: "vm-2".into(),
         spot: false,
@@ -152,7 +157,7 @@
         .collect()
 }
 
-fn released() -> Vec<ReleasedWorker> {
+fn released_workers() -> Vec<ReleasedWorker> {
     vec![
         ReleasedWorker {
             worker: 5,
@@ -173,11 +178,11 @@
         number: 2,
         token: 3,
         applied_version: 4,
-        released: released(),
+        released: released_workers(),
     }
 }
 
-fn changes() -> Vec<ShardChange> {
+fn shard_changes() -> Vec<ShardChange> {
     vec![
         ShardChange::Assign(1),
         ShardChange::Release(2, Some(3)),
@@ -192,7 +197,7 @@
         token: 3,
         base_version: 4,
         duration_ms: 5,
-        changes: changes()
+        changes: shard_changes()
             .into_iter()
             .zip(6..)
             .map(|(c, n)| (n, c))
@@ -200,17 +205,17 @@
     }
 }
 
-fn outcomes() -> Vec<CommandOutcome> {
+fn command_outcomes() -> Vec<CommandOutcome> {
     vec![
         CommandOutcome::Unsent,
         CommandOutcome::Executed(heartbeat()),
-        CommandOutcome::Rejected(Some(short_report())),
+        CommandOutcome::Rejected(Some(heartbeat_without_tasks())),
         CommandOutcome::Rejected(None),
         CommandOutcome::Unknown,
     ]
 }
 
-fn forwarded() -> Vec<ForwardedHeartbeat> {
+fn forwarded_heartbeats() -> Vec<ForwardedHeartbeat> {
     vec![
         ForwardedHeartbeat {
             heartbeat: heartbeat(),
@@ -218,19 +223,19 @@
             awaits_reply: true,
         },
         ForwardedHeartbeat {
-            heartbeat: short_report(),
+            heartbeat: heartbeat_without_tasks(),
             age_ms: 13,
             awaits_reply: false,
         },
     ]
 }
 
-fn upward() -> ShardStatus {
+fn shard_status() -> ShardStatus {
     ShardStatus {
         from: 2,
         owner_status: owner_status(),
-        forwarded: forwarded(),
-        outcomes: outcomes()
+        forwarded: forwarded_heartbeats(),
+        outcomes: command_outcomes()
             .into_iter()
             .zip(40..)
             .map(|(o, n)| (n, o))
@@ -239,7 +244,7 @@
     }
 }
 
-fn downward() -> ShardUpdate {
+fn shard_update() -> ShardUpdate {
     ShardUpdate {
         shard_lease: shard_lease(),
         names: vec![(1, "vm-1".into()), (2, "vm-2".into())],
@@ -247,7 +252,7 @@
     }
 }
 
-fn relayed() -> Vec<RelayedCommand> {
+fn relayed_commands() -> Vec<RelayedCommand> {
     vec![
         RelayedCommand {
             message_id: 50,
@@ -264,7 +269,7 @@
     ]
 }
 
-fn orders() -> Vec<AdminRequest> {
+fn admin_requests() -> Vec<AdminRequest> {
     vec![
         AdminRequest::Nodes {
             since: "vm-1".into(),
@@ -295,7 +300,7 @@
     ]
 }
 
-fn standings() -> Vec<JobOutcome> {
+fn job_outcomes() -> Vec<JobOutcome> {
     let phases = job_phases().into_iter().zip(60..);
     phases
         .map(|(phase, done)| JobOutcome { phase, done })
@@ -303,7 +308,7 @@
 }
 
 fn lookups() -> Vec<Lookup> {
-    let mut all: Vec<Lookup> = standings().into_iter().map(Lookup::Terminal).collect();
+    let mut all: Vec<Lookup> = job_outcomes().into_iter().map(Lookup::Terminal).collect();
     all.push(Lookup::Live {
         phase: Phase::Running,
         done: 70,
@@ -325,13 +330,13 @@
         PeerRequest::VoteToExtendLease { token: 80 },
         PeerRequest::Ping,
     ];
-    all.extend(orders().into_iter().map(PeerRequest::Admin));
+    all.extend(admin_requests().into_iter().map(PeerRequest::Admin));
     all.extend([
         PeerRequest::ConfirmNoLeader,
-        PeerRequest::ShardStatus(upward()),
+        PeerRequest::ShardStatus(shard_status()),
         PeerRequest::RelayCommands {
             token: 81,
-            messages: relayed(),
+            messages: relayed_commands(),
         },
         PeerRequest::LeaderAnnouncement {
             member: "m-2".into(),
@@ -357,7 +362,7 @@
             body: vec![5, 6],
         },
         PeerReply::NotLeading { up_ms: 90 },
-        PeerReply::ShardUpdate(downward()),
+        PeerReply::ShardUpdate(shard_update()),
         PeerReply::Relaying,
         PeerReply::ReadyForTransfer,
     ]);
@@ -365,92 +370,96 @@
 }
 
 #[test]
-fn messages_between_controllers_keep_their_bytes() {
-    check_values("peer/01.hex", 11, &requests());
-    check_values("peer/02.hex", 11, &replies());
-    check_values("peer/03.hex", 5, &lookups());
-    check_values("peer/04.hex", 4, &outcomes());
-    check_values("peer/05.hex", 4, &orders());
-    check_values("peer/06.hex", 3, &verbs());
-    check_values("peer/07.hex", 5, &phases());
-    check_values("peer/08.hex", 8, &exits());
-    check_values("peer/09.hex", 4, &job_phases());
-    check_values("peer/10.hex", 0, &standings());
-    check_values("peer/11.hex", 0, &[heartbeat(), short_report()]);
-    check_values("peer/12.hex", 0, &commands());
-    check_values("peer/13.hex", 0, &relayed());
-    check_values("peer/14.hex", 0, &forwarded());
-    check_values("peer/15.hex", 0, &[upward()]);
-    check_values("peer/16.hex", 0, &[downward()]);
-    check_values("peer/17.hex", 0, &[owner_status()]);
-    check_values("peer/18.hex", 0, &released());
-    check_values("peer/19.hex", 0, &[shard_lease()]);
-    check_values("peer/20.hex", 2, &changes());
-    check_values("peer/21.hex", 0, &[job(0), job(412), job(u64::MAX)]);
-}
-
-/// Each body of the list, as read and written again, or why it is refused.
-fn check_bodies(file: &str, read: impl Fn(&Value) -> Result<String, String>) {
+fn peer_message_encoding_is_unchanged() {
+    assert_encoding("peer/01.hex", 11, &requests());
+    assert_encoding("peer/02.hex", 11, &replies());
+    assert_encoding("peer/03.hex", 5, &lookups());
+    assert_encoding("peer/04.hex", 4, &command_outcomes());
+    assert_encoding("peer/05.hex", 4, &admin_requests());
+    assert_encoding("peer/06.hex", 3, &verbs());
+    assert_encoding("peer/07.hex", 5, &task_phases());
+    assert_encoding("peer/08.hex", 8, &all_exits());
+    assert_encoding("peer/09.hex", 4, &job_phases());
+    assert_encoding("peer/10.hex", 0, &job_outcomes());
+    assert_encoding("peer/11.hex", 0, &[heartbeat(), heartbeat_without_tasks()]);
+    assert_encoding("peer/12.hex", 0, &commands());
+    assert_encoding("peer/13.hex", 0, &relayed_commands());
+    assert_encoding("peer/14.hex", 0, &forwarded_heartbeats());
+    assert_encoding("peer/15.hex", 0, &[shard_status()]);
+    assert_encoding("peer/16.hex", 0, &[shard_update()]);
+    assert_encoding("peer/17.hex", 0, &[owner_status()]);
+    assert_encoding("peer/18.hex", 0, &released_workers());
+    assert_encoding("peer/19.hex", 0, &[shard_lease()]);
+    assert_encoding("peer/20.hex", 2, &shard_changes());
+    assert_encoding("peer/21.hex", 0, &[job(0), job(412), job(u64::MAX)]);
+}
+
+/// Asserts that `read` returns the expected text or error for each body in the file.
+fn assert_bodies(file: &str, read: impl Fn(&Value) -> Result<String, String>) {
     let cases: Vec<Value> = serde_json::from_str(&pinned(file)).expect(file);
     assert!(!cases.is_empty(), "{file}");
     for case in cases {
-        let made = match read(&case["in"]) {
+        let result = match read(&case["in"]) {
             Ok(text) => (Some(text), None),
             Err(text) => (None, Some(text)),
         };
-        let kept = |name: &str| case[name].as_str().map(str::to_string);
-        assert_eq!(made, (kept("out"), kept("refused")), "{file}: {case}");
+        let expected = |name: &str| case[name].as_str().map(str::to_string);
+        assert_eq!(
+            result,
+            (expected("out"), expected("refused")),
+            "{file}: {case}"
+        );
     }
 }
 
-/// What users submit, and what is stored of it.
+/// Tests the parsing of submissions and the stored form of jobs.
 #[test]
-fn jobs_keep_their_bytes() {
+fn job_format_is_unchanged() {
     let written = |spec: JobSpec| spec.to_json().to_string();
     let text = |error: InvalidField| error.to_string();
-    check_bodies("jobs/submitted.json", |body| {
+    assert_bodies("jobs/submitted.json", |body| {
         JobSpec::submitted(body).map(written).map_err(text)
     });
-    check_bodies("jobs/stored.json", |body| {
+    assert_bodies("jobs/stored.json", |body| {
         JobSpec::from_json(body).map(written).map_err(text)
     });
-    let spellings: Vec<String> = job_phases()
+    let phases: Vec<String> = job_phases()
         .into_iter()
         .map(|p| format!("{} {}", p.as_str(), p.is_terminal()))
         .collect();
-    check_lines("jobs/phases.txt", &spellings);
+    assert_lines("jobs/phases.txt", &phases);
     let ids = [0, 7, 412, 999_999, 1_000_000, 1_234_567_890].map(|n| job(n).to_string());
-    check_lines("jobs/ids.txt", &ids);
+    assert_lines("jobs/ids.txt", &ids);
     for id in lines("jobs/ids.txt") {
         assert_eq!(JobId::parse(&id).map(|j| j.to_string()), Some(id));
     }
 }
 
-/// What workers report, as the bytes in which controllers pass it on.
+/// Tests the parsing of heartbeats, compared in the encoding in which controllers forward them.
 #[test]
-fn reports_of_workers_are_read_as_before() {
-    check_bodies("workers/reports.json", |body| {
+fn heartbeat_parsing_is_unchanged() {
+    assert_bodies("workers/reports.json", |body| {
         let heartbeat = Heartbeat::parse(body.to_string().as_bytes()).map_err(|e| e.to_string())?;
         Ok(to_hex(&borsh::to_vec(&heartbeat).expect("plain data")))
     });
 }
 
 #[test]
-fn orders_to_workers_keep_their_bytes() {
+fn worker_command_format_is_unchanged() {
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    let made = [
+    let written = [
         text(commands_body(7, None, &commands())),
         text(commands_body(7, Some(8), &commands())),
         text(commands_body(0, None, &[])),
         text(commands_body(u64::MAX, Some(0), &[])),
     ];
-    check_lines("workers/orders.txt", &made);
+    assert_lines("workers/orders.txt", &written);
 }
 
 #[test]
-fn what_the_cloud_says_is_read_as_before() {
+fn cloud_response_parsing_is_unchanged() {
     let types = cloud::parse_machine_types(pinned("cloud/types.json").as_bytes()).expect("types");
-    let made: Vec<String> = types
+    let written: Vec<String> = types
         .iter()
         .map(|t| {
             format!(
@@ -468,10 +477,10 @@
             )
         })
         .collect();
-    check_lines("cloud/types.txt", &made);
+    assert_lines("cloud/types.txt", &written);
 
-    let page = cloud::parse_list(pinned("cloud/list.json").as_bytes()).expect("list");
-    let mut made: Vec<String> = page
+    let page = cloud::parse_worker_page(pinned("cloud/list.json").as_bytes()).expect("list");
+    let mut written: Vec<String> = page
         .workers
         .iter()
         .map(|l| {
@@ -481,29 +490,29 @@
             )
         })
         .collect();
-    made.push(page.more.to_string());
-    let page = cloud::parse_list(pinned("cloud/list_short.json").as_bytes()).expect("list");
-    made.push(format!("{} {}", page.workers.len(), page.more));
-    check_lines("cloud/list.txt", &made);
+    written.push(page.more.to_string());
+    let page = cloud::parse_worker_page(pinned("cloud/list_short.json").as_bytes()).expect("list");
+    written.push(format!("{} {}", page.workers.len(), page.more));
+    assert_lines("cloud/list.txt", &written);
 
-    let rented = cloud::parse_scale_out(pinned("cloud/rented.json").as_bytes()).expect("rented");
-    check_lines("cloud/rented.txt", &rented);
+    let provided = cloud::parse_scale_out(pinned("cloud/rented.json").as_bytes()).expect("names");
+    assert_lines("cloud/rented.txt", &provided);
 }
 
 #[test]
-fn requests_to_the_cloud_keep_their_bytes() {
+fn cloud_request_format_is_unchanged() {
     let names = ["vm-1".to_string(), "vm-2".to_string()];
-    let made = [
+    let written = [
         cloud::scale_out_body("r-1", "g8", "a", true, 3).to_string(),
         cloud::scale_out_body("r-2", "small", "b", false, 1).to_string(),
         cloud::scale_in_body(&names).to_string(),
         cloud::scale_in_body(&[]).to_string(),
     ];
-    check_lines("cloud/requests.txt", &made);
+    assert_lines("cloud/requests.txt", &written);
 }
 
 #[test]
-fn transactions_keep_their_bytes() {
+fn transaction_format_is_unchanged() {
     let value: Value = serde_json::from_str(&pinned("state/value.json")).expect("a value");
     let put = |key: &str, lease| state::Change::Put {
         key: key.into(),
@@ -522,43 +531,43 @@
         ],
     };
     let text = |t: &state::Transaction| String::from_utf8(t.body()).expect("text");
-    let made = [text(&full), text(&state::Transaction::default())];
-    check_lines("state/transactions.txt", &made);
+    let written = [text(&full), text(&state::Transaction::default())];
+    assert_lines("state/transactions.txt", &written);
 }
 
 #[test]
-fn what_the_state_service_says_is_read_as_before() {
+fn state_service_response_parsing_is_unchanged() {
     fn read<T: serde::de::DeserializeOwned>(file: &str) -> T {
         serde_json::from_str(&pinned(file)).expect(file)
     }
     let item = |i: &state::Item| format!("{} {} {}", i.key, i.value, i.version);
-    let mut made: Vec<String> = Vec::new();
-    made.push(item(&read("state/item.json")));
+    let mut written: Vec<String> = Vec::new();
+    written.push(item(&read("state/item.json")));
     for file in ["state/page.json", "state/page_short.json"] {
         let page: state::Page = read(file);
-        made.extend(page.items.iter().map(item));
-        made.push(format!("{} {}", page.more, page.revision));
+        written.extend(page.items.iter().map(item));
+        written.push(format!("{} {}", page.more, page.revision));
     }
     let changes: state::Changes = read("state/changes.json");
     for event in &changes.events {
         let key = event.put.as_deref().unwrap_or("-");
-        made.push(format!("{key} {} {}", event.value, event.version));
+        written.push(format!("{key} {} {}", event.value, event.version));
     }
-    made.push(changes.revision.to_string());
-    made.push(
+    written.push(changes.revision.to_string());
+    written.push(
         read::<state::Revision>("state/committed.json")
             .revision
             .to_string(),
     );
-    made.push(
+    written.push(
         read::<state::Conflict>("state/conflict.json")
             .failed
             .join(" "),
     );
-    made.push(
+    written.push(
         read::<state::NewLease>("state/granted.json")
             .lease
             .to_string(),
     );
-    check_lines("state/read.txt", &made);
+    assert_lines("state/read.txt", &written);
 }
--- a/crates/protocol/tests/submission.rs
+++ b/crates/protocol/tests/submission.rs
@@ -1,5 +1,5 @@
-//! What may be submitted: every field, what it takes and what is refused, in one line that names
-//! the field, what was found and what is allowed.
+//! Tests of the validation of submissions. An error is one line that names the field, the value that
+//! was found and the allowed values.
 
 use copperfield_protocol::job::JobSpec;
 use serde_json::{Value, json};
@@ -13,7 +13,8 @@
 
 const NAME: &str = "a string of 1 to 200 bytes";
 
-/// Each field, values it refuses, what the error says is allowed, and whether it may be omitted.
+/// Returns for each field its name, some invalid values, the allowed values as the error gives them,
+/// and whether it may be omitted.
 fn fields() -> Vec<(&'static str, Vec<Value>, &'static str, bool)> {
     let long = "x".repeat(201);
     let names = || vec![json!(""), json!(7), json!(long), json!(["a"])];
@@ -47,7 +48,7 @@
     ]
 }
 
-fn refusal(body: &Value) -> String {
+fn submission_error(body: &Value) -> String {
     let error = JobSpec::submitted(body).expect_err(&body.to_string());
     error.to_string()
 }
@@ -59,13 +60,13 @@
     for name in sample().as_object().expect("an object").keys() {
         assert!(validated.contains(&name.as_str()), "{name}");
     }
-    for (field, refused, allowed, _) in fields {
-        for value in refused {
+    for (field, invalid_values, allowed, _) in fields {
+        for value in invalid_values {
             let mut body = sample();
             body[field] = value.clone();
-            let error = refusal(&body);
-            let begins = format!("{field}: found ");
-            assert!(error.starts_with(&begins), "{error}");
+            let error = submission_error(&body);
+            let prefix = format!("{field}: found ");
+            assert!(error.starts_with(&prefix), "{error}");
             assert!(
                 error.contains(&format!(", allowed is {allowed}")),
                 "{error}"
@@ -75,9 +76,10 @@
     }
 }
 
-/// Only what may be null may be omitted: a default must not stand in for what a user left out.
+/// Only fields that may be null may be omitted. Other fields must not get a default, because a user
+/// who leaves one out has not chosen that value.
 #[test]
-fn a_submission_that_lacks_a_field_is_refused() {
+fn a_submission_without_a_required_field_is_refused() {
     for (field, _, allowed, optional) in fields() {
         for missing in [true, false] {
             let mut body = sample();
@@ -90,35 +92,36 @@
                 continue;
             }
             let found = if missing { "nothing" } else { "null" };
-            let begins = format!("{field}: found {found}, allowed is {allowed}");
-            assert!(refusal(&body).starts_with(&begins), "{}", refusal(&body));
+            let prefix = format!("{field}: found {found}, allowed is {allowed}");
+            let error = submission_error(&body);
+            assert!(error.starts_with(&prefix), "{error}");
         }
     }
 }
 
-/// The one line of an error is about one field: a value that is not allowed goes before a missing
-/// one, and of several missing ones the first in the order of the description.
+/// An error names only one field. An invalid value takes precedence over a missing one, and among
+/// missing fields the first in the order of the description is named.
 #[test]
-fn of_several_faults_a_value_that_is_not_allowed_is_named_first() {
+fn an_invalid_value_is_reported_before_a_missing_field() {
     let mut body = sample();
     for field in ["snapshot_s", "spread", "gpus"] {
         body.as_object_mut().expect("an object").remove(field);
     }
     assert_eq!(
-        refusal(&body),
+        submission_error(&body),
         "gpus: found nothing, allowed is a number from 0"
     );
     body["movable"] = json!("no");
     assert_eq!(
-        refusal(&body),
+        submission_error(&body),
         "movable: found \"no\", allowed is true or false"
     );
 }
 
 #[test]
-fn a_body_that_is_no_object_is_refused() {
+fn a_body_that_is_not_an_object_is_refused() {
     for body in [json!([1]), json!(null), json!("wk-000412")] {
-        let error = refusal(&body);
+        let error = submission_error(&body);
         assert!(error.starts_with("description: found "), "{error}");
     }
 }
@@ -129,9 +132,10 @@
     assert_eq!(JobSpec::from_json(&spec.to_json()), Ok(spec));
 }
 
-/// A job that an earlier version accepted must not be lost for fields it did not ask for.
+/// A job that an earlier version accepted must not be lost because it lacks fields that this version
+/// requires.
 #[test]
-fn a_stored_job_that_lacks_a_field_is_read() {
+fn a_stored_job_without_a_required_field_is_read() {
     let mut body = sample();
     for field in ["gpus", "spread", "preemptibles", "pull_gb", "runtime_s"] {
         body.as_object_mut().expect("an object").remove(field);
--- a/src/controller/effects/cloud.rs
+++ b/src/controller/effects/cloud.rs
@@ -124,7 +124,7 @@
             None => "/rentals?page=500".to_string(),
         };
         let body = get(context, &path).await?;
-        let WorkerPage { workers, more } = cloud::parse_list(&body)
+        let WorkerPage { workers, more } = cloud::parse_worker_page(&body)
             .inspect_err(|error| tracing::warn!(%error, "worker list does not parse"))
             .ok()?;
         let is_empty = workers.is_empty();
