--- a/src/controller/effects/workers.rs
+++ b/src/controller/effects/workers.rs
@@ -9,7 +9,7 @@
 use crate::coordination::core::{CommandOutcome, Input};
 use crate::protocol::peer::RelayedCommand;
 use crate::protocol::worker::{Heartbeat, commands_body};
-use crate::transport::client::{Answer, CallError};
+use crate::transport::client::{CallError, HttpResponse};
 
 const COMMAND_DEADLINE: Duration = Duration::from_millis(1500);
 /// The deadline of a message without commands, which requests a heartbeat.
@@ -74,7 +74,7 @@
     }
 }
 
-fn outcome_of(response: &Answer) -> CommandOutcome {
+fn outcome_of(response: &HttpResponse) -> CommandOutcome {
     match (response.status, Heartbeat::parse(&response.body)) {
         (STATUS_OK, Ok(heartbeat)) => CommandOutcome::Executed(heartbeat),
         (STATUS_CONFLICT, heartbeat) => CommandOutcome::Rejected(heartbeat.ok()),
