--- a/crates/admin/src/cli.rs
+++ b/crates/admin/src/cli.rs
@@ -1,14 +1,14 @@
-//! `copperfield nodes`, `drain`, `undrain` and `moves`.
+//! The commands `copperfield nodes`, `drain`, `undrain` and `moves`.
 //!
 //! | exit code | meaning |
 //! | --- | --- |
-//! | 0 | done |
-//! | 2 | the command line cannot be understood |
+//! | 0 | success |
+//! | 2 | invalid command line, or the key file cannot be read |
 //! | 3 | there is no such node |
-//! | 4 | a protected class would be disturbed and nobody said yes |
-//! | 5 | no controller answers, or none can do it now: worth trying again |
-//! | 6 | the key is missing or wrong, or the endpoints are switched off |
-//! | 1 | anything else |
+//! | 4 | tasks of a protected class would be affected, and the drain was not confirmed |
+//! | 5 | no controller answers, or none can carry out the request now: try again |
+//! | 6 | the key is missing or wrong, or the operators' endpoints are switched off |
+//! | 1 | any other error |
 
 use std::io::{BufRead, IsTerminal, Write};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 use crate::table;
 use crate::views::{DrainRequest, Node};
 
-const EXIT_DONE: u8 = 0;
+const EXIT_SUCCESS: u8 = 0;
 const EXIT_OTHER: u8 = 1;
 const EXIT_USAGE: u8 = 2;
 const EXIT_NOT_FOUND: u8 = 3;
@@ -30,52 +30,52 @@
 const EXIT_TRY_AGAIN: u8 = 5;
 const EXIT_UNAUTHORIZED: u8 = 6;
 
-/// The variable with the operators' key.
+/// The environment variable with the operators' key.
 const KEY_VARIABLE: &str = "COPPERFIELD_KEY";
-/// The longest deadline of a drain, in seconds.
+/// The maximum deadline of a drain in seconds.
 const MAX_DEADLINE_S: f64 = 1e6;
 
-/// A command of operators. The comments on its parts are its published help.
+/// A command for operators. The doc comments of its variants and fields are its help text.
 #[expect(
     missing_docs,
-    reason = "a comment on an argument would become a part of the published help"
+    reason = "a doc comment on an argument would become part of its help text"
 )]
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// List the nodes.
     Nodes {
-        /// Count the nodes that each controller speaks with instead.
+        /// Instead of the nodes, show how many nodes each controller answers.
         #[arg(long = "by-holder", conflicts_with = "json")]
         by_shard_owner: bool,
         #[command(flatten)]
         site: SiteArgs,
     },
-    /// Start nothing new on a node; what may move moves, the rest runs to its end.
+    /// Start nothing new on a node, migrate the movable tasks, and let the others complete.
     Drain {
         node: String,
-        /// Stop in order what still runs after so many seconds.
-        #[arg(long, value_name = "S", value_parser = parse_seconds)]
+        /// Stop the remaining tasks, with their grace period, after this many seconds.
+        #[arg(long, value_name = "S", value_parser = parse_deadline)]
         deadline: Option<f64>,
-        /// Do not ask, even if a protected class is disturbed.
+        /// Do not ask for confirmation if tasks of a protected class are affected.
         #[arg(long)]
         yes: bool,
         #[command(flatten)]
         site: SiteArgs,
     },
-    /// Let a node that drains take work again.
+    /// End the drain of a node, so that it takes new tasks again.
     Undrain {
         node: String,
         #[command(flatten)]
         site: SiteArgs,
     },
-    /// Show moves, and what waits for whole workers.
+    /// Show the migrations of tasks, and the jobs that wait for whole workers.
     Moves(SiteArgs),
 }
 
-/// Which site, with which key, and how to print.
+/// The site, the key and the output format of a command.
 #[derive(Debug, Args)]
 pub struct SiteArgs {
-    /// Public address of a controller; may be given several times.
+    /// Public address of a controller. May be given several times.
     #[arg(
         long = "address",
         value_name = "HOST:PORT",
@@ -84,7 +84,7 @@
         default_value = "127.0.0.1:8080"
     )]
     addresses: Vec<SocketAddr>,
-    /// File with the operators' key; otherwise it is taken from COPPERFIELD_KEY.
+    /// File with the operators' key. Without it the key is read from COPPERFIELD_KEY.
     #[arg(long, value_name = "FILE")]
     key_file: Option<PathBuf>,
     /// Print JSON.
@@ -100,13 +100,13 @@
 }
 
 #[derive(Debug, Error)]
-#[error("allowed is a number from 0 to {MAX_DEADLINE_S}")]
-struct NotADeadline;
+#[error("must be a number of seconds from 0 to {MAX_DEADLINE_S}")]
+struct InvalidDeadline;
 
-fn parse_seconds(text: &str) -> Result<f64, NotADeadline> {
+fn parse_deadline(text: &str) -> Result<f64, InvalidDeadline> {
     match text.parse::<f64>() {
         Ok(seconds) if (0.0..=MAX_DEADLINE_S).contains(&seconds) => Ok(seconds),
-        _ => Err(NotADeadline),
+        _ => Err(InvalidDeadline),
     }
 }
 
@@ -128,7 +128,7 @@
         } else {
             table(value)
         };
-        // Nobody reads on: a pager that was left.
+        // Writing fails if the reader has closed the pipe, for example a pager that was quit.
         let _ = writeln!(std::io::stdout(), "{text}");
     }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Carries the command out and returns the exit code; problems go to standard error.
+    /// Runs the command and returns the exit code. Errors are printed to standard error.
     pub async fn run(self) -> u8 {
         let client = match self.site().client() {
             Ok(client) => client,
@@ -157,11 +157,11 @@
             }
         };
         match self.execute(&client).await {
-            Ok(()) => EXIT_DONE,
+            Ok(()) => EXIT_SUCCESS,
             Err(error) => {
                 eprintln!("copperfield: {error}");
-                if let ClientError::ConfirmationRequired(confirm) = &error {
-                    eprintln!("  protected: {}", confirm.protected.join(", "));
+                if let ClientError::ConfirmationRequired(required) = &error {
+                    eprintln!("  protected: {}", required.protected.join(", "));
                     eprintln!("  nothing was changed; say --yes if it is meant");
                 }
                 exit_code(&error)
@@ -189,34 +189,39 @@
                 yes,
                 ..
             } => {
-                let order = DrainRequest {
+                let request = DrainRequest {
                     deadline_s: *deadline,
                     yes: *yes,
                 };
-                site.print_node(&drain(client, node, order).await?);
+                site.print_node(&drain(client, node, request).await?);
             }
         }
         Ok(())
     }
 }
 
-/// Asks before it disturbs a protected class, if there is someone to ask.
-async fn drain(client: &Client, node: &str, mut order: DrainRequest) -> Result<Node, ClientError> {
-    let drained = client.drain(node, &order).await;
-    let Err(ClientError::ConfirmationRequired(confirm)) = &drained else {
-        return drained;
+/// Drains a node. If tasks of a protected class would be affected, asks the operator for confirmation
+/// and repeats the request.
+async fn drain(
+    client: &Client,
+    node: &str,
+    mut request: DrainRequest,
+) -> Result<Node, ClientError> {
+    let result = client.drain(node, &request).await;
+    let Err(ClientError::ConfirmationRequired(required)) = &result else {
+        return result;
     };
-    let protected = confirm.protected.join(", ");
-    let question = format!("{} ({protected}). Drain it all the same?", confirm.error);
-    if !is_confirmed(&question) {
-        return drained;
+    let protected = required.protected.join(", ");
+    let question = format!("{} ({protected}). Drain it anyway?", required.error);
+    if !ask_for_confirmation(&question) {
+        return result;
     }
-    order.yes = true;
-    client.drain(node, &order).await
+    request.yes = true;
+    client.drain(node, &request).await
 }
 
-/// Asks on a terminal; elsewhere nobody can say yes.
-fn is_confirmed(question: &str) -> bool {
+/// Asks a question on the terminal. Returns `false` without a terminal, because nobody can answer.
+fn ask_for_confirmation(question: &str) -> bool {
     if !std::io::stdin().is_terminal() || !std::io::stderr().is_terminal() {
         return false;
     }
@@ -231,7 +236,7 @@
         ClientError::NotFound(_) => EXIT_NOT_FOUND,
         ClientError::ConfirmationRequired(_) => EXIT_UNCONFIRMED,
         ClientError::Unreachable(_) | ClientError::Busy(_) => EXIT_TRY_AGAIN,
-        ClientError::Unauthorized | ClientError::SwitchedOff => EXIT_UNAUTHORIZED,
+        ClientError::Unauthorized | ClientError::EndpointsDisabled => EXIT_UNAUTHORIZED,
         ClientError::Unexpected { .. } => EXIT_OTHER,
     }
 }
--- a/crates/admin/src/client.rs
+++ b/crates/admin/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks the controllers, whichever of them answers.
+//! The client of the admin API. It tries the controllers in turn until one answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,46 +15,46 @@
 
 use crate::views::{ConfirmationRequired, DrainRequest, Moves, Node, Nodes};
 
-/// One controller is given so long before the next is asked.
-const DEADLINE: Duration = Duration::from_secs(5);
-/// How long a connection may take to come about.
+/// The time that a controller has to answer before the next one is tried.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
-/// What controllers answer on all paths of operators while these are switched off.
-const SWITCHED_OFF: &str = "no such path";
+/// The error of the 404 answer on all operators' paths if the settings contain no operators' key.
+const ENDPOINTS_DISABLED_REASON: &str = "no such path";
 
-/// Why a request of an operator was not carried out.
+/// Why an operator's request was not carried out.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// None of the addresses answers.
+    /// No controller answered at any of the addresses.
     #[error("no controller answers at {0}")]
     Unreachable(String),
-    /// There is no leader now, or it cannot store anything.
+    /// There is no leader, or the leader cannot store the change now.
     #[error("the controllers cannot do it now ({0}); try again in a moment")]
     Busy(String),
-    /// The key is refused.
+    /// The controllers refused the key.
     #[error("the key is missing or not the one in the controllers' settings")]
     Unauthorized,
-    /// The settings have no key, so that nobody may ask.
+    /// The settings of the site contain no operators' key, which disables the endpoints.
     #[error("operators' endpoints are switched off on this site")]
-    SwitchedOff,
+    EndpointsDisabled,
     /// There is no such node.
     #[error("{0}")]
     NotFound(String),
-    /// A drain would disturb a protected class.
+    /// The drain would affect tasks of a protected class and must be confirmed.
     #[error("{}", .0.error)]
     ConfirmationRequired(ConfirmationRequired),
-    /// An answer that the protocol does not have.
+    /// The answer is not part of the protocol.
     #[error("the controllers answered {status}: {problem}")]
     Unexpected {
         /// The status code.
         status: u16,
-        /// The reason in the answer, or what is wrong with its body.
+        /// The reason given in the answer, or what is wrong with its body.
         problem: String,
     },
 }
 
-/// Asks controllers as an operator.
+/// A client of the admin API.
 pub struct Client {
     addresses: Vec<SocketAddr>,
     key: String,
@@ -66,15 +66,17 @@
     body: Bytes,
 }
 
-/// What an answer means for the caller.
-enum Interpreted<T> {
-    Final(Result<T, ClientError>),
-    /// This controller cannot do it now; another may know who leads.
-    Busy(String),
+/// What to do after a controller's answer.
+enum AnswerAction<T> {
+    /// Return the result to the caller.
+    Return(Result<T, ClientError>),
+    /// Try the next controller, because this one cannot carry out the request now. Contains the
+    /// reason in the answer. Another controller may know the leader.
+    TryNext(String),
 }
 
 impl Client {
-    /// `addresses` are tried in turn.
+    /// Creates a client that tries the addresses in the given order.
     pub fn new(addresses: Vec<SocketAddr>, key: String) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -85,7 +87,7 @@
         }
     }
 
-    /// All nodes, by name.
+    /// Returns all nodes, ordered by name.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -95,15 +97,16 @@
             let since = all.last().map_or("", |node| node.name.as_str());
             let path = format!("/operator/nodes?since={since}");
             let page: Nodes = self.request(Method::GET, &path, &()).await?;
-            let empty = page.nodes.is_empty();
+            let is_empty = page.nodes.is_empty();
             all.extend(page.nodes);
-            if !page.more || empty {
+            if !page.more || is_empty {
                 return Ok(all);
             }
         }
     }
 
-    /// Moves in progress and the last that ended, and why nothing moves for a job.
+    /// Returns the migrations in progress, the last ones that ended, and the jobs that wait for whole
+    /// workers.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -111,27 +114,28 @@
         self.request(Method::GET, "/operator/moves", &()).await
     }
 
-    /// Drains a node, and returns it as it is once the drain is stored. The same drain twice
-    /// does nothing more.
+    /// Drains a node. Returns the node after the drain is stored. Repeating the request has no further
+    /// effect.
     ///
     /// # Errors
-    /// [`ClientError::ConfirmationRequired`] if a protected class would be disturbed.
-    pub async fn drain(&self, node: &str, order: &DrainRequest) -> Result<Node, ClientError> {
+    /// [`ClientError::ConfirmationRequired`] if tasks of a protected class would be affected and the
+    /// request does not confirm it. Otherwise see [`ClientError`].
+    pub async fn drain(&self, node: &str, request: &DrainRequest) -> Result<Node, ClientError> {
         let path = node_path(node, "drain")?;
-        self.request(Method::POST, &path, order).await
+        self.request(Method::POST, &path, request).await
     }
 
-    /// Ends a drain, and returns the node as it is then.
+    /// Ends the drain of a node. Returns the node after that.
     ///
     /// # Errors
     /// See [`ClientError`].
     pub async fn undrain(&self, node: &str) -> Result<Node, ClientError> {
         let path = node_path(node, "undrain")?;
-        let order = DrainRequest::default();
-        self.request(Method::POST, &path, &order).await
+        let request = DrainRequest::default();
+        self.request(Method::POST, &path, &request).await
     }
 
-    /// Asks one controller after another until one has a final answer.
+    /// Sends a request to one controller after another until one gives a final answer.
     async fn request<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -142,18 +146,18 @@
             Method::GET => Vec::new(),
             _ => serde_json::to_vec(body).expect("plain data"),
         };
-        let mut busy = None;
+        let mut busy_reason = None;
         for &address in &self.addresses {
-            let answer = self.ask(&method, address, path, body.clone());
-            let Ok(Some(answer)) = tokio::time::timeout(DEADLINE, answer).await else {
+            let answer = self.send(&method, address, path, body.clone());
+            let Ok(Some(answer)) = tokio::time::timeout(REQUEST_TIMEOUT, answer).await else {
                 continue;
             };
             match answer.interpret() {
-                Interpreted::Final(result) => return result,
-                Interpreted::Busy(reason) => busy = Some(reason),
+                AnswerAction::Return(result) => return result,
+                AnswerAction::TryNext(reason) => busy_reason = Some(reason),
             }
         }
-        Err(match busy {
+        Err(match busy_reason {
             Some(reason) => ClientError::Busy(reason),
             None => ClientError::Unreachable(self.address_list()),
         })
@@ -164,7 +168,8 @@
         addresses.join(", ")
     }
 
-    async fn ask(
+    /// Sends a request to one controller. Returns `None` if it gives no complete answer.
+    async fn send(
         &self,
         method: &Method,
         address: SocketAddr,
@@ -187,23 +192,25 @@
 }
 
 impl Answer {
-    fn interpret<T: DeserializeOwned>(&self) -> Interpreted<T> {
-        Interpreted::Final(match self.status {
+    fn interpret<T: DeserializeOwned>(&self) -> AnswerAction<T> {
+        AnswerAction::Return(match self.status {
             200 => serde_json::from_slice(&self.body)
                 .map_err(|error| self.unexpected(error.to_string())),
             401 => Err(ClientError::Unauthorized),
-            404 if self.reason() == SWITCHED_OFF => Err(ClientError::SwitchedOff),
+            404 if self.reason() == ENDPOINTS_DISABLED_REASON => {
+                Err(ClientError::EndpointsDisabled)
+            }
             404 => Err(ClientError::NotFound(self.reason())),
             409 => Err(match serde_json::from_slice(&self.body) {
-                Ok(confirm) => ClientError::ConfirmationRequired(confirm),
+                Ok(required) => ClientError::ConfirmationRequired(required),
                 Err(_) => self.unexpected(self.reason()),
             }),
-            503 => return Interpreted::Busy(self.reason()),
+            503 => return AnswerAction::TryNext(self.reason()),
             _ => Err(self.unexpected(self.reason())),
         })
     }
 
-    /// The `error` of the body.
+    /// Returns the `error` field of the body.
     fn reason(&self) -> String {
         let value: serde_json::Value = serde_json::from_slice(&self.body).unwrap_or_default();
         let reason = value["error"].as_str().unwrap_or("no reason given");
@@ -218,7 +225,8 @@
     }
 }
 
-/// Names of nodes stand in paths as they are; one that could not is no node's.
+/// Returns the path of a request about a node. Names are inserted without escaping, so a name with
+/// other characters is rejected: no node has such a name.
 fn node_path(node: &str, verb: &str) -> Result<String, ClientError> {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._:".contains(&byte);
     if node.is_empty() || !node.bytes().all(is_plain) {
--- a/crates/admin/src/table.rs
+++ b/crates/admin/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables for people. Scripts use `--json`.
+//! Formats answers as tables for people. Scripts should use `--json`.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::views::{Move, Moves, Node, NodeState, ResourceUsage, WaitingJob};
 
-/// In place of a value that is not known.
+/// Shown in place of an unknown value.
 const UNKNOWN: &str = "-";
 
 const NODE_HEADER: [&str; 13] = [
@@ -33,23 +33,23 @@
     "WHY NOTHING MOVES",
 ];
 
-/// One line for each node.
+/// Returns a table with one row for each node.
 pub fn nodes(nodes: &[Node]) -> String {
     let mut table = new_table(&NODE_HEADER);
     table.add_rows(nodes.iter().map(node_row));
     table.trim_fmt()
 }
 
-/// One line for each controller: the nodes whose heartbeats it answers, how many of them are
-/// ready, and their tasks.
+/// Returns a table with one row for each controller: the number of nodes whose heartbeats it answers,
+/// how many of them are ready, and the number of their tasks.
 pub fn by_shard_owner(nodes: &[Node]) -> String {
-    let mut shards: BTreeMap<&str, ShardTotals> = BTreeMap::new();
+    let mut totals_by_owner: BTreeMap<&str, ShardTotals> = BTreeMap::new();
     for node in nodes {
         let controller = node.controller.as_deref().unwrap_or(UNKNOWN);
-        shards.entry(controller).or_default().add(node);
+        totals_by_owner.entry(controller).or_default().add(node);
     }
     let mut table = new_table(&SHARD_OWNER_HEADER);
-    for (controller, totals) in shards {
+    for (controller, totals) in totals_by_owner {
         table.add_row([
             controller.to_string(),
             totals.nodes.to_string(),
@@ -60,7 +60,8 @@
     table.trim_fmt()
 }
 
-/// One line for each move, and below them one for each job that waits for whole workers.
+/// Returns a table with one row for each migration, and below it a table with one row for each job
+/// that waits for whole workers.
 pub fn moves(moves: &Moves) -> String {
     let mut text = String::new();
     if !moves.enabled {
@@ -111,14 +112,14 @@
     ]
 }
 
-fn move_row(one: &Move) -> [String; 6] {
+fn move_row(migration: &Move) -> [String; 6] {
     [
-        one.task.clone(),
-        one.from.clone(),
-        one.to.clone(),
-        one.purpose.clone(),
-        one.state.clone(),
-        seconds(Some(one.age_s)),
+        migration.task.clone(),
+        migration.from.clone(),
+        migration.to.clone(),
+        migration.purpose.clone(),
+        migration.state.clone(),
+        seconds(Some(migration.age_s)),
     ]
 }
 
@@ -141,7 +142,7 @@
     format!("{}/{}", decimal(usage.used), decimal(usage.capacity))
 }
 
-/// One digit, and none where it would be 0.
+/// Formats a number with one decimal place, or with none if that digit would be 0.
 fn decimal(value: f64) -> String {
     let text = format!("{value:.1}");
     text.strip_suffix(".0").map_or(text.clone(), str::to_string)
--- a/crates/admin/src/views.rs
+++ b/crates/admin/src/views.rs
@@ -1,49 +1,49 @@
-//! The JSON of the operators' endpoints. Times are in seconds; a field that is not
-//! known is left out.
+//! The JSON types of the operators' endpoints. Times are in seconds. Fields with unknown values are
+//! omitted.
 
 use serde::{Deserialize, Serialize};
 
-/// `GET /operator/nodes?since=NAME`: by name, beginning after `since`.
+/// The answer to `GET /operator/nodes?since=NAME`: one page of nodes whose names follow `since`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Nodes {
-    /// At most a page of them.
+    /// The nodes, ordered by name.
     pub nodes: Vec<Node>,
-    /// There are more after the last of these.
+    /// Whether more nodes follow the last one.
     pub more: bool,
 }
 
 /// A worker as operators see it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// The cloud's name of it.
+    /// The cloud's name for the node.
     pub name: String,
-    /// The cloud's name of its type.
+    /// The cloud's name for its machine type.
     pub machine_type: String,
-    /// Where it runs.
+    /// The zone in which it runs.
     pub zone: String,
-    /// Whether the cloud may reclaim it.
+    /// Whether it is a spot worker, which the cloud may reclaim.
     pub spot: bool,
-    /// How it is.
+    /// The state of the node.
     pub state: NodeState,
-    /// Tasks that run or may run on it.
+    /// The number of tasks that run or may run on it.
     pub tasks: u32,
-    /// Of those, tasks of protected classes.
+    /// The number of these tasks that belong to protected classes.
     pub protected: u32,
-    /// Tasks on their way off it.
+    /// The number of tasks that are being migrated off it.
     pub leaving: u32,
-    /// CPUs in use.
+    /// Its CPUs.
     pub cpus: ResourceUsage,
-    /// GPUs in use.
+    /// Its GPUs.
     pub gpus: ResourceUsage,
-    /// Memory in use.
+    /// Its memory in GB.
     pub memory_gb: ResourceUsage,
-    /// Time until what still runs on a draining node is stopped in order.
+    /// The time until the remaining tasks on a draining node are stopped with their grace period.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Time since its last heartbeat.
+    /// The time since its last heartbeat.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub heard_s: Option<f64>,
-    /// The controller that answers its heartbeats, where the workers are sharded.
+    /// The controller that answers its heartbeats, if sharding is on.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub controller: Option<String>,
 }
@@ -51,37 +51,37 @@
 /// How much of a resource of a node is in use.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ResourceUsage {
-    /// What its tasks take.
+    /// The amount that its tasks use.
     pub used: f64,
-    /// What the node has.
+    /// The total amount of the node.
     #[serde(rename = "all")]
     pub capacity: f64,
 }
 
-/// The state of a node: the first of these that applies.
+/// The state of a node. If several apply, the first of them is shown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NodeState {
-    /// Being scaled in.
+    /// The node is being scaled in.
     Returning,
-    /// Its lease ran out, or this leader has had no heartbeat of it.
+    /// The node's lease has expired, or this leader has not received a heartbeat from it.
     Lost,
-    /// Its heartbeat is late.
+    /// The node's heartbeat is late.
     Late,
-    /// Draining, and nothing is on it any more.
+    /// The node is draining and runs no more tasks.
     Drained,
-    /// Takes no new tasks.
+    /// The node is draining: it takes no new tasks, but still runs some.
     Draining,
-    /// The cloud will take it back.
+    /// The cloud has announced that it will reclaim the node.
     Reclaimed,
-    /// Tasks fail on it that run well elsewhere.
+    /// The node takes no new tasks for a time, because tasks failed on it that succeed elsewhere.
     Quarantined,
-    /// Takes tasks.
+    /// The node takes new tasks.
     Ready,
 }
 
 impl NodeState {
-    /// The name in JSON and in tables.
+    /// Returns the name of the state in JSON and in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Returning => "returning",
@@ -96,65 +96,67 @@
     }
 }
 
-/// `POST /operator/nodes/NAME/drain`
+/// The body of `POST /operator/nodes/NAME/drain`.
+// `expecting` keeps the name that operators see in the error for a body that is not an object.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct DrainOrder")]
 pub struct DrainRequest {
-    /// What still runs after this time is stopped in order.
+    /// The time after which the remaining tasks are stopped with their grace period. `None` lets them
+    /// complete.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Drain it even if it holds tasks of a protected class.
+    /// Confirms the drain of a node that runs tasks of a protected class.
     pub yes: bool,
 }
 
-/// The answer 409 to a drain that must be confirmed.
+/// The body of the answer with status 409 to a drain that must be confirmed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfirmationRequired {
-    /// Why.
+    /// Why the drain must be confirmed.
     pub error: String,
-    /// Jobs of protected classes with tasks on the node.
+    /// The identifiers of jobs of protected classes with tasks on the node.
     pub protected: Vec<String>,
 }
 
-/// `GET /operator/moves`
+/// The answer to `GET /operator/moves`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Moves {
-    /// Whether tasks are moved to make room for whole-worker tasks.
+    /// Whether tasks are migrated to free whole workers.
     pub enabled: bool,
-    /// Those in progress.
+    /// The migrations in progress.
     pub live: Vec<Move>,
-    /// The last ones that ended, the newest first.
+    /// The last migrations that ended, newest first.
     pub recent: Vec<Move>,
-    /// Jobs that wait for whole workers, and why nothing is moved for them.
+    /// The jobs that wait for whole workers, and why no task is migrated for them.
     pub waiting: Vec<WaitingJob>,
 }
 
 /// A migration of a task.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Move {
-    /// As in `wk-000412/3`.
+    /// The identifier of the task, such as `wk-000412/3`.
     pub task: String,
-    /// The node that it leaves.
+    /// The node that the task leaves.
     pub from: String,
-    /// The node that it goes to.
+    /// The node to which the task is migrated.
     pub to: String,
-    /// The job that waits for the worker, or `drain`.
+    /// The job that waits for the worker that the task leaves, or `drain`.
     pub purpose: String,
-    /// Its stage, or how it ended.
+    /// The stage of the migration, or how it ended.
     pub state: String,
-    /// Time since it began.
+    /// The time since the migration began.
     pub age_s: f64,
 }
 
 /// A job that waits for whole workers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WaitingJob {
-    /// Its id and class.
+    /// The identifier and the class of the job.
     pub job: String,
-    /// Its tasks that wait.
+    /// The number of waiting tasks.
     pub tasks: u32,
-    /// Time since this leader learned of it.
+    /// The time since this leader learned of the job.
     pub waited_s: f64,
-    /// Why nothing is moved for it.
+    /// Why no task is migrated for it.
     pub reason: String,
 }
--- a/crates/admin/tests/command_line.rs
+++ b/crates/admin/tests/command_line.rs
@@ -1,9 +1,10 @@
-//! The words of the command line are published: renaming a field must not rename a flag.
+//! Tests that renaming a field or variant does not rename a published flag or subcommand: clap derives
+//! their names from the source by default.
 
 use clap::{Command, Subcommand};
 
-/// Every subcommand with its arguments as they are typed, positional ones in capitals.
-fn words() -> Vec<String> {
+/// Returns each subcommand with its arguments as they are typed. Positional arguments are in capitals.
+fn subcommands_with_arguments() -> Vec<String> {
     let command = copperfield_admin::cli::Command::augment_subcommands(Command::new("copperfield"));
     command
         .get_subcommands()
@@ -21,7 +22,7 @@
 #[test]
 fn subcommands_and_flags_keep_their_published_names() {
     assert_eq!(
-        words(),
+        subcommands_with_arguments(),
         [
             "nodes --by-holder --address --key-file --json",
             "drain NODE --deadline --yes --address --key-file --json",
--- a/crates/admin/tests/pinned_bytes.rs
+++ b/crates/admin/tests/pinned_bytes.rs
@@ -1,5 +1,6 @@
-//! The operators' JSON and tables as an earlier build wrote them, kept as files under
-//! `tests/pinned`. The files are never made anew: a difference is a change of the interface.
+//! Tests that the operators' JSON and tables are the same as those of an earlier build, which are kept
+//! in `tests/pinned`. The files are never regenerated, because a difference is a change of the
+//! interface.
 
 use std::path::PathBuf;
 
@@ -13,62 +14,62 @@
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-fn check_text(file: &str, made: &str) {
-    assert_eq!(pinned(file), made, "{file}");
+fn assert_text(file: &str, actual: &str) {
+    assert_eq!(pinned(file), actual, "{file}");
 }
 
 fn read<T: DeserializeOwned>(file: &str) -> T {
     serde_json::from_str(&pinned(file)).unwrap_or_else(|e| panic!("{file}: {e}"))
 }
 
-/// Reads a file and writes it back, to the same bytes.
-fn check<T: Serialize + DeserializeOwned>(file: &str) {
+/// Asserts that the contents of a file parse and serialize to the same bytes.
+fn assert_round_trip<T: Serialize + DeserializeOwned>(file: &str) {
     let value: T = read(file);
-    let again = serde_json::to_string_pretty(&value).expect("plain data");
-    check_text(file, &format!("{again}\n"));
+    let serialized = serde_json::to_string_pretty(&value).expect("plain data");
+    assert_text(file, &format!("{serialized}\n"));
 }
 
 #[test]
-fn bodies_are_read_and_written_back() {
-    check::<Nodes>("nodes.json");
-    check::<Nodes>("nodes_none.json");
-    check::<DrainRequest>("drain.json");
-    check::<DrainRequest>("drain_default.json");
-    check::<ConfirmationRequired>("confirm.json");
-    check::<Moves>("moves.json");
-    check::<Moves>("moves_none.json");
+fn bodies_round_trip_unchanged() {
+    assert_round_trip::<Nodes>("nodes.json");
+    assert_round_trip::<Nodes>("nodes_none.json");
+    assert_round_trip::<DrainRequest>("drain.json");
+    assert_round_trip::<DrainRequest>("drain_default.json");
+    assert_round_trip::<ConfirmationRequired>("confirm.json");
+    assert_round_trip::<Moves>("moves.json");
+    assert_round_trip::<Moves>("moves_none.json");
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn omitted_fields_have_their_defaults() {
     let empty: DrainRequest = read("drain_empty.json");
-    let again = serde_json::to_string_pretty(&empty).expect("plain data");
-    check_text("drain_default.json", &format!("{again}\n"));
+    let serialized = serde_json::to_string_pretty(&empty).expect("plain data");
+    assert_text("drain_default.json", &format!("{serialized}\n"));
 }
 
 #[test]
-fn what_is_wrong_is_refused() {
-    let unknown = serde_json::from_str::<DrainRequest>(&pinned("drain_unknown.json"));
-    let unknown = unknown.expect_err("an unknown name").to_string();
-    check_text("drain_unknown.txt", &format!("{unknown}\n"));
-    let state = serde_json::from_str::<Node>(&pinned("node_unknown.json"));
-    let state = state.expect_err("an unknown state").to_string();
-    check_text("node_unknown.txt", &format!("{state}\n"));
+fn unknown_names_are_refused_with_the_published_text() {
+    let drain = serde_json::from_str::<DrainRequest>(&pinned("drain_unknown.json"));
+    let error = drain.expect_err("an unknown field").to_string();
+    assert_text("drain_unknown.txt", &format!("{error}\n"));
+    let node = serde_json::from_str::<Node>(&pinned("node_unknown.json"));
+    let error = node.expect_err("an unknown state").to_string();
+    assert_text("node_unknown.txt", &format!("{error}\n"));
 }
 
 #[test]
-fn tables_for_people_stay() {
+fn tables_are_unchanged() {
     let nodes = read::<Nodes>("nodes.json").nodes;
-    check_text("nodes.txt", &format!("{}\n", table::nodes(&nodes)));
-    check_text(
+    assert_text("nodes.txt", &format!("{}\n", table::nodes(&nodes)));
+    assert_text(
         "by_holder.txt",
         &format!("{}\n", table::by_shard_owner(&nodes)),
     );
-    check_text("nodes_none.txt", &format!("{}\n", table::nodes(&[])));
-    for (from, to) in [
+    assert_text("nodes_none.txt", &format!("{}\n", table::nodes(&[])));
+    for (json_file, table_file) in [
         ("moves.json", "moves.txt"),
         ("moves_none.json", "moves_none.txt"),
     ] {
-        check_text(to, &format!("{}\n", table::moves(&read(from))));
+        assert_text(table_file, &format!("{}\n", table::moves(&read(json_file))));
     }
 }
