--- a/src/coordination/cancellation.rs
+++ b/src/coordination/cancellation.rs
@@ -14,21 +14,21 @@
         if let Some(outcome) = self.jobs.outcome(id) {
             return CancelDecision::Terminal(outcome);
         }
-        let Some(ix) = self.jobs.index_of(id) else {
+        let Some(job_index) = self.jobs.index_of(id) else {
             self.jobs.record_early_cancellation(id);
             return CancelDecision::Go { done: 0 };
         };
-        match self.jobs[ix].state {
+        match self.jobs[job_index].state {
             JobState::Terminal(outcome) => CancelDecision::Terminal(outcome),
             JobState::Finishing => CancelDecision::Busy,
             JobState::Live | JobState::Cancelling => {
-                self.jobs[ix].begin_cancelling(self.now);
+                self.jobs[job_index].begin_cancelling(self.now);
                 // Tasks are stopped before the cancellation is stored. The outcome of that write
                 // may stay unknown during an outage of the state service, although another
                 // controller has read the cancellation and confirmed it to the user.
-                self.stop_all_instances(ix);
+                self.stop_all_instances(job_index);
                 CancelDecision::Go {
-                    done: self.jobs[ix].done,
+                    done: self.jobs[job_index].done,
                 }
             }
         }
@@ -41,11 +41,11 @@
             return self.end_job(id, outcome);
         }
         // No outcome is stored because the job was never accepted, so there is nothing to stop.
-        if let Some(ix) = self.jobs.index_of(id)
-            && self.jobs[ix].state == JobState::Cancelling
+        if let Some(job_index) = self.jobs.index_of(id)
+            && self.jobs[job_index].state == JobState::Cancelling
         {
-            self.jobs[ix].resume();
-            self.finish_if_done(ix);
+            self.jobs[job_index].resume();
+            self.finish_if_done(job_index);
         }
     }
 }
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -112,8 +112,8 @@
             self.restore_registry(page);
         }
         self.restore_fencing(snapshot.fencing, snapshot.vote_binding_until);
-        for ix in self.jobs.indices() {
-            self.finish_if_done(ix);
+        for job_index in self.jobs.indices() {
+            self.finish_if_done(job_index);
         }
     }
 
@@ -218,7 +218,11 @@
         if let Some(end) = self.jobs.outcome(id) {
             return Lookup::Terminal(end);
         }
-        match self.jobs.index_of(id).map(|ix| &self.jobs[ix]) {
+        match self
+            .jobs
+            .index_of(id)
+            .map(|job_index| &self.jobs[job_index])
+        {
             Some(job) if job.state == JobState::Live => Lookup::Live {
                 phase: if job.running > 0 {
                     Phase::Running
--- a/src/coordination/demand_log.rs
+++ b/src/coordination/demand_log.rs
@@ -77,10 +77,10 @@
     /// Returns the supply by instance type, zone and whether the workers are spot workers.
     fn supply(&self) -> BTreeMap<(u32, u32, bool), Supply> {
         let mut pools: BTreeMap<(u32, u32, bool), Supply> = BTreeMap::new();
-        for (m, worker) in self.workers.iter() {
+        for (worker_index, worker) in self.workers.iter() {
             let pool = (worker.instance_type, worker.zone, worker.spot);
             let supply = pools.entry(pool).or_default();
-            let usable = self.worker_usable(m);
+            let usable = self.worker_usable(worker_index);
             supply.all += 1;
             supply.usable += u32::from(usable);
             supply.empty += u32::from(usable && worker.used == Resources::default());
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -71,11 +71,11 @@
 
 impl Core {
     /// Sends a worker a probe, which asks it for a heartbeat.
-    pub(super) fn send_probe(&mut self, m: u32) {
+    pub(super) fn send_probe(&mut self, worker_index: u32) {
         let message_id = self.new_message_id();
-        self.workers[m].next_message_at = self.now + PROBE_INTERVAL_S;
-        let via = self.record_in_flight(m, message_id, Vec::new(), false);
-        let worker = &self.workers[m];
+        self.workers[worker_index].next_message_at = self.now + PROBE_INTERVAL_S;
+        let via = self.record_in_flight(worker_index, message_id, Vec::new(), false);
+        let worker = &self.workers[worker_index];
         self.effects.push(Effect::RequestHeartbeat {
             worker: worker.name.clone(),
             address: worker.address.clone(),
@@ -97,16 +97,16 @@
     /// that delivers it, if it is another one.
     fn record_in_flight(
         &mut self,
-        m: u32,
+        worker_index: u32,
         message_id: u64,
         starts: Vec<InstanceId>,
         has_commands: bool,
     ) -> Option<u32> {
-        let via = self.relay_for(m);
+        let via = self.relay_for(worker_index);
         if via.is_some() {
-            self.record_relayed_message(m, message_id);
+            self.record_relayed_message(worker_index, message_id);
         }
-        self.workers[m].in_flight = Some(InFlightMessage {
+        self.workers[worker_index].in_flight = Some(InFlightMessage {
             id: message_id,
             sent_at: self.now,
             starts,
@@ -135,11 +135,14 @@
         let mut load = self.in_flight_load();
         let mut remaining_units = (MAX_RECENT_IN_FLIGHT * OWN_COST).saturating_sub(load.recent);
         if due.len() * OWN_COST > remaining_units {
-            let zone_rank =
-                |m: u32| load.old_by_zone[self.workers[m].zone as usize] / OLD_MESSAGES_STEP;
-            due.sort_by_key(|&(reason, m)| (reason, zone_rank(m), m));
+            let zone_rank = |worker_index: u32| {
+                load.old_by_zone[self.workers[worker_index].zone as usize] / OLD_MESSAGES_STEP
+            };
+            due.sort_by_key(|&(reason, worker_index)| {
+                (reason, zone_rank(worker_index), worker_index)
+            });
         }
-        for (reason, m) in due {
+        for (reason, worker_index) in due {
             if remaining_units == 0 {
                 return;
             }
@@ -149,8 +152,8 @@
                 }
                 load.to_unresponsive += 1;
             }
-            self.send_message(m);
-            let message = &self.workers[m].in_flight;
+            self.send_message(worker_index);
+            let message = &self.workers[worker_index].in_flight;
             remaining_units =
                 remaining_units.saturating_sub(message.as_ref().map_or(OWN_COST, window_cost));
         }
@@ -159,11 +162,11 @@
     /// The workers to which a message is due, and the reasons, in the order of worker indices.
     fn workers_with_due_message(&mut self) -> Vec<(SendReason, u32)> {
         let mut due = Vec::new();
-        for m in self.workers.indices() {
-            if self.workers[m].in_flight.is_none()
-                && let Some(reason) = self.reason_to_send(m)
+        for worker_index in self.workers.indices() {
+            if self.workers[worker_index].in_flight.is_none()
+                && let Some(reason) = self.reason_to_send(worker_index)
             {
-                due.push((reason, m));
+                due.push((reason, worker_index));
             }
         }
         due
@@ -172,12 +175,12 @@
     /// Sends a worker its commands, or a probe if it has not reported to this leader yet. Commands
     /// wait three times as long for an answer as probes do, so sending commands first would detect
     /// an unreachable worker a second later.
-    fn send_message(&mut self, m: u32) {
-        let worker = &self.workers[m];
+    fn send_message(&mut self, worker_index: u32) {
+        let worker = &self.workers[worker_index];
         if worker.may_be_alive() && worker.reconciled {
-            self.send_commands(m);
+            self.send_commands(worker_index);
         } else {
-            self.send_probe(m);
+            self.send_probe(worker_index);
         }
     }
 
@@ -206,9 +209,9 @@
     }
 
     /// Why a message is due to a worker, if one is.
-    fn reason_to_send(&mut self, m: u32) -> Option<SendReason> {
-        let unresponsive = self.is_unresponsive(m);
-        let worker = &self.workers[m];
+    fn reason_to_send(&mut self, worker_index: u32) -> Option<SendReason> {
+        let unresponsive = self.is_unresponsive(worker_index);
+        let worker = &self.workers[worker_index];
         let message_allowed = worker.next_message_at <= self.now;
         let unreconciled =
             worker.known_to_predecessor && !worker.reconciled && !self.reconciliation.is_complete();
@@ -224,12 +227,12 @@
         }
         let commands_unanswered = worker.commands_unanswered;
         if unresponsive || worker.fenced || commands_unanswered {
-            self.cancel_queued_starts(m);
+            self.cancel_queued_starts(worker_index);
         }
         if unresponsive || !message_allowed {
             return None;
         }
-        let worker = &self.workers[m];
+        let worker = &self.workers[worker_index];
         if commands_unanswered && worker.outbox.is_empty() {
             return Some(SendReason::ProbeUnresponsive);
         }
@@ -242,7 +245,11 @@
 
     fn command_urgency(&self, command: &Command) -> SendReason {
         match command.verb {
-            Verb::Start => match self.jobs.index_of(command.job).map(|ix| &self.jobs[ix]) {
+            Verb::Start => match self
+                .jobs
+                .index_of(command.job)
+                .map(|job_index| &self.jobs[job_index])
+            {
                 Some(job) if job.is_service() => SendReason::Replica,
                 Some(job) if job.spec.priority >= Priority::High => SendReason::Urgent,
                 _ => SendReason::Other,
@@ -252,10 +259,13 @@
         }
     }
 
-    fn send_commands(&mut self, m: u32) {
+    fn send_commands(&mut self, worker_index: u32) {
         let message_id = self.new_message_id();
-        let commands =
-            self.take_queued_commands(m, MAX_COMMANDS, StartDelivery::Direct { message_id });
+        let commands = self.take_queued_commands(
+            worker_index,
+            MAX_COMMANDS,
+            StartDelivery::Direct { message_id },
+        );
         let starts = commands
             .iter()
             .filter(|command| command.verb == Verb::Start)
@@ -267,8 +277,8 @@
                 })
             })
             .collect();
-        let via = self.record_in_flight(m, message_id, starts, true);
-        let worker = &self.workers[m];
+        let via = self.record_in_flight(worker_index, message_id, starts, true);
+        let worker = &self.workers[worker_index];
         let stops = commands.iter().filter(|command| is_stop(command)).count();
         let log = &mut self.reconciliation.lease_log;
         log.record_direct_stops(self.now, &worker.name, message_id, via, stops);
--- a/src/coordination/drains/admin.rs
+++ b/src/coordination/drains/admin.rs
@@ -67,7 +67,7 @@
     /// Returns the view of a worker, which may be a draining worker that this leader does not know.
     fn node_view_by_name(&self, name: &str) -> views::Node {
         match self.workers.index_of(name) {
-            Some(m) => self.node_view(m),
+            Some(worker_index) => self.node_view(worker_index),
             None => unknown_node_view(name),
         }
     }
@@ -91,8 +91,8 @@
         }
     }
 
-    fn node_view(&self, m: u32) -> views::Node {
-        let worker = &self.workers[m];
+    fn node_view(&self, worker_index: u32) -> views::Node {
+        let worker = &self.workers[worker_index];
         let instances = || {
             let listed = worker.instances.iter();
             listed.filter(|(_, instance)| instance.may_exist())
@@ -116,7 +116,7 @@
             machine_type: self.types.names.name(worker.instance_type).to_string(),
             zone: self.zones.name(worker.zone).to_string(),
             spot: worker.spot,
-            state: self.node_state(m),
+            state: self.node_state(worker_index),
             tasks: instances().count() as u32,
             protected: instances()
                 .filter(|(id, _)| self.jobs[id.job].protected)
@@ -127,18 +127,18 @@
             memory_gb: usage(2),
             deadline_s: deadline.map(|time| (time - self.now).max(0.0)),
             heard_s: worker.last_heartbeat_at.map(|time| self.now - time),
-            controller: self.answering_controller(m).map(str::to_string),
+            controller: self.answering_controller(worker_index).map(str::to_string),
         }
     }
 
-    fn node_state(&self, m: u32) -> views::NodeState {
-        let worker = &self.workers[m];
+    fn node_state(&self, worker_index: u32) -> views::NodeState {
+        let worker = &self.workers[worker_index];
         let is_empty = || !worker.instances.values().any(TaskInstance::may_exist);
         if worker.scaling_in {
             views::NodeState::Returning
         } else if worker.incarnation <= worker.expired_incarnation {
             views::NodeState::Lost
-        } else if self.is_unresponsive(m) {
+        } else if self.is_unresponsive(worker_index) {
             views::NodeState::Late
         } else if worker.draining && is_empty() {
             views::NodeState::Drained
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -28,8 +28,8 @@
 impl Core {
     /// Restores a drain that an earlier leader stored.
     pub(super) fn restore_drain(&mut self, stored: StoredDrain) {
-        if let Some(m) = self.workers.index_of(&stored.worker) {
-            self.workers[m].draining = true;
+        if let Some(worker_index) = self.workers.index_of(&stored.worker) {
+            self.workers[worker_index].draining = true;
         }
         let drain = Drain {
             // If the record is unreadable, the worker keeps draining, and the next request for this
@@ -55,10 +55,10 @@
         confirmed: bool,
         unix_ms: u64,
     ) {
-        let Some(m) = self.workers.index_of(&name) else {
+        let Some(worker_index) = self.workers.index_of(&name) else {
             return self.answer_unknown_node(ticket, &name);
         };
-        let protected = self.protected_jobs_on(m);
+        let protected = self.protected_jobs_on(worker_index);
         if !protected.is_empty() && !confirmed {
             let error = format!("{name} holds tasks of a protected class");
             let protected = protected.into_iter().take(PAGE_SIZE).collect();
@@ -82,10 +82,10 @@
         drain.deadline = deadline_s.map(|s| now + s);
         drain.waiting_tickets.push(ticket);
         drain.write_due |= !unchanged;
-        self.workers[m].draining = true;
-        self.cancel_queued_starts(m);
+        self.workers[worker_index].draining = true;
+        self.cancel_queued_starts(worker_index);
         if unchanged {
-            let name = self.workers[m].name.clone();
+            let name = self.workers[worker_index].name.clone();
             self.answer_waiting_tickets(&name);
         }
     }
@@ -154,8 +154,8 @@
 
     /// Ends a drain after its end was stored, and answers the operators that wait for it.
     fn end_drain(&mut self, name: &str) {
-        if let Some(m) = self.workers.index_of(name) {
-            self.workers[m].draining = false;
+        if let Some(worker_index) = self.workers.index_of(name) {
+            self.workers[worker_index].draining = false;
         }
         let tickets = self.drains.remove(name).map(|drain| drain.waiting_tickets);
         for ticket in tickets.unwrap_or_default() {
@@ -181,36 +181,40 @@
             .filter(|(_, drain)| drain.record.is_some())
             .filter_map(|(name, drain)| Some((self.workers.index_of(name)?, drain.deadline)))
             .collect();
-        for (m, deadline) in draining {
+        for (worker_index, deadline) in draining {
             if deadline.is_some_and(|time| time <= self.now) {
-                self.stop_remaining_instances(m);
-            } else if !self.is_unresponsive(m) {
-                self.migrate_off_draining_worker(m);
+                self.stop_remaining_instances(worker_index);
+            } else if !self.is_unresponsive(worker_index) {
+                self.migrate_off_draining_worker(worker_index);
             }
         }
     }
 
     /// Stops all task instances on a worker that are not being stopped already.
-    fn stop_remaining_instances(&mut self, m: u32) {
-        let ids: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
+    fn stop_remaining_instances(&mut self, worker_index: u32) {
+        let ids: Vec<InstanceId> = self.workers[worker_index]
+            .instances
+            .keys()
+            .copied()
+            .collect();
         for id in ids {
-            let instance = self.workers[m].instances.get(&id);
+            let instance = self.workers[worker_index].instances.get(&id);
             if instance.is_some_and(|instance| instance.may_exist() && instance.stop.is_none()) {
-                self.stop_gracefully(m, id);
+                self.stop_gracefully(worker_index, id);
             }
         }
     }
 
     /// Returns the protected jobs that may have tasks on a worker, as shown to operators.
-    fn protected_jobs_on(&self, m: u32) -> Vec<String> {
-        let instances = self.workers[m].instances.iter();
+    fn protected_jobs_on(&self, worker_index: u32) -> Vec<String> {
+        let instances = self.workers[worker_index].instances.iter();
         let mut jobs: Vec<u32> = instances
             .filter(|(id, instance)| instance.may_exist() && self.jobs[id.job].protected)
             .map(|(id, _)| id.job)
             .collect();
         jobs.dedup();
-        let describe = |ix: u32| {
-            let spec = &self.jobs[ix].spec;
+        let describe = |job_index: u32| {
+            let spec = &self.jobs[job_index].spec;
             format!("{} ({})", spec.id, spec.class)
         };
         jobs.into_iter().map(describe).collect()
--- a/src/coordination/fencing/mod.rs
+++ b/src/coordination/fencing/mod.rs
@@ -59,8 +59,8 @@
                 .workers
                 .map(|all| all.into_iter().map(answered).collect());
             for worker in workers.iter().flatten() {
-                if let Some(m) = self.workers.index_of(&worker.name) {
-                    self.workers[m].answered_at = Some(worker.answered_at);
+                if let Some(worker_index) = self.workers.index_of(&worker.name) {
+                    self.workers[worker_index].answered_at = Some(worker.answered_at);
                     restored += 1;
                 }
             }
@@ -134,11 +134,11 @@
     /// Otherwise the answer is deferred until the worker's removal from the record is stored.
     pub(super) fn defer_if_fenced(
         &mut self,
-        m: u32,
+        worker_index: u32,
         ticket: u64,
         heartbeat: Heartbeat,
     ) -> Option<Heartbeat> {
-        let worker = &mut self.workers[m];
+        let worker = &mut self.workers[worker_index];
         worker.last_heartbeat_at = Some(self.now);
         worker.reported_at = Some(self.now);
         self.fencing.release(&worker.name, self.now);
@@ -162,9 +162,9 @@
     }
 
     /// Removes a worker from the record that certainly has no task instances any more.
-    pub(super) fn unfence_worker(&mut self, m: u32) {
+    pub(super) fn unfence_worker(&mut self, worker_index: u32) {
         let due = self.now + RELEASE_DELAY_S;
-        self.fencing.release(&self.workers[m].name, due);
+        self.fencing.release(&self.workers[worker_index].name, due);
     }
 
     /// Adds the pages that are due to a batch. Their workers are fenced from now on.
@@ -173,8 +173,8 @@
         for page in self.fencing.begin_due_writes(self.now, limit) {
             let mut bytes = 0;
             for entry in &page.entries {
-                if let Some(m) = self.workers.index_of(&entry.worker) {
-                    self.workers[m].fenced = true;
+                if let Some(worker_index) = self.workers.index_of(&entry.worker) {
+                    self.workers[worker_index].fenced = true;
                 }
                 bytes += entry.worker.len() + ENTRY_OVERHEAD_BYTES;
             }
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -21,8 +21,8 @@
 impl Core {
     /// Updates the arrival rate of the job's large-task profile, which is added if it is new.
     /// Returns the index of the profile, or `None` if the job's tasks are not large.
-    pub(super) fn record_large_task_arrival(&mut self, ix: u32) -> Option<u32> {
-        let job = &self.jobs[ix];
+    pub(super) fn record_large_task_arrival(&mut self, job_index: u32) -> Option<u32> {
+        let job = &self.jobs[job_index];
         let smallest_share = self
             .types
             .descriptions
@@ -64,8 +64,12 @@
     }
 
     /// Returns whether tasks of a profile may run on a worker and fit on it when it is empty.
-    pub(super) fn worker_suits_profile(&self, profile: &LargeTaskProfile, m: u32) -> bool {
-        let worker = &self.workers[m];
+    pub(super) fn worker_suits_profile(
+        &self,
+        profile: &LargeTaskProfile,
+        worker_index: u32,
+    ) -> bool {
+        let worker = &self.workers[worker_index];
         profile
             .types
             .as_ref()
@@ -79,20 +83,23 @@
     }
 
     /// Returns whether a worker lists a task of a profile.
-    fn worker_holds_profile(&self, profile: u32, m: u32) -> bool {
-        let mut instances = self.workers[m].instances.keys();
+    fn worker_holds_profile(&self, profile: u32, worker_index: u32) -> bool {
+        let mut instances = self.workers[worker_index].instances.keys();
         instances.any(|k| self.jobs[k.job].large_task_profile == Some(profile))
     }
 
     /// Updates which workers are reserved for each large-task profile. A worker stays reserved
     /// while it is usable and its profile's forecast needs it, so that it can become empty.
     pub(super) fn reserve_whole_workers(&mut self) {
-        for m in self.workers.indices() {
-            if let Some(profile) = self.workers[m].reserved_for
-                && !(self.worker_usable(m)
-                    && self.worker_suits_profile(&self.large_task_profiles[profile as usize], m))
+        for worker_index in self.workers.indices() {
+            if let Some(profile) = self.workers[worker_index].reserved_for
+                && !(self.worker_usable(worker_index)
+                    && self.worker_suits_profile(
+                        &self.large_task_profiles[profile as usize],
+                        worker_index,
+                    ))
             {
-                self.workers[m].reserved_for = None;
+                self.workers[worker_index].reserved_for = None;
             }
         }
         for profile in 0..self.large_task_profiles.len() as u32 {
@@ -102,17 +109,17 @@
                 .workers
                 .iter()
                 .filter(|(_, worker)| worker.reserved_for == Some(profile))
-                .map(|(m, _)| m)
+                .map(|(worker_index, _)| worker_index)
                 .collect();
             while reserved.len() > expected {
-                let m = reserved.pop().expect("more than expected");
-                self.workers[m].reserved_for = None;
+                let worker_index = reserved.pop().expect("more than expected");
+                self.workers[worker_index].reserved_for = None;
             }
             // A worker that holds a task of the profile no longer needs the reservation.
-            for m in reserved.clone() {
-                if self.worker_holds_profile(profile, m) {
-                    self.workers[m].reserved_for = None;
-                    reserved.retain(|&r| r != m);
+            for worker_index in reserved.clone() {
+                if self.worker_holds_profile(profile, worker_index) {
+                    self.workers[worker_index].reserved_for = None;
+                    reserved.retain(|&r| r != worker_index);
                 }
             }
             if reserved.len() >= expected {
@@ -123,18 +130,24 @@
                 .workers
                 .indices()
                 .into_iter()
-                .filter(|&m| {
-                    self.worker_usable(m)
-                        && self.workers[m].reserved_for.is_none()
-                        && self.workers[m].reservations.is_empty()
-                        && self.worker_suits_profile(&self.large_task_profiles[profile as usize], m)
-                        && !self.worker_holds_profile(profile, m)
+                .filter(|&worker_index| {
+                    self.worker_usable(worker_index)
+                        && self.workers[worker_index].reserved_for.is_none()
+                        && self.workers[worker_index].reservations.is_empty()
+                        && self.worker_suits_profile(
+                            &self.large_task_profiles[profile as usize],
+                            worker_index,
+                        )
+                        && !self.worker_holds_profile(profile, worker_index)
+                })
+                .filter_map(|worker_index| {
+                    self.seconds_until_room(&needs, worker_index)
+                        .map(|t| (t, worker_index))
                 })
-                .filter_map(|m| self.seconds_until_room(&needs, m).map(|t| (t, m)))
                 .collect();
             candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            for (_, m) in candidates.into_iter().take(expected - reserved.len()) {
-                self.workers[m].reserved_for = Some(profile);
+            for (_, worker_index) in candidates.into_iter().take(expected - reserved.len()) {
+                self.workers[worker_index].reserved_for = Some(profile);
             }
         }
     }
@@ -144,10 +157,14 @@
     /// Jobs of the profile itself, jobs of a higher priority and jobs within their team's quota may
     /// use these resources. So may jobs of a lower priority, as they are preempted when a task of
     /// the profile needs the resources.
-    pub(super) fn withheld_resources(&self, m: u32, ix: u32) -> Option<Resources> {
-        let reserved_for = self.workers[m].reserved_for?;
+    pub(super) fn withheld_resources(
+        &self,
+        worker_index: u32,
+        job_index: u32,
+    ) -> Option<Resources> {
+        let reserved_for = self.workers[worker_index].reserved_for?;
         let profile = &self.large_task_profiles[reserved_for as usize];
-        let may_use = self.jobs.get(ix).is_some_and(|j| {
+        let may_use = self.jobs.get(job_index).is_some_and(|j| {
             j.large_task_profile == Some(reserved_for)
                 || j.spec.priority != profile.priority
                 || j.within_quota
@@ -158,18 +175,18 @@
     /// Returns whether a task of a job would take so much of a worker that a large task, which
     /// could otherwise run there, no longer fits. Large tasks themselves never count as
     /// fragmenting.
-    pub(super) fn fragments_worker(&self, ix: u32, m: u32) -> bool {
-        let job = &self.jobs[ix];
+    pub(super) fn fragments_worker(&self, job_index: u32, worker_index: u32) -> bool {
+        let job = &self.jobs[job_index];
         if job.large_task_profile.is_some() {
             return false;
         }
-        let Some(kind) = self.types.get(self.workers[m].instance_type) else {
+        let Some(kind) = self.types.get(self.workers[worker_index].instance_type) else {
             return false;
         };
         if !self
             .large_task_profiles
             .iter()
-            .any(|profile| self.worker_suits_profile(profile, m))
+            .any(|profile| self.worker_suits_profile(profile, worker_index))
         {
             // No large task has needed such a worker yet. Replicas that start on the workers with
             // the most GPUs in the first seconds of a site would stay there permanently, so
@@ -188,7 +205,7 @@
         }
         // Only replicas of services are subtracted, as they do not end by themselves.
         let mut available = kind.capacity;
-        for key in self.workers[m].instances.keys() {
+        for key in self.workers[worker_index].instances.keys() {
             if self.jobs[key.job].is_service() {
                 available.sub(&self.jobs[key.job].spec.needs);
             }
@@ -197,7 +214,7 @@
         available_after.sub(&job.spec.needs);
         self.large_task_profiles.iter().any(|profile| {
             profile.rate_at(self.now) > MIN_ARRIVAL_RATE
-                && self.worker_suits_profile(profile, m)
+                && self.worker_suits_profile(profile, worker_index)
                 && profile.needs.fits_in(&available)
                 && !profile.needs.fits_in(&available_after)
         })
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -25,10 +25,10 @@
         if !job.is_gang() || job.spec.tasks == 1 || job.done > 0 {
             return;
         }
-        for m in self.workers.indices() {
-            for other in self.instances_of(m, key.job) {
+        for worker_index in self.workers.indices() {
+            for other in self.instances_of(worker_index, key.job) {
                 if other.attempt == key.attempt {
-                    self.stop_instance(m, other, 0.0);
+                    self.stop_instance(worker_index, other, 0.0);
                 }
             }
         }
@@ -38,20 +38,24 @@
     /// has reported. An earlier leader may have failed between two commands of a start or a stop.
     /// What is left of an incomplete attempt would occupy workers, and delay the next attempt,
     /// until its tasks give up waiting for their peers.
-    pub(super) fn abort_partial_attempts(&mut self, ix: u32) {
+    pub(super) fn abort_partial_attempts(&mut self, job_index: u32) {
         let mut tasks: BTreeMap<u64, BTreeSet<u32>> = BTreeMap::new();
-        for m in self.workers.indices() {
-            for key in self.instances_of(m, ix) {
-                if self.workers[m].instances[&key].may_exist() {
+        for worker_index in self.workers.indices() {
+            for key in self.instances_of(worker_index, job_index) {
+                if self.workers[worker_index].instances[&key].may_exist() {
                     tasks.entry(key.attempt).or_default().insert(key.task);
                 }
             }
         }
-        let all = self.jobs[ix].spec.tasks as usize;
+        let all = self.jobs[job_index].spec.tasks as usize;
         for (attempt, _) in tasks.into_iter().filter(|(_, t)| t.len() < all) {
-            tracing::info!(job = %self.jobs[ix].spec.id, attempt, "an inherited attempt is broken");
+            tracing::info!(
+                job = %self.jobs[job_index].spec.id,
+                attempt,
+                "an inherited attempt is broken"
+            );
             self.abort_gang_attempt(InstanceId {
-                job: ix,
+                job: job_index,
                 task: 0,
                 attempt,
             });
@@ -59,39 +63,43 @@
     }
 
     /// Stops all tasks of a gang in the same step, with a grace period to save a checkpoint.
-    pub(super) fn stop_gang(&mut self, ix: u32) {
-        let grace = checkpoint_grace_s(self.jobs[ix].spec.checkpoint_save_s);
-        for m in self.workers.indices() {
-            for key in self.instances_of(m, ix) {
-                self.stop_instance(m, key, grace);
+    pub(super) fn stop_gang(&mut self, job_index: u32) {
+        let grace = checkpoint_grace_s(self.jobs[job_index].spec.checkpoint_save_s);
+        for worker_index in self.workers.indices() {
+            for key in self.instances_of(worker_index, job_index) {
+                self.stop_instance(worker_index, key, grace);
             }
         }
     }
 
     /// Stops a task instance with its grace period, and if it belongs to a gang, the whole gang.
-    pub(super) fn stop_gracefully(&mut self, m: u32, key: InstanceId) {
+    pub(super) fn stop_gracefully(&mut self, worker_index: u32, key: InstanceId) {
         if self.is_multi_task_gang(key.job) {
             self.stop_gang(key.job);
         } else {
-            self.stop_instance(m, key, self.stop_grace_s(key.job));
+            self.stop_instance(worker_index, key, self.stop_grace_s(key.job));
         }
     }
 
     /// Stops the tasks on a worker that will be reclaimed if they can save a checkpoint, gangs as a
     /// whole. Tasks that cannot save one run on, as they may finish before the reclaim.
-    pub(super) fn checkpoint_before_reclaim(&mut self, m: u32) {
-        let keys: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
+    pub(super) fn checkpoint_before_reclaim(&mut self, worker_index: u32) {
+        let keys: Vec<InstanceId> = self.workers[worker_index]
+            .instances
+            .keys()
+            .copied()
+            .collect();
         for key in keys {
             if self.stop_grace_s(key.job) > 0.0 {
-                self.stop_gracefully(m, key);
+                self.stop_gracefully(worker_index, key);
             }
         }
     }
 
     /// The workers on which all tasks of a gang can start now, one entry per task; none if some
     /// task has no room.
-    pub(super) fn plan_gang(&self, ix: u32) -> Option<Vec<u32>> {
-        let job = &self.jobs[ix];
+    pub(super) fn plan_gang(&self, job_index: u32) -> Option<Vec<u32>> {
+        let job = &self.jobs[job_index];
         // Tasks of the previous attempt occupy their workers until they exit. A failed task is
         // retried after a delay, and the other tasks wait with it.
         let is_delayed = |t: &Task| f64::from(t.not_before) > self.now;
@@ -109,24 +117,24 @@
                 .workers
                 .indices()
                 .into_iter()
-                .filter(|&m| zone.is_none_or(|z| self.workers[m].zone == z))
-                .filter(|&m| self.may_start(ix, 0, m))
-                .map(|m| (m, self.value(ix, m)))
+                .filter(|&worker_index| zone.is_none_or(|z| self.workers[worker_index].zone == z))
+                .filter(|&worker_index| self.may_start(job_index, 0, worker_index))
+                .map(|worker_index| (worker_index, self.value(job_index, worker_index)))
                 .collect();
             candidates.sort_by(|a, b| b.1.total_cmp(&a.1));
             let mut placements = Vec::new();
             let mut total_value = 0.0;
             let mut by_zone = vec![0u32; self.zones.len()];
-            for (m, value) in candidates {
-                let mut room = self.available_resources(m, ix);
-                let z = self.workers[m].zone as usize;
+            for (worker_index, value) in candidates {
+                let mut room = self.available_resources(worker_index, job_index);
+                let z = self.workers[worker_index].zone as usize;
                 while placements.len() < job.spec.tasks as usize
                     && job.spec.needs.fits_in(&room)
                     && by_zone[z] < job.zone_cap()
                 {
                     room.sub(&job.spec.needs);
                     by_zone[z] += 1;
-                    placements.push(m);
+                    placements.push(worker_index);
                     total_value += value;
                 }
             }
@@ -134,7 +142,7 @@
                 && best
                     .as_ref()
                     .is_none_or(|(best_value, _)| total_value > *best_value)
-                && self.team_allows_all_tasks(ix)
+                && self.team_allows_all_tasks(job_index)
             {
                 best = Some((total_value, placements));
             }
@@ -151,23 +159,23 @@
     /// zones, so no two gangs can deadlock.
     pub(super) fn reserve_for_late_gangs(&mut self, order: &[u32]) {
         let mut zone_taken = vec![false; self.zones.len()];
-        for &ix in order {
+        for &job_index in order {
             if zone_taken.iter().all(|&taken| taken) {
                 return;
             }
-            if !self.is_multi_task_gang(ix)
-                || self.jobs[ix].active > 0
-                || self.jobs[ix].waiting() == 0
-                || !self.has_deadline_boost(ix)
+            if !self.is_multi_task_gang(job_index)
+                || self.jobs[job_index].active > 0
+                || self.jobs[job_index].waiting() == 0
+                || !self.has_deadline_boost(job_index)
             {
                 continue;
             }
-            let own = self.reserved_by_zone(ix);
+            let own = self.reserved_by_zone(job_index);
             let best = (0..self.zones.len())
                 .filter(|&z| !zone_taken[z])
                 .filter_map(|z| {
-                    let workers = self.soonest_workers_in_zone(ix, z as u32)?;
-                    let ready = workers.last().map_or(0.0, |m| m.0);
+                    let workers = self.soonest_workers_in_zone(job_index, z as u32)?;
+                    let ready = workers.last().map_or(0.0, |last| last.0);
                     // Prefers the zone in which the gang already has reservations.
                     Some((own[z] == 0, ready, z, workers))
                 })
@@ -176,13 +184,15 @@
                 continue;
             };
             zone_taken[zone] = true;
-            let needs = self.jobs[ix].spec.needs;
-            for (_, m) in workers {
-                self.workers[m].reservations.retain(|c| c.job == ix);
-                if !self.workers[m].reservations.is_empty() {
-                    self.renew_reservation(m, ix, GANG_RESERVATION_S);
-                } else if needs.fits_in(&self.available_resources(m, ix)) {
-                    self.reserve(m, ix, GANG_RESERVATION_S);
+            let needs = self.jobs[job_index].spec.needs;
+            for (_, worker_index) in workers {
+                self.workers[worker_index]
+                    .reservations
+                    .retain(|c| c.job == job_index);
+                if !self.workers[worker_index].reservations.is_empty() {
+                    self.renew_reservation(worker_index, job_index, GANG_RESERVATION_S);
+                } else if needs.fits_in(&self.available_resources(worker_index, job_index)) {
+                    self.reserve(worker_index, job_index, GANG_RESERVATION_S);
                 }
             }
         }
@@ -190,12 +200,12 @@
 
     /// The workers of a zone on which all tasks of a gang can start soonest, by the estimated run
     /// times, each with the seconds until it has room.
-    fn soonest_workers_in_zone(&self, ix: u32, zone: u32) -> Option<Vec<(f64, u32)>> {
-        let job = &self.jobs[ix];
-        let weight = self.weight(ix);
+    fn soonest_workers_in_zone(&self, job_index: u32, zone: u32) -> Option<Vec<(f64, u32)>> {
+        let job = &self.jobs[job_index];
+        let weight = self.weight(job_index);
         // Reservations for jobs of the same large-task profile and a lower weight are taken over.
         let may_take_over = |c: &Reservation| {
-            c.job == ix
+            c.job == job_index
                 || (self.jobs[c.job].large_task_profile == job.large_task_profile
                     && self.weight(c.job) < weight)
         };
@@ -203,9 +213,21 @@
             .workers
             .indices()
             .into_iter()
-            .filter(|&m| self.workers[m].zone == zone && self.reservable(ix, m))
-            .filter(|&m| self.workers[m].reservations.iter().all(may_take_over))
-            .filter_map(|m| Some((self.seconds_until_room(&job.spec.needs, m)?, m)))
+            .filter(|&worker_index| {
+                self.workers[worker_index].zone == zone && self.reservable(job_index, worker_index)
+            })
+            .filter(|&worker_index| {
+                self.workers[worker_index]
+                    .reservations
+                    .iter()
+                    .all(may_take_over)
+            })
+            .filter_map(|worker_index| {
+                Some((
+                    self.seconds_until_room(&job.spec.needs, worker_index)?,
+                    worker_index,
+                ))
+            })
             .collect();
         workers.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let tasks = job.spec.tasks as usize;
@@ -214,8 +236,8 @@
     }
 
     /// Whether the team's limit allows all tasks of a gang at once.
-    fn team_allows_all_tasks(&self, ix: u32) -> bool {
-        let job = &self.jobs[ix];
+    fn team_allows_all_tasks(&self, job_index: u32) -> bool {
+        let job = &self.jobs[job_index];
         let mut all = job.spec.needs;
         all.cpus *= i64::from(job.spec.tasks);
         all.gpus *= i64::from(job.spec.tasks);
@@ -223,22 +245,22 @@
     }
 
     /// Starts a new attempt of a gang on the workers that [`Self::plan_gang`] returned.
-    pub(super) fn start_gang(&mut self, ix: u32, placements: &[u32]) {
+    pub(super) fn start_gang(&mut self, job_index: u32, placements: &[u32]) {
         let attempt = self.new_attempt();
-        self.jobs[ix].attempt = Some(attempt);
-        for (task, &m) in (0u32..).zip(placements) {
-            if !self.may_start(ix, task, m) {
-                tracing::error!(job = %self.jobs[ix].spec.id, "a planned gang does not fit");
+        self.jobs[job_index].attempt = Some(attempt);
+        for (task, &worker_index) in (0u32..).zip(placements) {
+            if !self.may_start(job_index, task, worker_index) {
+                tracing::error!(job = %self.jobs[job_index].spec.id, "a planned gang does not fit");
                 self.abort_gang_attempt(InstanceId {
-                    job: ix,
+                    job: job_index,
                     task,
                     attempt,
                 });
                 return;
             }
-            self.start(ix, task, m, attempt);
+            self.start(job_index, task, worker_index, attempt);
         }
-        let job = &mut self.jobs[ix];
+        let job = &mut self.jobs[job_index];
         tracing::debug!(
             job = %job.spec.id,
             tasks = job.spec.tasks,
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -21,10 +21,10 @@
     /// Updates the cloud's descriptions of instance types.
     pub(super) fn update_instance_types(&mut self, types: Vec<MachineType>) {
         self.types.update(types);
-        for ix in self.jobs.indices() {
+        for job_index in self.jobs.indices() {
             // The job was added before its instance types were described.
-            if self.jobs[ix].large_task_profile.is_none() {
-                self.jobs[ix].large_task_profile = self.record_large_task_arrival(ix);
+            if self.jobs[job_index].large_task_profile.is_none() {
+                self.jobs[job_index].large_task_profile = self.record_large_task_arrival(job_index);
             }
         }
     }
@@ -76,14 +76,14 @@
         job.movable = objectives::movable(tuning, &job.spec);
         job.pinned = objectives::pinned(tuning, &job.spec);
         job.protected = objectives::protected(tuning, &job.spec);
-        let ix = self.jobs.insert(job);
-        self.jobs[ix].large_task_profile = self.record_large_task_arrival(ix);
-        self.jobs[ix].scheduling_class = self.scheduling_class_of(ix);
+        let job_index = self.jobs.insert(job);
+        self.jobs[job_index].large_task_profile = self.record_large_task_arrival(job_index);
+        self.jobs[job_index].scheduling_class = self.scheduling_class_of(job_index);
     }
 
     /// The index of the scheduling class of a job, if its tasks bid together with those of others.
-    fn scheduling_class_of(&mut self, ix: u32) -> Option<u32> {
-        let job = &self.jobs[ix];
+    fn scheduling_class_of(&mut self, job_index: u32) -> Option<u32> {
+        let job = &self.jobs[job_index];
         let spec = &job.spec;
         let small = spec.kind == Kind::Array
             && spec.tasks <= MAX_SMALL_ARRAY_TASKS
@@ -113,53 +113,53 @@
     /// Records that the end of a job is stored, and stops its remaining instances.
     pub(super) fn end_job(&mut self, id: JobId, outcome: JobOutcome) {
         self.jobs.record_outcome(id, outcome);
-        let Some(ix) = self.jobs.index_of(id) else {
+        let Some(job_index) = self.jobs.index_of(id) else {
             return;
         };
-        let job = &mut self.jobs[ix];
+        let job = &mut self.jobs[job_index];
         job.end(outcome, self.now);
         let chunks: Vec<(u32, u64)> = (0u32..).zip(job.chunk_versions.iter().copied()).collect();
         for (chunk, version) in chunks {
             self.remove_chunk(id, chunk, version);
         }
         tracing::info!(job = %id, phase = outcome.phase.as_str(), "job finished");
-        if self.jobs[ix].listed_instances == 0 {
-            self.remove_if_ended(ix);
+        if self.jobs[job_index].listed_instances == 0 {
+            self.remove_if_ended(job_index);
             return;
         }
         // The job is removed together with its last instance.
-        self.stop_all_instances(ix);
+        self.stop_all_instances(job_index);
     }
 
     /// Stops all instances of a job that may be on a worker, and cancels its queued starts.
-    pub(super) fn stop_all_instances(&mut self, ix: u32) {
-        for m in self.workers.indices() {
-            for key in self.instances_of(m, ix) {
-                self.stop_instance(m, key, 0.0);
+    pub(super) fn stop_all_instances(&mut self, job_index: u32) {
+        for worker_index in self.workers.indices() {
+            for key in self.instances_of(worker_index, job_index) {
+                self.stop_instance(worker_index, key, 0.0);
             }
         }
     }
 
     /// Removes a job that has ended, if no worker holds an instance of it.
-    pub(super) fn remove_if_ended(&mut self, ix: u32) {
-        let job = &self.jobs[ix];
+    pub(super) fn remove_if_ended(&mut self, job_index: u32) {
+        let job = &self.jobs[job_index];
         if !matches!(job.state, JobState::Terminal(_)) || job.listed_instances > 0 {
             return;
         }
         for (_, worker) in self.workers.iter_mut() {
             worker
                 .reservations
-                .retain(|reservation| reservation.job != ix);
-            worker.failed_jobs.remove(&ix);
+                .retain(|reservation| reservation.job != job_index);
+            worker.failed_jobs.remove(&job_index);
         }
-        self.jobs.remove(ix);
+        self.jobs.remove(job_index);
     }
 
     /// Marks a task as done and schedules the write of its done bit.
-    pub(super) fn mark_task_done(&mut self, ix: u32, task: u32) {
+    pub(super) fn mark_task_done(&mut self, job_index: u32, task: u32) {
         let tasks_per_chunk = self.tasks_per_chunk;
         let due = self.now + PROGRESS_WRITE_DELAY_S;
-        let job = &mut self.jobs[ix];
+        let job = &mut self.jobs[job_index];
         let is_service = job.is_service();
         let state = &mut job.tasks[task as usize];
         if state.done || is_service {
@@ -170,16 +170,16 @@
             job.active -= 1;
         }
         job.done += 1;
-        self.schedule_progress_write(ix, task / tasks_per_chunk, due);
-        self.finish_if_done(ix);
+        self.schedule_progress_write(job_index, task / tasks_per_chunk, due);
+        self.finish_if_done(job_index);
     }
 
     /// Queues the end of a job to be stored if all of its tasks are done.
-    pub(super) fn finish_if_done(&mut self, ix: u32) {
-        let job = &mut self.jobs[ix];
+    pub(super) fn finish_if_done(&mut self, job_index: u32) {
+        let job = &mut self.jobs[job_index];
         if job.state == JobState::Live && job.done == job.spec.tasks {
             job.state = JobState::Finishing;
-            self.write_queue.push_finished_job(ix);
+            self.write_queue.push_finished_job(job_index);
         }
     }
 }
--- a/src/coordination/migration/estimates.rs
+++ b/src/coordination/migration/estimates.rs
@@ -91,12 +91,12 @@
     }
 
     /// The longest expected time from the order to stop a task of a job until it is certainly gone.
-    pub(super) fn max_stop_s(&self, ix: u32) -> f64 {
+    pub(super) fn max_stop_s(&self, job_index: u32) -> f64 {
         let workers = &self.config.cluster.workers;
-        let grace_s = if self.is_multi_task_gang(ix) {
-            checkpoint_grace_s(self.jobs[ix].spec.checkpoint_save_s) + workers.gang_peer_s
+        let grace_s = if self.is_multi_task_gang(job_index) {
+            checkpoint_grace_s(self.jobs[job_index].spec.checkpoint_save_s) + workers.gang_peer_s
         } else {
-            self.stop_grace_s(ix)
+            self.stop_grace_s(job_index)
         };
         grace_s + workers.heartbeat_interval_s * HEARTBEAT_JITTER + STOP_CONFIRMATION_S
     }
--- a/src/coordination/migration/mod.rs
+++ b/src/coordination/migration/mod.rs
@@ -51,11 +51,11 @@
         let waiting_jobs = self.jobs_waiting_for_whole_workers();
         let ids: Vec<JobId> = waiting_jobs
             .iter()
-            .map(|&ix| self.jobs[ix].spec.id)
+            .map(|&job_index| self.jobs[job_index].spec.id)
             .collect();
         self.migrations.retain_waiting(&ids);
         let mut planned_jobs = 0;
-        for (ix, id) in waiting_jobs.into_iter().zip(ids) {
+        for (job_index, id) in waiting_jobs.into_iter().zip(ids) {
             if planned_jobs == MAX_PLANS_PER_SECOND {
                 break;
             }
@@ -63,15 +63,15 @@
                 Err(obstacle) => PlanStatus::Blocked(obstacle),
                 Ok(()) => {
                     planned_jobs += 1;
-                    self.plan_status_for(ix, id)
+                    self.plan_status_for(job_index, id)
                 }
             };
             self.migrations.set_plan_status(id, status);
         }
     }
 
-    fn plan_status_for(&mut self, ix: u32, id: JobId) -> PlanStatus {
-        match self.plan_and_migrate(ix) {
+    fn plan_status_for(&mut self, job_index: u32, id: JobId) -> PlanStatus {
+        match self.plan_and_migrate(job_index) {
             Ok(count) => PlanStatus::Migrating(count),
             Err(obstacle) => {
                 tracing::debug!(job = %id, reason = obstacle.to_string(), "no migration planned");
@@ -85,28 +85,31 @@
         let mut waiting: Vec<(f64, u32)> = self
             .jobs
             .iter()
-            .filter(|(ix, job)| {
+            .filter(|(job_index, job)| {
                 job.state == JobState::Live
                     && job.large_task_profile.is_some()
                     && !job.blocked
                     && job
                         .unplaced_since
                         .is_some_and(|since| self.now - since > MIN_WAIT_S)
-                    && !self.is_faulty_job(*ix)
+                    && !self.is_faulty_job(*job_index)
             })
-            .map(|(ix, _)| (self.weight(ix), ix))
+            .map(|(job_index, _)| (self.weight(job_index), job_index))
             .collect();
         waiting.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        waiting.into_iter().map(|(_, ix)| ix).collect()
+        waiting
+            .into_iter()
+            .map(|(_, job_index)| job_index)
+            .collect()
     }
 
     /// Plans and starts the migrations for one job. Returns how many are under way for it.
-    fn plan_and_migrate(&mut self, ix: u32) -> Result<usize, Obstacle> {
-        let job = &self.jobs[ix];
+    fn plan_and_migrate(&mut self, job_index: u32) -> Result<usize, Obstacle> {
+        let job = &self.jobs[job_index];
         let id = job.spec.id;
-        let gang = self.is_multi_task_gang(ix);
-        let secured = self.secured_workers(ix);
-        let startable = job.waiting().min(self.trial_start_limit(ix));
+        let gang = self.is_multi_task_gang(job_index);
+        let secured = self.secured_workers(job_index);
+        let startable = job.waiting().min(self.trial_start_limit(job_index));
         let tasks = startable.saturating_sub(secured.len() as u32);
         if tasks == 0 {
             return match self.migrations.live_for(id) {
@@ -120,7 +123,7 @@
         if !self.team_allows(job.team, &job.spec.needs) {
             return Err(Obstacle::TeamAtLimit);
         }
-        let comes_free_in_s = self.comes_free_in_s(ix, tasks as usize);
+        let comes_free_in_s = self.comes_free_in_s(job_index, tasks as usize);
         if comes_free_in_s <= ENDS_SOON_S {
             return Err(Obstacle::RoomComesFree);
         }
@@ -131,30 +134,30 @@
             comes_free_in_s,
         };
         let waiting_job = self
-            .waiting_job_for_planner(ix, &missing)
+            .waiting_job_for_planner(job_index, &missing)
             .ok_or(Obstacle::NoSuitableType)?;
         let limits = self.plan_limits();
         if limits.max_migrations == 0 {
             return Err(Obstacle::TooManyMigrations);
         }
-        let view = self.cluster_view(Some(ix), &secured);
+        let view = self.cluster_view(Some(job_index), &secured);
         let plan = defrag::free_workers(&view.fleet, &waiting_job, &limits)?;
         if plan.migrations.is_empty() {
             return Err(Obstacle::RoomComesFree);
         }
-        self.execute_plan(ix, &plan, &view, &secured)?;
+        self.execute_plan(job_index, &plan, &view, &secured)?;
         Ok(self.migrations.live_for(id))
     }
 
     /// Reserves the workers that a plan frees, and starts its migrations.
     fn execute_plan(
         &mut self,
-        ix: u32,
+        job_index: u32,
         plan: &defrag::Plan,
         view: &ClusterView,
         secured: &[u32],
     ) -> Result<(), Obstacle> {
-        let id = self.jobs[ix].spec.id;
+        let id = self.jobs[job_index].spec.id;
         tracing::info!(
             job = %id,
             workers = plan.freed_workers.len(),
@@ -168,35 +171,35 @@
             .map(|planned| self.max_stop_s(view.instances[planned.instance as usize].job))
             .fold(ENDS_SOON_S, f64::max);
         // The plan replaces the other reservations of the job.
-        for m in self.workers.indices() {
-            if !secured.contains(&m) {
-                let reservations = &mut self.workers[m].reservations;
-                reservations.retain(|reservation| reservation.job != ix);
+        for worker_index in self.workers.indices() {
+            if !secured.contains(&worker_index) {
+                let reservations = &mut self.workers[worker_index].reservations;
+                reservations.retain(|reservation| reservation.job != job_index);
             }
         }
         let places = || plan.freed_workers.iter().chain(&plan.already_free);
         for &at in places() {
             self.reserve(
                 view.workers[at as usize],
-                ix,
+                job_index,
                 longest_stop_s + START_ALLOWANCE_S,
             );
         }
         self.start_migrations(view, &plan.migrations, Some(id))?;
         for &at in places() {
-            self.preempt_lower_priority(view.workers[at as usize], ix);
+            self.preempt_lower_priority(view.workers[at as usize], job_index);
         }
         Ok(())
     }
 
     /// Preempts tasks of lower priority on a worker until the job has room there, counting the room
     /// of tasks that are being stopped or end soon.
-    fn preempt_lower_priority(&mut self, m: u32, ix: u32) {
-        let needs = self.jobs[ix].spec.needs;
-        let priority = self.jobs[ix].spec.priority;
-        let mut room = self.free_resources(m);
+    fn preempt_lower_priority(&mut self, worker_index: u32, job_index: u32) {
+        let needs = self.jobs[job_index].spec.needs;
+        let priority = self.jobs[job_index].spec.priority;
+        let mut room = self.free_resources(worker_index);
         let mut victims: Vec<(f64, InstanceId)> = Vec::new();
-        let instances = self.workers[m].instances.iter();
+        let instances = self.workers[worker_index].instances.iter();
         for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
             let spec = &self.jobs[id.job].spec;
             let estimate = self.estimate_instance(id, instance);
@@ -213,18 +216,18 @@
                 return;
             }
             room.add(&self.jobs[id.job].spec.needs);
-            self.stop_gracefully(m, id);
+            self.stop_gracefully(worker_index, id);
         }
     }
 
     /// Migrates tasks off a draining worker, as far as they may be migrated and have a target.
-    pub(super) fn migrate_off_draining_worker(&mut self, m: u32) {
+    pub(super) fn migrate_off_draining_worker(&mut self, worker_index: u32) {
         let limits = self.plan_limits();
-        if limits.max_migrations == 0 || self.workers[m].instances.is_empty() {
+        if limits.max_migrations == 0 || self.workers[worker_index].instances.is_empty() {
             return;
         }
         let view = self.cluster_view(None, &[]);
-        let Some(at) = view.workers.iter().position(|&other| other == m) else {
+        let Some(at) = view.workers.iter().position(|&other| other == worker_index) else {
             return;
         };
         let planned_migrations = defrag::drain_worker(&view.fleet, at as u32, &limits);
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -38,40 +38,43 @@
     /// them are under way for the job, or enough of their tasks end soon. Other reservations only
     /// keep new tasks off a worker until the current ones end, which may take longer than
     /// migrations.
-    pub(super) fn secured_workers(&self, ix: u32) -> Vec<u32> {
-        let job = &self.jobs[ix];
-        let is_being_freed = |m: u32| {
+    pub(super) fn secured_workers(&self, job_index: u32) -> Vec<u32> {
+        let job = &self.jobs[job_index];
+        let is_being_freed = |worker_index: u32| {
             let mut live = self.migrations.live();
             live.any(|migration| {
-                migration.wanted_by == Some(job.spec.id) && migration.from == self.workers[m].name
+                migration.wanted_by == Some(job.spec.id)
+                    && migration.from == self.workers[worker_index].name
             })
         };
-        let is_reserved = |m: &u32| {
-            let reservations = &self.workers[*m].reservations;
-            reservations.iter().any(|reservation| reservation.job == ix)
+        let is_reserved = |worker_index: &u32| {
+            let reservations = &self.workers[*worker_index].reservations;
+            reservations
+                .iter()
+                .any(|reservation| reservation.job == job_index)
         };
         let mut workers = self.workers.indices();
         workers.retain(is_reserved);
-        workers.retain(|&m| {
-            let room_in_s = self.seconds_until_room(&job.spec.needs, m);
-            is_being_freed(m) || room_in_s.is_some_and(|s| s <= ENDS_SOON_S)
+        workers.retain(|&worker_index| {
+            let room_in_s = self.seconds_until_room(&job.spec.needs, worker_index);
+            is_being_freed(worker_index) || room_in_s.is_some_and(|s| s <= ENDS_SOON_S)
         });
         workers
     }
 
     /// In how many seconds a job is expected to have its places without any migration; infinite if
     /// that is not foreseen.
-    pub(super) fn comes_free_in_s(&self, ix: u32, places: usize) -> f64 {
-        let job = &self.jobs[ix];
+    pub(super) fn comes_free_in_s(&self, job_index: u32, places: usize) -> f64 {
+        let job = &self.jobs[job_index];
         let mut by_zone: BTreeMap<u32, Vec<f64>> = BTreeMap::new();
-        for m in self.workers.indices() {
-            let is_own = |reservation: &Reservation| reservation.job == ix;
-            if self.reservable(ix, m)
-                && self.workers[m].reservations.iter().all(is_own)
-                && let Some(room_in_s) = self.seconds_until_room(&job.spec.needs, m)
+        for worker_index in self.workers.indices() {
+            let is_own = |reservation: &Reservation| reservation.job == job_index;
+            if self.reservable(job_index, worker_index)
+                && self.workers[worker_index].reservations.iter().all(is_own)
+                && let Some(room_in_s) = self.seconds_until_room(&job.spec.needs, worker_index)
             {
                 let zone = if job.spec.one_zone {
-                    self.workers[m].zone
+                    self.workers[worker_index].zone
                 } else {
                     0
                 };
@@ -89,16 +92,16 @@
     /// value of a place is that of the waiting time that it saves.
     pub(super) fn waiting_job_for_planner(
         &self,
-        ix: u32,
+        job_index: u32,
         missing: &MissingPlaces,
     ) -> Option<defrag::WaitingJob> {
-        let job = &self.jobs[ix];
+        let job = &self.jobs[job_index];
         let settings = &self.config.tuning.defragmentation;
-        let place_price = self.cheapest_place_price(ix)?;
+        let place_price = self.cheapest_place_price(job_index)?;
         let mut placed_by_zone = job.instances_by_zone.clone();
         placed_by_zone.resize(self.zones.len(), 0);
-        for &m in missing.secured {
-            placed_by_zone[self.workers[m].zone as usize] += 1;
+        for &worker_index in missing.secured {
+            placed_by_zone[self.workers[worker_index].zone as usize] += 1;
         }
         let saved_s = settings.max_saved_wait_s.min(missing.comes_free_in_s);
         Some(defrag::WaitingJob {
@@ -112,13 +115,13 @@
             zone: job.zone,
             spot: job.spec.spot,
             gang: missing.gang,
-            place_value: self.weight(ix) * place_price * saved_s,
+            place_value: self.weight(job_index) * place_price * saved_s,
         })
     }
 
     /// The price per second of the cheapest place for a task of a job.
-    fn cheapest_place_price(&self, ix: u32) -> Option<f64> {
-        let job = &self.jobs[ix];
+    fn cheapest_place_price(&self, job_index: u32) -> Option<f64> {
+        let job = &self.jobs[job_index];
         let needs = &job.spec.needs;
         let running_price_factor = self.config.tuning.running_price_factor;
         let is_allowed = |kind: &u32| {
@@ -156,17 +159,17 @@
         let migrating = self.migrations.live_by_job();
         let mut planner_job_by_job: BTreeMap<u32, u32> = BTreeMap::new();
         let mut avoided_by_job: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
-        for (m, worker) in self.workers.iter() {
+        for (worker_index, worker) in self.workers.iter() {
             let Some(kind) = self.types.get(worker.instance_type) else {
                 continue;
             };
             let at = view.workers.len() as u32;
-            view.workers.push(m);
-            let planner_worker = self.worker_for_planner(m, kind, waiting_job, secured);
+            view.workers.push(worker_index);
+            let planner_worker = self.worker_for_planner(worker_index, kind, waiting_job, secured);
             view.fleet.workers.push(planner_worker);
             let failed = worker.failed_jobs.iter();
-            for (&ix, _) in failed.filter(|(_, until)| **until > self.now) {
-                avoided_by_job.entry(ix).or_default().push(at);
+            for (&job_index, _) in failed.filter(|(_, until)| **until > self.now) {
+                avoided_by_job.entry(job_index).or_default().push(at);
             }
             let instances = worker.instances.iter();
             for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
@@ -188,8 +191,8 @@
                 view.instances.push(*id);
             }
         }
-        for (ix, workers) in avoided_by_job {
-            if let Some(&job) = planner_job_by_job.get(&ix) {
+        for (job_index, workers) in avoided_by_job {
+            if let Some(&job) = planner_job_by_job.get(&job_index) {
                 view.fleet.jobs[job as usize].avoided_workers = workers;
             }
         }
@@ -198,18 +201,19 @@
 
     fn worker_for_planner(
         &self,
-        m: u32,
+        worker_index: u32,
         kind: &MachineType,
         waiting_job: Option<u32>,
         secured: &[u32],
     ) -> defrag::Worker {
-        let worker = &self.workers[m];
-        let large_task_profile = waiting_job.and_then(|ix| self.jobs[ix].large_task_profile);
-        let usable = self.worker_usable(m);
+        let worker = &self.workers[worker_index];
+        let large_task_profile =
+            waiting_job.and_then(|job_index| self.jobs[job_index].large_task_profile);
+        let usable = self.worker_usable(worker_index);
         let reserved_for = worker.reserved_for;
         let reserved_for_job = reserved_for.is_some() && reserved_for == large_task_profile;
         let is_unsecured = |reservation: &Reservation| {
-            Some(reservation.job) == waiting_job && !secured.contains(&m)
+            Some(reservation.job) == waiting_job && !secured.contains(&worker_index)
         };
         let available = worker.reservations.iter().all(is_unsecured);
         let price = if worker.spot {
@@ -225,20 +229,25 @@
             freeable: usable && available && (reserved_for_job || reserved_for.is_none()),
             capacity: kind.capacity,
             room: match waiting_job.filter(|_| available) {
-                Some(ix) => self.available_resources(m, ix),
-                None => self.available_resources(m, u32::MAX),
+                Some(job_index) => self.available_resources(worker_index, job_index),
+                None => self.available_resources(worker_index, u32::MAX),
             },
             price: price / SECONDS_PER_HOUR,
             fetch_gb_per_s: kind.fetch_gb_per_s,
             images: worker.images.clone(),
-            preemptible: self.preemptible(m, kind, price / SECONDS_PER_HOUR),
+            preemptible: self.preemptible(worker_index, kind, price / SECONDS_PER_HOUR),
         }
     }
 
     /// The tasks on a worker that may be preempted, the cheapest first. The cost is the value of
     /// the work that a stop loses, in the same money as the cost of migrations.
-    fn preemptible(&self, m: u32, kind: &MachineType, price: f64) -> Vec<defrag::Preemptible> {
-        let instances = self.workers[m].instances.iter();
+    fn preemptible(
+        &self,
+        worker_index: u32,
+        kind: &MachineType,
+        price: f64,
+    ) -> Vec<defrag::Preemptible> {
+        let instances = self.workers[worker_index].instances.iter();
         let stoppable = instances.filter(|(id, instance)| {
             instance.may_exist() && instance.stop.is_none() && !self.is_multi_task_gang(id.job)
         });
@@ -258,10 +267,10 @@
         preemptible
     }
 
-    fn job_for_planner(&self, ix: u32, migrating: u32) -> defrag::Job {
-        let job = &self.jobs[ix];
+    fn job_for_planner(&self, job_index: u32, migrating: u32) -> defrag::Job {
+        let job = &self.jobs[job_index];
         let max_migrating_share = self.config.tuning.defragmentation.max_migrating_share;
-        let gang = self.is_multi_task_gang(ix);
+        let gang = self.is_multi_task_gang(job_index);
         let max_migrating = if gang {
             job.spec.tasks
         } else {
@@ -272,7 +281,7 @@
         defrag::Job {
             needs: job.spec.needs,
             priority: job.spec.priority as u8,
-            weight: self.weight(ix),
+            weight: self.weight(job_index),
             kinds: job.types.clone(),
             zone: job.zone,
             spot: job.spec.spot,
--- a/src/coordination/migration/progress.rs
+++ b/src/coordination/migration/progress.rs
@@ -87,8 +87,8 @@
         worker_name: &str,
         test: impl Fn(&InstanceId) -> bool,
     ) -> Option<&TaskInstance> {
-        let m = self.workers.index_of(worker_name)?;
-        let mut instances = self.workers[m].instances.iter();
+        let worker_index = self.workers.index_of(worker_name)?;
+        let mut instances = self.workers[worker_index].instances.iter();
         instances
             .find(|(id, instance)| instance.may_exist() && test(id))
             .map(|(_, instance)| instance)
@@ -102,11 +102,11 @@
     }
 
     /// Releases the room that is reserved for one migrating task of a job.
-    pub(super) fn release_migration_reservation(&mut self, m: u32, ix: u32) {
-        let reservations = &mut self.workers[m].reservations;
+    pub(super) fn release_migration_reservation(&mut self, worker_index: u32, job_index: u32) {
+        let reservations = &mut self.workers[worker_index].reservations;
         let reserved = reservations
             .iter_mut()
-            .find(|reservation| reservation.job == ix && reservation.for_migration);
+            .find(|reservation| reservation.job == job_index && reservation.for_migration);
         if let Some(reservation) = reserved {
             reservation.count = reservation.count.saturating_sub(1);
         }
--- a/src/coordination/migration/start.rs
+++ b/src/coordination/migration/start.rs
@@ -26,15 +26,15 @@
         let victims = self.reserve_targets(view, planned_migrations, wanted_by)?;
         // An instance may be listed twice, preempted for two migrations. Stopping it again has no
         // effect.
-        for (m, id) in victims {
-            self.stop_gracefully(m, id);
+        for (worker_index, id) in victims {
+            self.stop_gracefully(worker_index, id);
         }
         let mut leaving = Vec::new();
         for planned in planned_migrations {
             leaving.push(self.start_migration(view, planned, wanted_by));
         }
-        for (m, id) in leaving {
-            self.stop_gracefully(m, id);
+        for (worker_index, id) in leaving {
+            self.stop_gracefully(worker_index, id);
         }
         Ok(())
     }
@@ -48,11 +48,12 @@
         wanted_by: Option<JobId>,
     ) -> Result<Vec<(u32, InstanceId)>, Obstacle> {
         let waiting_job = wanted_by.and_then(|id| self.jobs.index_of(id));
-        let large_task_profile = waiting_job.and_then(|ix| self.jobs[ix].large_task_profile);
+        let large_task_profile =
+            waiting_job.and_then(|job_index| self.jobs[job_index].large_task_profile);
         let mut stops = Vec::new();
         let mut reserved: Vec<(u32, u32)> = Vec::new();
         for planned in planned_migrations {
-            let ix = view.instances[planned.instance as usize].job;
+            let job_index = view.instances[planned.instance as usize].job;
             let target = view.workers[planned.to as usize];
             // A target may be a worker that is kept free for tasks of the waiting job's profile. It
             // is used all the same: if all free room is on such workers, there is no other target.
@@ -60,16 +61,17 @@
             if large_task_profile.is_some() && reserved_for == large_task_profile {
                 self.workers[target].reserved_for = None;
             }
-            let Some(preemption) = self.select_victims(ix, target) else {
-                for (m, ix) in reserved {
-                    self.release_migration_reservation(m, ix);
+            let Some(preemption) = self.select_victims(job_index, target) else {
+                for (worker_index, job_index) in reserved {
+                    self.release_migration_reservation(worker_index, job_index);
                 }
                 return Err(Obstacle::NoRoomOnTarget);
             };
-            let max_stop_s = self.max_stop_s(ix) + self.longest_stop_grace_s(&preemption.victims);
-            let max_start_s = self.max_start_s(ix, target);
-            self.reserve_for_migration(target, ix, max_stop_s + max_start_s);
-            reserved.push((target, ix));
+            let max_stop_s =
+                self.max_stop_s(job_index) + self.longest_stop_grace_s(&preemption.victims);
+            let max_start_s = self.max_start_s(job_index, target);
+            self.reserve_for_migration(target, job_index, max_stop_s + max_start_s);
+            reserved.push((target, job_index));
             stops.extend(preemption.victims.into_iter().map(|id| (target, id)));
         }
         Ok(stops)
@@ -109,16 +111,16 @@
     }
 
     /// How long a task may take to run on its target once the old instance is gone.
-    fn max_start_s(&self, ix: u32, target: u32) -> f64 {
-        self.fetch_s(ix, target) * FETCH_MARGIN + START_ALLOWANCE_S
+    fn max_start_s(&self, job_index: u32, target: u32) -> f64 {
+        self.fetch_s(job_index, target) * FETCH_MARGIN + START_ALLOWANCE_S
     }
 
     /// Reserves room for a task of a job that is not waiting yet.
-    fn reserve_for_migration(&mut self, m: u32, ix: u32, for_s: f64) {
-        self.reserve(m, ix, for_s);
-        let reservations = self.workers[m].reservations.iter_mut();
+    fn reserve_for_migration(&mut self, worker_index: u32, job_index: u32, for_s: f64) {
+        self.reserve(worker_index, job_index, for_s);
+        let reservations = self.workers[worker_index].reservations.iter_mut();
         reservations
-            .filter(|reservation| reservation.job == ix)
+            .filter(|reservation| reservation.job == job_index)
             .for_each(|reservation| reservation.for_migration = true);
     }
 }
--- a/src/coordination/persistence/mod.rs
+++ b/src/coordination/persistence/mod.rs
@@ -49,9 +49,9 @@
 
     fn add_finished_jobs(&mut self, batch: &mut WriteBatch) {
         while batch.has_room_for(CHANGES_PER_FINISHED_JOB)
-            && let Some(ix) = self.write_queue.pop_finished_job()
+            && let Some(job_index) = self.write_queue.pop_finished_job()
         {
-            let job = &self.jobs[ix];
+            let job = &self.jobs[job_index];
             let write = Write::Finish {
                 job: job.spec.id,
                 version: job.version,
@@ -152,8 +152,8 @@
             WriteOutcome::Stored { .. } => self.end_job(job, completed(done)),
             WriteOutcome::JobAlreadyEnded(outcome) => self.end_job(job, *outcome),
             WriteOutcome::Retry { .. } => {
-                if let Some(ix) = self.jobs.index_of(job) {
-                    self.write_queue.push_finished_job(ix);
+                if let Some(job_index) = self.jobs.index_of(job) {
+                    self.write_queue.push_finished_job(job_index);
                 }
             }
         }
@@ -170,26 +170,26 @@
             WriteOutcome::Stored { version } | WriteOutcome::Retry { version } => *version,
             WriteOutcome::JobAlreadyEnded(_) => return,
         };
-        let Some(ix) = self.jobs.index_of(id) else {
+        let Some(job_index) = self.jobs.index_of(id) else {
             return self.remove_chunk(id, chunk, version);
         };
-        let job = &mut self.jobs[ix];
+        let job = &mut self.jobs[job_index];
         job.chunk_versions[chunk as usize] = version;
         if matches!(job.state, JobState::Terminal(_)) {
             return self.remove_chunk(id, chunk, version);
         }
         if let WriteOutcome::Stored { .. } = written {
-            self.mark_stored(ix, chunk, value);
+            self.mark_stored(job_index, chunk, value);
         } else {
-            self.schedule_progress_write(ix, chunk, self.now);
+            self.schedule_progress_write(job_index, chunk, self.now);
         }
     }
 
     /// Marks the tasks whose done bits are stored.
-    fn mark_stored(&mut self, ix: u32, chunk: u32, value: &Value) {
+    fn mark_stored(&mut self, job_index: u32, chunk: u32, value: &Value) {
         let bitmap = TaskBitmap::from_record(value).unwrap_or_default();
         let first = self.first_task_of_chunk(chunk);
-        let tasks = self.jobs[ix].tasks.iter_mut().skip(first);
+        let tasks = self.jobs[job_index].tasks.iter_mut().skip(first);
         for (position, task) in tasks.take(bitmap.capacity()).enumerate() {
             if bitmap.contains(position) {
                 task.stored = true;
@@ -206,7 +206,7 @@
             version,
             ..
         } = *stored;
-        let Some(ix) = self.jobs.index_of(id) else {
+        let Some(job_index) = self.jobs.index_of(id) else {
             // The job has ended, so the chunk is obsolete.
             return self.write_queue.push_obsolete_chunk(ObsoleteChunk {
                 job: id,
@@ -215,7 +215,7 @@
             });
         };
         let first = self.first_task_of_chunk(chunk);
-        let job = &mut self.jobs[ix];
+        let job = &mut self.jobs[job_index];
         if let Some(chunk_version) = job.chunk_versions.get_mut(chunk as usize) {
             *chunk_version = version;
         }
@@ -230,10 +230,10 @@
     }
 
     /// The range of a job's tasks that a chunk covers.
-    fn tasks_of_chunk(&self, ix: u32, chunk: u32) -> Range<usize> {
+    fn tasks_of_chunk(&self, job_index: u32, chunk: u32) -> Range<usize> {
         let first = self.first_task_of_chunk(chunk);
         let end = first + self.tasks_per_chunk as usize;
-        first..end.min(self.jobs[ix].tasks.len())
+        first..end.min(self.jobs[job_index].tasks.len())
     }
 
     fn first_task_of_chunk(&self, chunk: u32) -> usize {
@@ -241,11 +241,14 @@
     }
 
     /// Schedules the write of a chunk at `at`, unless a write is already scheduled.
-    pub(super) fn schedule_progress_write(&mut self, ix: u32, chunk: u32, at: Time) {
-        let due = &mut self.jobs[ix].chunk_due[chunk as usize];
+    pub(super) fn schedule_progress_write(&mut self, job_index: u32, chunk: u32, at: Time) {
+        let due = &mut self.jobs[job_index].chunk_due[chunk as usize];
         if due.is_none() {
             *due = Some(at);
-            let chunk = JobChunk { job: ix, chunk };
+            let chunk = JobChunk {
+                job: job_index,
+                chunk,
+            };
             self.write_queue.push_changed_chunk(chunk);
         }
     }
--- a/src/coordination/placement/auction_round.rs
+++ b/src/coordination/placement/auction_round.rs
@@ -58,19 +58,19 @@
     fn auction_supply(&self) -> Supply {
         let slot_cpus = self.config.tuning.slot_cpus;
         let mut supply = Supply::default();
-        for m in self.workers.indices() {
-            if !self.worker_usable(m) {
+        for worker_index in self.workers.indices() {
+            if !self.worker_usable(worker_index) {
                 continue;
             }
-            let room = self.available_resources(m, NO_JOB);
+            let room = self.available_resources(worker_index, NO_JOB);
             let lot = Lot {
                 cpu_slots: (room.cpus as f64 / 1000.0 / slot_cpus).floor().max(0.0) as u32,
                 gpu_slots: (room.gpus / 1000).max(0) as u32,
                 memory: room.memory.max(0),
-                zone: self.workers[m].zone,
+                zone: self.workers[worker_index].zone,
             };
             if lot.cpu_slots > 0 {
-                supply.worker_of.push(m);
+                supply.worker_of.push(worker_index);
                 supply.lots.push(lot);
             }
         }
@@ -81,21 +81,22 @@
     /// group.
     fn auction_demand(&self, batch: &[u32], supply: &Supply) -> Demand {
         let mut demand = Demand::default();
-        for &ix in batch {
-            let class = self.bidding_class(ix);
+        for &job_index in batch {
+            let class = self.bidding_class(job_index);
             if let Some(&at) = class.and_then(|class| demand.group_of_class.get(&class)) {
                 let group = &mut demand.groups[at];
-                group.demand = (group.demand + self.jobs[ix].waiting()).min(MAX_TASKS_PER_JOB);
-                demand.jobs_of[at].push_back(ix);
+                group.demand =
+                    (group.demand + self.jobs[job_index].waiting()).min(MAX_TASKS_PER_JOB);
+                demand.jobs_of[at].push_back(job_index);
                 continue;
             }
-            let Some(group) = self.bidding_group(ix, supply) else {
+            let Some(group) = self.bidding_group(job_index, supply) else {
                 continue;
             };
             if let Some(class) = class {
                 demand.group_of_class.insert(class, demand.groups.len());
             }
-            demand.jobs_of.push(VecDeque::from([ix]));
+            demand.jobs_of.push(VecDeque::from([job_index]));
             demand.groups.push(group);
         }
         demand
@@ -103,13 +104,13 @@
 
     /// The bidder group of a job; none if no lot suits it, or if it is a gang that is placed as a
     /// whole.
-    fn bidding_group(&self, ix: u32, supply: &Supply) -> Option<BidderGroup> {
-        let job = &self.jobs[ix];
+    fn bidding_group(&self, job_index: u32, supply: &Supply) -> Option<BidderGroup> {
+        let job = &self.jobs[job_index];
         let demand = job
             .waiting()
             .min(MAX_TASKS_PER_JOB)
-            .min(self.trial_start_limit(ix));
-        if demand == 0 || self.is_multi_task_gang(ix) {
+            .min(self.trial_start_limit(job_index));
+        if demand == 0 || self.is_multi_task_gang(job_index) {
             return None;
         }
         let (cpu_slots, gpu_slots) =
@@ -122,41 +123,41 @@
             values: Vec::new(),
             zone_room: None,
         };
-        group.values = self.lot_values(ix, &group, supply);
+        group.values = self.lot_values(job_index, &group, supply);
         if group.values.is_empty() {
             return None;
         }
-        if job.spec.one_zone && self.bound_zone(ix).is_none() && job.spec.tasks > 1 {
+        if job.spec.one_zone && self.bound_zone(job_index).is_none() && job.spec.tasks > 1 {
             self.keep_best_zone(&supply.lots, &mut group.values);
         }
-        group.zone_room = job.spec.spread.then(|| self.zone_room(ix));
+        group.zone_room = job.spec.spread.then(|| self.zone_room(job_index));
         Some(group)
     }
 
     /// The value of each suitable lot for one task of a job, with the index of the lot.
-    fn lot_values(&self, ix: u32, group: &BidderGroup, supply: &Supply) -> Vec<(u32, f64)> {
-        let zone = self.bound_zone(ix);
-        let tier = self.best_tier(ix);
+    fn lot_values(&self, job_index: u32, group: &BidderGroup, supply: &Supply) -> Vec<(u32, f64)> {
+        let zone = self.bound_zone(job_index);
+        let tier = self.best_tier(job_index);
         let mut values = Vec::new();
-        for (at, (lot, &m)) in (0u32..).zip(supply.lots.iter().zip(&supply.worker_of)) {
+        for (at, (lot, &worker_index)) in (0u32..).zip(supply.lots.iter().zip(&supply.worker_of)) {
             let fits = lot.cpu_slots >= group.cpu_slots
                 && lot.gpu_slots >= group.gpu_slots
                 && lot.memory >= group.memory;
             if fits
-                && self.worker_allowed(ix, m)
-                && self.zone_allows(ix, lot.zone)
+                && self.worker_allowed(job_index, worker_index)
+                && self.zone_allows(job_index, lot.zone)
                 && zone.is_none_or(|zone| zone == lot.zone)
-                && self.in_tier_or_better(ix, m, tier)
+                && self.in_tier_or_better(job_index, worker_index, tier)
             {
-                values.push((at, self.value(ix, m)));
+                values.push((at, self.value(job_index, worker_index)));
             }
         }
         values
     }
 
     /// How many more instances of a job each zone may get.
-    fn zone_room(&self, ix: u32) -> Vec<u32> {
-        let job = &self.jobs[ix];
+    fn zone_room(&self, job_index: u32) -> Vec<u32> {
+        let job = &self.jobs[job_index];
         (0..self.zones.len())
             .map(|zone| {
                 let here = job.instances_by_zone.get(zone).copied().unwrap_or(0);
@@ -166,8 +167,8 @@
     }
 
     /// The zone in which a `one_zone` job has instances already, and must therefore run.
-    fn bound_zone(&self, ix: u32) -> Option<u32> {
-        let job = &self.jobs[ix];
+    fn bound_zone(&self, job_index: u32) -> Option<u32> {
+        let job = &self.jobs[job_index];
         if !job.spec.one_zone {
             return None;
         }
--- a/src/coordination/placement/batch_selection.rs
+++ b/src/coordination/placement/batch_selection.rs
@@ -63,10 +63,13 @@
                     && job.retry_at <= self.now
                     && !job.blocked
             })
-            .map(|(ix, job)| (self.weight(ix), job.accepted_ms, ix))
+            .map(|(job_index, job)| (self.weight(job_index), job.accepted_ms, job_index))
             .collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then((a.1, a.2).cmp(&(b.1, b.2))));
-        order.into_iter().map(|(_, _, ix)| ix).collect()
+        order
+            .into_iter()
+            .map(|(_, _, job_index)| job_index)
+            .collect()
     }
 
     /// Limits a batch to as many jobs as it has time for. With thousands of jobs of one task each,
@@ -97,20 +100,20 @@
     /// waiting tasks together.
     fn limit_classes(&self, jobs: &mut Vec<u32>) {
         let mut tasks_by_class: BTreeMap<u32, u32> = BTreeMap::new();
-        jobs.retain(|&ix| {
-            let Some(class) = self.bidding_class(ix) else {
+        jobs.retain(|&job_index| {
+            let Some(class) = self.bidding_class(job_index) else {
                 return true;
             };
             let tasks = tasks_by_class.entry(class).or_default();
-            *tasks += self.jobs[ix].waiting();
+            *tasks += self.jobs[job_index].waiting();
             *tasks <= MAX_TASKS_PER_JOB
         });
     }
 
     /// The scheduling class that a job bids with. None for a job that has failed on some worker, as
     /// it avoids that worker, and none for a job within its team's quota.
-    pub(in crate::coordination) fn bidding_class(&self, ix: u32) -> Option<u32> {
-        let job = &self.jobs[ix];
+    pub(in crate::coordination) fn bidding_class(&self, job_index: u32) -> Option<u32> {
+        let job = &self.jobs[job_index];
         job.scheduling_class
             .filter(|_| job.failed_on.is_empty() && !job.within_quota)
     }
@@ -118,19 +121,19 @@
     /// The weight of a job, π in the design paper: its priority, its quota and its urgency. Within
     /// one priority, jobs with little remaining work go first, and jobs that have waited long are
     /// boosted, so that long jobs do not starve.
-    pub(in crate::coordination) fn weight(&self, ix: u32) -> f64 {
-        let job = &self.jobs[ix];
+    pub(in crate::coordination) fn weight(&self, job_index: u32) -> f64 {
+        let job = &self.jobs[job_index];
         let quota_factor = if job.within_quota {
             WITHIN_QUOTA_FACTOR
         } else {
             1.0
         };
-        priority_factor(job.spec.priority) * quota_factor * self.urgency(ix)
+        priority_factor(job.spec.priority) * quota_factor * self.urgency(job_index)
     }
 
     /// How much is gained by placing a job of its priority now.
-    fn urgency(&self, ix: u32) -> f64 {
-        let job = &self.jobs[ix];
+    fn urgency(&self, job_index: u32) -> f64 {
+        let job = &self.jobs[job_index];
         let waited_s = (self.now - job.accepted_at).max(0.0);
         match job.spec.kind {
             Kind::Array if waited_s > job.completion_target_s => LATE_ARRAY_URGENCY,
@@ -138,7 +141,7 @@
                 let left_s = f64::from(job.spec.tasks - job.done) * job.work_s();
                 1.0 + SHORT_ARRAY_URGENCY / (1.0 + left_s / SHORT_ARRAY_WORK_S)
             }
-            _ => self.start_urgency(ix, waited_s),
+            _ => self.start_urgency(job_index, waited_s),
         }
     }
 
@@ -146,8 +149,8 @@
     /// first, small jobs before large ones, so that as many as possible meet it. A job that cannot
     /// waits until its next objective is near, and then gets the deadline boost. A job past its
     /// last objective gets it after a multiple of its start delay tolerance, so that none starves.
-    fn start_urgency(&self, ix: u32, waited_s: f64) -> f64 {
-        let job = &self.jobs[ix];
+    fn start_urgency(&self, job_index: u32, waited_s: f64) -> f64 {
+        let job = &self.jobs[job_index];
         if job.is_service() {
             return IN_TIME_URGENCY;
         }
@@ -169,9 +172,9 @@
     }
 
     /// Whether a late job has the deadline boost now.
-    pub(in crate::coordination) fn has_deadline_boost(&self, ix: u32) -> bool {
-        let waited_s = self.now - self.jobs[ix].accepted_at;
-        self.start_urgency(ix, waited_s) >= BOOSTED_URGENCY
+    pub(in crate::coordination) fn has_deadline_boost(&self, job_index: u32) -> bool {
+        let waited_s = self.now - self.jobs[job_index].accepted_at;
+        self.start_urgency(job_index, waited_s) >= BOOSTED_URGENCY
     }
 
     /// Marks the jobs that fit in their teams' quotas, in the order in which they were accepted.
@@ -184,10 +187,15 @@
             return;
         }
         let mut order = self.jobs.indices();
-        order.sort_by_key(|&ix| (self.jobs[ix].accepted_ms, self.jobs[ix].spec.id));
+        order.sort_by_key(|&job_index| {
+            (
+                self.jobs[job_index].accepted_ms,
+                self.jobs[job_index].spec.id,
+            )
+        });
         let mut total_by_team = vec![Resources::default(); self.teams.len()];
-        for ix in order {
-            let job = &mut self.jobs[ix];
+        for job_index in order {
+            let job = &mut self.jobs[job_index];
             if job.state != JobState::Live {
                 continue;
             }
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -39,18 +39,18 @@
 
     /// Whether a job is a gang of several tasks, which is placed as a whole; a gang of one task is
     /// placed like any other task.
-    pub(super) fn is_multi_task_gang(&self, ix: u32) -> bool {
-        let job = &self.jobs[ix];
+    pub(super) fn is_multi_task_gang(&self, job_index: u32) -> bool {
+        let job = &self.jobs[job_index];
         job.is_gang() && job.spec.tasks > 1
     }
 
     fn place_gangs(&mut self, batch: &[u32]) {
-        for &ix in batch {
-            if self.is_multi_task_gang(ix)
-                && self.jobs[ix].waiting() > 0
-                && let Some(placements) = self.plan_gang(ix)
+        for &job_index in batch {
+            if self.is_multi_task_gang(job_index)
+                && self.jobs[job_index].waiting() > 0
+                && let Some(placements) = self.plan_gang(job_index)
             {
-                self.start_gang(ix, &placements);
+                self.start_gang(job_index, &placements);
             }
         }
     }
@@ -58,13 +58,13 @@
     fn place_all_by_exact_fit(&mut self, batch: &[u32]) {
         // If one job finds no room, the others of its scheduling class find none either.
         let mut classes_without_room = BTreeSet::new();
-        for &ix in batch {
-            let class = self.bidding_class(ix);
+        for &job_index in batch {
+            let class = self.bidding_class(job_index);
             if class.is_some_and(|class| classes_without_room.contains(&class)) {
                 continue;
             }
-            self.place_by_exact_fit(ix);
-            if self.jobs[ix].waiting() > 0 {
+            self.place_by_exact_fit(job_index);
+            if self.jobs[job_index].waiting() > 0 {
                 classes_without_room.extend(class);
             }
         }
@@ -74,8 +74,8 @@
     /// now.
     fn record_unplaced(&mut self, batch: &[u32]) {
         let now = self.now;
-        for &ix in batch {
-            let job = &mut self.jobs[ix];
+        for &job_index in batch {
+            let job = &mut self.jobs[job_index];
             if job.waiting() == 0 {
                 job.unplaced_since = None;
             } else {
--- a/src/coordination/placement/value.rs
+++ b/src/coordination/placement/value.rs
@@ -27,26 +27,32 @@
     /// The value of a worker for a task of a job, π·w/ΔE in the design paper: weight times work
     /// over cost, multiplied by the headroom gate and by a factor that decreases with the time to
     /// fetch the image.
-    pub(in crate::coordination) fn value(&self, ix: u32, m: u32) -> f64 {
-        let Some(instance_type) = self.types.get(self.workers[m].instance_type) else {
+    pub(in crate::coordination) fn value(&self, job_index: u32, worker_index: u32) -> f64 {
+        let Some(instance_type) = self.types.get(self.workers[worker_index].instance_type) else {
             return 0.0;
         };
-        let job = &self.jobs[ix];
-        let fetch_s = self.fetch_s(ix, m);
-        let cost = self.cost(ix, m, instance_type, fetch_s);
-        let gate = self.headroom_gate(m, instance_type);
+        let job = &self.jobs[job_index];
+        let fetch_s = self.fetch_s(job_index, worker_index);
+        let cost = self.cost(job_index, worker_index, instance_type, fetch_s);
+        let gate = self.headroom_gate(worker_index, instance_type);
         let delay_factor = (-fetch_s / job.start_delay_tolerance_s)
             .exp()
             .max(MIN_DELAY_FACTOR);
-        self.weight(ix) * job.work_s() / cost.max(MIN_COST) * gate * delay_factor
+        self.weight(job_index) * job.work_s() / cost.max(MIN_COST) * gate * delay_factor
     }
 
     /// The cost of running a task on a worker, ΔE in the design paper: the price of the share of
     /// the worker that the task occupies, plus the price of the whole worker if it is empty.
-    fn cost(&self, ix: u32, m: u32, instance_type: &MachineType, fetch_s: f64) -> f64 {
-        let worker = &self.workers[m];
+    fn cost(
+        &self,
+        job_index: u32,
+        worker_index: u32,
+        instance_type: &MachineType,
+        fetch_s: f64,
+    ) -> f64 {
+        let worker = &self.workers[worker_index];
         let tuning = &self.config.tuning;
-        let work_s = self.jobs[ix].work_s();
+        let work_s = self.jobs[job_index].work_s();
         let price_per_hour = if worker.spot {
             instance_type.spot_price
         } else {
@@ -58,11 +64,11 @@
             // When a spot worker is reclaimed, the work done so far is lost.
             occupied_s *= 1.0 + work_s / tuning.spot_mean_life_s;
         }
-        let share = if self.fragments_worker(ix, m) {
+        let share = if self.fragments_worker(job_index, worker_index) {
             // The task keeps a whole-worker task off this worker, so it is charged for all of it.
             1.0
         } else {
-            self.jobs[ix]
+            self.jobs[job_index]
                 .spec
                 .needs
                 .dominant_share_of(&instance_type.capacity)
@@ -77,14 +83,14 @@
 
     /// A factor between 0 and 1: low for a worker that is nearly full or whose last heartbeat is
     /// old.
-    fn headroom_gate(&self, m: u32, instance_type: &MachineType) -> f64 {
+    fn headroom_gate(&self, worker_index: u32, instance_type: &MachineType) -> f64 {
         let tuning = &self.config.tuning;
-        let room = self.free_resources(m);
+        let room = self.free_resources(worker_index);
         let whole = &instance_type.capacity;
         let headroom = free_share(room.cpus, whole.cpus)
             .min(free_share(room.memory, whole.memory))
             .min(free_share(room.gpus, whole.gpus).max(MIN_GPU_HEADROOM));
-        let last_heartbeat_at = self.workers[m].last_heartbeat_at;
+        let last_heartbeat_at = self.workers[worker_index].last_heartbeat_at;
         let age_s = last_heartbeat_at.map_or(0.0, |at| self.now - at);
         let excess = headroom - tuning.headroom_decay_per_s * age_s - tuning.headroom_midpoint;
         1.0 / (1.0 + (-GATE_STEEPNESS * excess).exp())
@@ -92,8 +98,8 @@
 
     /// Whether fetching the image can take longer than the objective of the job allows, on the
     /// workers that fetch slowest.
-    fn needs_cached_image(&self, ix: u32) -> bool {
-        let job = &self.jobs[ix];
+    fn needs_cached_image(&self, job_index: u32) -> bool {
+        let job = &self.jobs[job_index];
         job.spec.image_gb / self.types.min_fetch_gb_per_s()
             > job.start_delay_tolerance_s * FETCH_SHARE_OF_TOLERANCE
     }
@@ -101,8 +107,8 @@
     /// How well a worker suits a job in the long term; 0 is best. A replica runs for long, so it
     /// must not be placed where it keeps whole-worker tasks away. A replica that is needed at once
     /// should find its image in the cache.
-    fn tier(&self, ix: u32, m: u32) -> u8 {
-        let job = &self.jobs[ix];
+    fn tier(&self, job_index: u32, worker_index: u32) -> u8 {
+        let job = &self.jobs[job_index];
         // A replica that replaces a lost one is unavailable for the whole fetch, so no fetch time
         // is acceptable.
         let is_replacement =
@@ -112,24 +118,28 @@
         } else {
             job.start_delay_tolerance_s * FETCH_SHARE_OF_TOLERANCE
         };
-        let fetches_too_long = self.needs_cached_image(ix) && self.fetch_s(ix, m) > max_fetch_s;
-        let fragments_worker = job.is_service() && self.fragments_worker(ix, m);
+        let fetches_too_long = self.needs_cached_image(job_index)
+            && self.fetch_s(job_index, worker_index) > max_fetch_s;
+        let fragments_worker = job.is_service() && self.fragments_worker(job_index, worker_index);
         u8::from(fetches_too_long) + 2 * u8::from(fragments_worker)
     }
 
     /// The best tier in which a job finds room or can make room by preemption. The job uses no
     /// worse tier, even if lower-priority work has to be preempted in this one.
-    pub(in crate::coordination) fn best_tier(&self, ix: u32) -> u8 {
-        if !self.jobs[ix].is_service() && !self.needs_cached_image(ix) {
+    pub(in crate::coordination) fn best_tier(&self, job_index: u32) -> u8 {
+        if !self.jobs[job_index].is_service() && !self.needs_cached_image(job_index) {
             return 0;
         }
         // Finding out whether there is room is expensive, so that is done only for a worker that
         // can improve the result. When it was done for every worker and every replica of a lost
         // zone, a batch on 3,000 workers took most of a second.
         let mut best = u8::MAX;
-        for (m, _) in self.workers.iter() {
-            let tier = self.tier(ix, m);
-            if tier < best && self.reservable(ix, m) && self.can_make_room(ix, m) {
+        for (worker_index, _) in self.workers.iter() {
+            let tier = self.tier(job_index, worker_index);
+            if tier < best
+                && self.reservable(job_index, worker_index)
+                && self.can_make_room(job_index, worker_index)
+            {
                 best = tier;
                 if best == 0 {
                     break;
@@ -140,15 +150,20 @@
     }
 
     /// Whether the tier of a worker for a job is `worst` or better.
-    pub(in crate::coordination) fn in_tier_or_better(&self, ix: u32, m: u32, worst: u8) -> bool {
-        self.tier(ix, m) <= worst
+    pub(in crate::coordination) fn in_tier_or_better(
+        &self,
+        job_index: u32,
+        worker_index: u32,
+        worst: u8,
+    ) -> bool {
+        self.tier(job_index, worker_index) <= worst
     }
 
     /// Expected seconds until the worker has the job's image, behind the other fetches on the
     /// worker.
-    pub(in crate::coordination) fn fetch_s(&self, ix: u32, m: u32) -> f64 {
-        let job = &self.jobs[ix];
-        let worker = &self.workers[m];
+    pub(in crate::coordination) fn fetch_s(&self, job_index: u32, worker_index: u32) -> f64 {
+        let job = &self.jobs[job_index];
+        let worker = &self.workers[worker_index];
         if worker.images.contains(&job.image) {
             return 0.0;
         }
--- a/src/coordination/preemption/mod.rs
+++ b/src/coordination/preemption/mod.rs
@@ -32,24 +32,24 @@
         // If no room can be made for one job, none can be made for the others of its scheduling
         // class.
         let mut classes_without_room = BTreeSet::new();
-        for &ix in batch {
+        for &job_index in batch {
             if budget == 0 {
                 break;
             }
-            let class = self.bidding_class(ix);
+            let class = self.bidding_class(job_index);
             let class_has_no_room =
                 class.is_some_and(|class| classes_without_room.contains(&class));
             // Running tasks are not preempted for a job that fails on every worker.
-            if class_has_no_room || self.is_faulty_job(ix) {
+            if class_has_no_room || self.is_faulty_job(job_index) {
                 continue;
             }
-            if self.is_multi_task_gang(ix) {
-                if self.tasks_without_room(ix) > 0 && self.make_room_for_gang(ix) {
+            if self.is_multi_task_gang(job_index) {
+                if self.tasks_without_room(job_index) > 0 && self.make_room_for_gang(job_index) {
                     budget -= 1;
                 }
                 continue;
             }
-            if !self.make_room_for_tasks(ix, &mut budget) {
+            if !self.make_room_for_tasks(job_index, &mut budget) {
                 classes_without_room.extend(class);
             }
         }
@@ -57,15 +57,15 @@
 
     /// Makes room for a job's tasks one by one: by preemption as far as the budget allows, and then
     /// by draining workers. Returns whether all its tasks have room now.
-    fn make_room_for_tasks(&mut self, ix: u32, budget: &mut u32) -> bool {
-        let mut missing = self.tasks_without_room(ix);
-        let reserved = self.reserve_by_preempting(ix, missing.min(*budget));
+    fn make_room_for_tasks(&mut self, job_index: u32, budget: &mut u32) -> bool {
+        let mut missing = self.tasks_without_room(job_index);
+        let reserved = self.reserve_by_preempting(job_index, missing.min(*budget));
         *budget -= reserved;
         missing -= reserved;
         while missing > 0
             && *budget > 0
-            && self.team_allows(self.jobs[ix].team, &self.jobs[ix].spec.needs)
-            && self.reserve_by_draining(ix)
+            && self.team_allows(self.jobs[job_index].team, &self.jobs[job_index].spec.needs)
+            && self.reserve_by_draining(job_index)
         {
             missing -= 1;
         }
@@ -73,10 +73,10 @@
     }
 
     /// The number of waiting tasks of a job that have no room reserved.
-    fn tasks_without_room(&self, ix: u32) -> u32 {
-        self.jobs[ix]
+    fn tasks_without_room(&self, job_index: u32) -> u32 {
+        self.jobs[job_index]
             .waiting()
-            .min(self.trial_start_limit(ix))
-            .saturating_sub(self.reserved_tasks(ix))
+            .min(self.trial_start_limit(job_index))
+            .saturating_sub(self.reserved_tasks(job_index))
     }
 }
--- a/src/coordination/preemption/reservations.rs
+++ b/src/coordination/preemption/reservations.rs
@@ -8,16 +8,21 @@
 
 impl Core {
     /// Reserves room for one more task of a job on a worker.
-    pub(in crate::coordination) fn reserve(&mut self, m: u32, ix: u32, for_s: f64) {
+    pub(in crate::coordination) fn reserve(
+        &mut self,
+        worker_index: u32,
+        job_index: u32,
+        for_s: f64,
+    ) {
         let until = self.now + for_s;
-        let reservations = &mut self.workers[m].reservations;
-        match reservations.iter_mut().find(|own| own.job == ix) {
+        let reservations = &mut self.workers[worker_index].reservations;
+        match reservations.iter_mut().find(|own| own.job == job_index) {
             Some(own) => {
                 own.count += 1;
                 own.until = own.until.max(until);
             }
             None => reservations.push(Reservation {
-                job: ix,
+                job: job_index,
                 count: 1,
                 until,
                 for_migration: false,
@@ -26,10 +31,15 @@
     }
 
     /// Extends the reservations of a job on a worker to at least this long from now.
-    pub(in crate::coordination) fn renew_reservation(&mut self, m: u32, ix: u32, for_s: f64) {
+    pub(in crate::coordination) fn renew_reservation(
+        &mut self,
+        worker_index: u32,
+        job_index: u32,
+        for_s: f64,
+    ) {
         let until = self.now + for_s;
-        let reservations = self.workers[m].reservations.iter_mut();
-        for own in reservations.filter(|reservation| reservation.job == ix) {
+        let reservations = self.workers[worker_index].reservations.iter_mut();
+        for own in reservations.filter(|reservation| reservation.job == job_index) {
             own.until = own.until.max(until);
         }
     }
@@ -37,33 +47,33 @@
     /// Drops reservations that have expired or are no longer needed.
     pub(in crate::coordination) fn expire_reservations(&mut self) {
         let now = self.now;
-        for m in self.workers.indices() {
-            if self.workers[m].reservations.is_empty() {
+        for worker_index in self.workers.indices() {
+            if self.workers[worker_index].reservations.is_empty() {
                 continue;
             }
-            let usable = self.worker_usable(m);
+            let usable = self.worker_usable(worker_index);
             let jobs = &self.jobs;
             let wanted = |reservation: &Reservation| {
                 jobs.get(reservation.job).is_some_and(|job| {
                     job.state == JobState::Live && (reservation.for_migration || job.waiting() > 0)
                 })
             };
-            self.workers[m]
+            self.workers[worker_index]
                 .reservations
                 .retain(|reservation| usable && reservation.until > now && wanted(reservation));
         }
     }
 
     /// The number of tasks of a job that have room reserved.
-    pub(super) fn reserved_tasks(&self, ix: u32) -> u32 {
-        self.reserved_by_zone(ix).iter().sum()
+    pub(super) fn reserved_tasks(&self, job_index: u32) -> u32 {
+        self.reserved_by_zone(job_index).iter().sum()
     }
 
     /// The number of tasks of a job that have room reserved, by zone.
-    pub(in crate::coordination) fn reserved_by_zone(&self, ix: u32) -> Vec<u32> {
+    pub(in crate::coordination) fn reserved_by_zone(&self, job_index: u32) -> Vec<u32> {
         let mut by_zone = vec![0; self.zones.len()];
         for (_, worker) in self.workers.iter() {
-            for own in worker.reservations.iter().filter(|r| r.job == ix) {
+            for own in worker.reservations.iter().filter(|r| r.job == job_index) {
                 by_zone[worker.zone as usize] += own.count;
             }
         }
@@ -71,13 +81,17 @@
     }
 
     /// Free room of a worker less what is reserved for other jobs.
-    pub(in crate::coordination) fn available_resources(&self, m: u32, ix: u32) -> Resources {
-        let mut room = self.free_resources(m);
-        if let Some(kept) = self.withheld_resources(m, ix) {
+    pub(in crate::coordination) fn available_resources(
+        &self,
+        worker_index: u32,
+        job_index: u32,
+    ) -> Resources {
+        let mut room = self.free_resources(worker_index);
+        if let Some(kept) = self.withheld_resources(worker_index, job_index) {
             room.sub(&kept);
         }
-        for reservation in &self.workers[m].reservations {
-            if reservation.job != ix {
+        for reservation in &self.workers[worker_index].reservations {
+            if reservation.job != job_index {
                 self.subtract_reserved(&mut room, reservation);
             }
         }
@@ -86,10 +100,10 @@
 
     /// Free room of a worker less everything that is reserved on it, including reservations for
     /// this job.
-    pub(super) fn unreserved_resources(&self, ix: u32, m: u32) -> Resources {
-        let mut room = self.available_resources(m, ix);
-        for reservation in &self.workers[m].reservations {
-            if reservation.job == ix {
+    pub(super) fn unreserved_resources(&self, job_index: u32, worker_index: u32) -> Resources {
+        let mut room = self.available_resources(worker_index, job_index);
+        for reservation in &self.workers[worker_index].reservations {
+            if reservation.job == job_index {
                 self.subtract_reserved(&mut room, reservation);
             }
         }
@@ -105,10 +119,10 @@
 
     /// Whether a worker and its zone are allowed for a task of a job, so that room may be reserved
     /// there.
-    pub(in crate::coordination) fn reservable(&self, ix: u32, m: u32) -> bool {
-        self.worker_usable(m)
-            && self.worker_allowed(ix, m)
-            && self.zone_allows(ix, self.workers[m].zone)
+    pub(in crate::coordination) fn reservable(&self, job_index: u32, worker_index: u32) -> bool {
+        self.worker_usable(worker_index)
+            && self.worker_allowed(job_index, worker_index)
+            && self.zone_allows(job_index, self.workers[worker_index].zone)
     }
 
     /// Starts the tasks of a batch that have room reserved, where that room is free by now. Gangs
@@ -116,40 +130,45 @@
     pub(in crate::coordination) fn serve_reservations(&mut self, batch: &[u32]) {
         self.reassign_reservations(batch);
         let workers = self.workers.indices();
-        let reservations = workers.iter().flat_map(|&m| &self.workers[m].reservations);
+        let reservations = workers
+            .iter()
+            .flat_map(|&worker_index| &self.workers[worker_index].reservations);
         let with_reservations: BTreeSet<u32> = reservations.map(|r| r.job).collect();
-        for &ix in batch {
-            if self.is_multi_task_gang(ix) || !with_reservations.contains(&ix) {
+        for &job_index in batch {
+            if self.is_multi_task_gang(job_index) || !with_reservations.contains(&job_index) {
                 continue;
             }
-            for m in self.workers.indices() {
-                while self.has_reservation(m, ix)
-                    && self.jobs[ix]
+            for worker_index in self.workers.indices() {
+                while self.has_reservation(worker_index, job_index)
+                    && self.jobs[job_index]
                         .spec
                         .needs
-                        .fits_in(&self.available_resources(m, ix))
-                    && self.start_next_task(ix, m)
+                        .fits_in(&self.available_resources(worker_index, job_index))
+                    && self.start_next_task(job_index, worker_index)
                 {}
             }
         }
     }
 
-    fn has_reservation(&self, m: u32, ix: u32) -> bool {
-        self.workers[m].reservations.iter().any(|r| r.job == ix)
+    fn has_reservation(&self, worker_index: u32, job_index: u32) -> bool {
+        self.workers[worker_index]
+            .reservations
+            .iter()
+            .any(|r| r.job == job_index)
     }
 
     /// Transfers each reservation for a large task to the most urgent single task of the same
     /// large-task profile, regardless of which job reserved it.
     fn reassign_reservations(&mut self, batch: &[u32]) {
-        for m in self.workers.indices() {
-            for at in 0..self.workers[m].reservations.len() {
-                let holder = self.workers[m].reservations[at].job;
-                if let Some(best) = self.most_urgent_of_same_profile(holder, m, batch)
+        for worker_index in self.workers.indices() {
+            for at in 0..self.workers[worker_index].reservations.len() {
+                let holder = self.workers[worker_index].reservations[at].job;
+                if let Some(best) = self.most_urgent_of_same_profile(holder, worker_index, batch)
                     && best != holder
-                    && self.free_resources(m).cpus >= self.jobs[best].spec.needs.cpus
-                    && !self.has_reservation(m, best)
+                    && self.free_resources(worker_index).cpus >= self.jobs[best].spec.needs.cpus
+                    && !self.has_reservation(worker_index, best)
                 {
-                    self.workers[m].reservations[at].job = best;
+                    self.workers[worker_index].reservations[at].job = best;
                 }
             }
         }
@@ -157,19 +176,24 @@
 
     /// The first job of the batch with single tasks of the holder's large-task profile. A gang's
     /// reservation is transferred only to jobs that come before the gang in the batch.
-    fn most_urgent_of_same_profile(&self, holder: u32, m: u32, batch: &[u32]) -> Option<u32> {
+    fn most_urgent_of_same_profile(
+        &self,
+        holder: u32,
+        worker_index: u32,
+        batch: &[u32],
+    ) -> Option<u32> {
         let profile = self.jobs[holder].large_task_profile?;
         let holder_is_gang = self.is_multi_task_gang(holder);
         batch
             .iter()
             .copied()
-            .take_while(|&ix| !holder_is_gang || ix != holder)
-            .find(|&ix| {
-                let job = &self.jobs[ix];
+            .take_while(|&job_index| !holder_is_gang || job_index != holder)
+            .find(|&job_index| {
+                let job = &self.jobs[job_index];
                 job.large_task_profile == Some(profile)
-                    && !self.is_multi_task_gang(ix)
+                    && !self.is_multi_task_gang(job_index)
                     && job.waiting() > 0
-                    && self.worker_allowed(ix, m)
+                    && self.worker_allowed(job_index, worker_index)
             })
     }
 }
--- a/src/coordination/preemption/single_tasks.rs
+++ b/src/coordination/preemption/single_tasks.rs
@@ -43,27 +43,27 @@
     /// Preempts lower-priority work for up to `limit` tasks of a job, where that costs least, and
     /// returns the number of tasks that have room now. Each worker is evaluated once, and again
     /// only after something was stopped there.
-    pub(super) fn reserve_by_preempting(&mut self, ix: u32, limit: u32) -> u32 {
-        if limit == 0 || !self.outranks_any_active_job(ix) {
+    pub(super) fn reserve_by_preempting(&mut self, job_index: u32, limit: u32) -> u32 {
+        if limit == 0 || !self.outranks_any_active_job(job_index) {
             return 0;
         }
-        let mut options = self.preemption_options(ix);
-        let mut by_zone = self.reserved_by_zone(ix);
+        let mut options = self.preemption_options(job_index);
+        let mut by_zone = self.reserved_by_zone(job_index);
         let mut reserved = 0;
         while reserved < limit
             && let Some(best) = options.pop()
         {
-            let m = best.worker;
-            let zone = self.workers[m].zone;
-            if !self.zone_allows_more(ix, zone, by_zone[zone as usize])
-                || !self.team_allows(self.jobs[ix].team, &self.jobs[ix].spec.needs)
+            let worker_index = best.worker;
+            let zone = self.workers[worker_index].zone;
+            if !self.zone_allows_more(job_index, zone, by_zone[zone as usize])
+                || !self.team_allows(self.jobs[job_index].team, &self.jobs[job_index].spec.needs)
             {
                 continue;
             }
-            self.preempt_and_reserve(ix, m, &best.victims);
+            self.preempt_and_reserve(job_index, worker_index, &best.victims);
             by_zone[zone as usize] += 1;
             reserved += 1;
-            if let Some(next_option) = self.preemption_option(ix, m) {
+            if let Some(next_option) = self.preemption_option(job_index, worker_index) {
                 let at = options.partition_point(|option| option.compare(&next_option).is_lt());
                 options.insert(at, next_option);
             }
@@ -73,14 +73,17 @@
 
     /// The workers of the job's best tier on which tasks must be stopped to make room for one of
     /// its tasks, the best last.
-    fn preemption_options(&self, ix: u32) -> Vec<PreemptionOption> {
-        let tier = self.best_tier(ix);
+    fn preemption_options(&self, job_index: u32) -> Vec<PreemptionOption> {
+        let tier = self.best_tier(job_index);
         let mut options: Vec<PreemptionOption> = self
             .workers
             .indices()
             .into_iter()
-            .filter(|&m| self.reservable(ix, m) && self.in_tier_or_better(ix, m, tier))
-            .filter_map(|m| self.preemption_option(ix, m))
+            .filter(|&worker_index| {
+                self.reservable(job_index, worker_index)
+                    && self.in_tier_or_better(job_index, worker_index, tier)
+            })
+            .filter_map(|worker_index| self.preemption_option(job_index, worker_index))
             .collect();
         options.sort_by(PreemptionOption::compare);
         options
@@ -88,17 +91,17 @@
 
     /// The stops that make room for one task on a worker; none if there is room without them, or no
     /// set of stops is enough.
-    fn preemption_option(&self, ix: u32, m: u32) -> Option<PreemptionOption> {
-        if !self.can_make_room(ix, m) {
+    fn preemption_option(&self, job_index: u32, worker_index: u32) -> Option<PreemptionOption> {
+        if !self.can_make_room(job_index, worker_index) {
             return None;
         }
-        let preemption = self.select_victims(ix, m)?;
+        let preemption = self.select_victims(job_index, worker_index)?;
         // Dividing by the value makes a costlier stop acceptable on a worker that has the image
         // cached.
-        let value = self.value(ix, m).max(MIN_VALUE);
+        let value = self.value(job_index, worker_index).max(MIN_VALUE);
         (!preemption.victims.is_empty()).then_some(PreemptionOption {
             cost: (preemption.cost + BASE_COST) / value,
-            worker: m,
+            worker: worker_index,
             victims: preemption.victims,
         })
     }
@@ -106,47 +109,50 @@
     /// Stops the victims on a worker, and reserves room for one task of a job there.
     pub(in crate::coordination) fn preempt_and_reserve(
         &mut self,
-        ix: u32,
-        m: u32,
+        job_index: u32,
+        worker_index: u32,
         victims: &[InstanceId],
     ) {
         for key in victims {
             tracing::debug!(
-                job = %self.jobs[ix].spec.id,
+                job = %self.jobs[job_index].spec.id,
                 victim = %self.jobs[key.job].spec.id,
-                worker = self.workers[m].name,
+                worker = self.workers[worker_index].name,
                 "preempting task instance"
             );
-            self.stop_gracefully(m, *key);
+            self.stop_gracefully(worker_index, *key);
         }
         self.reserve(
-            m,
-            ix,
+            worker_index,
+            job_index,
             PREEMPTION_RESERVATION_S + self.longest_stop_grace_s(victims),
         );
     }
 
     /// Reserves the worker that will be the first to have room for a task that needs much of it.
     /// Returns whether there is such a worker.
-    pub(super) fn reserve_by_draining(&mut self, ix: u32) -> bool {
-        let needs = self.jobs[ix].spec.needs;
+    pub(super) fn reserve_by_draining(&mut self, job_index: u32) -> bool {
+        let needs = self.jobs[job_index].spec.needs;
         let soonest = self
             .workers
             .indices()
             .into_iter()
-            .filter(|&m| self.reservable(ix, m))
-            .filter(|&m| self.workers[m].reservations.is_empty())
-            .filter(|&m| {
-                let instance_type = self.types.get(self.workers[m].instance_type);
+            .filter(|&worker_index| self.reservable(job_index, worker_index))
+            .filter(|&worker_index| self.workers[worker_index].reservations.is_empty())
+            .filter(|&worker_index| {
+                let instance_type = self.types.get(self.workers[worker_index].instance_type);
                 instance_type
                     .is_some_and(|t| needs.dominant_share_of(&t.capacity) > DRAIN_MIN_SHARE)
             })
-            .filter_map(|m| self.seconds_until_room(&needs, m).map(|in_s| (m, in_s)))
+            .filter_map(|worker_index| {
+                self.seconds_until_room(&needs, worker_index)
+                    .map(|in_s| (worker_index, in_s))
+            })
             .min_by(|a, b| a.1.total_cmp(&b.1).then(a.0.cmp(&b.0)));
-        let Some((m, _)) = soonest else {
+        let Some((worker_index, _)) = soonest else {
             return false;
         };
-        self.reserve(m, ix, DRAIN_RESERVATION_S);
+        self.reserve(worker_index, job_index, DRAIN_RESERVATION_S);
         true
     }
 
@@ -155,10 +161,10 @@
     pub(in crate::coordination) fn seconds_until_room(
         &self,
         needs: &Resources,
-        m: u32,
+        worker_index: u32,
     ) -> Option<f64> {
-        let mut room = self.free_resources(m);
-        let mut ends: Vec<(f64, Resources)> = self.workers[m]
+        let mut room = self.free_resources(worker_index);
+        let mut ends: Vec<(f64, Resources)> = self.workers[worker_index]
             .instances
             .iter()
             .filter(|(key, instance)| instance.may_exist() && !self.jobs[key.job].is_service())
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -25,10 +25,10 @@
 }
 
 impl Core {
-    /// Whether tasks of job `other` may be stopped for job `ix`. Between teams, jobs within their
-    /// quota outrank jobs beyond it; otherwise the priority decides.
-    pub(super) fn outranks(&self, ix: u32, other: u32) -> bool {
-        let (job, other) = (&self.jobs[ix], &self.jobs[other]);
+    /// Whether tasks of job `other` may be stopped for job `job_index`. Between teams, jobs within
+    /// their quota outrank jobs beyond it; otherwise the priority decides.
+    pub(super) fn outranks(&self, job_index: u32, other: u32) -> bool {
+        let (job, other) = (&self.jobs[job_index], &self.jobs[other]);
         if job.team != other.team && job.within_quota != other.within_quota {
             return job.within_quota;
         }
@@ -36,30 +36,31 @@
     }
 
     /// Whether any task instance at all may be stopped for a job.
-    pub(super) fn outranks_any_active_job(&self, ix: u32) -> bool {
+    pub(super) fn outranks_any_active_job(&self, job_index: u32) -> bool {
         self.jobs
             .iter()
-            .any(|(other, job)| job.active > 0 && self.outranks(ix, other))
+            .any(|(other, job)| job.active > 0 && self.outranks(job_index, other))
     }
 
-    /// Whether a task instance of job `other` may be stopped, alone or with its gang, for job `ix`.
-    /// A gang stops as a whole, which loses much work, so that is done only for replicas of a
-    /// service, which have to be available at all times.
-    fn may_preempt(&self, ix: u32, other: u32) -> bool {
-        self.outranks(ix, other) && (self.jobs[ix].is_service() || !self.is_multi_task_gang(other))
+    /// Whether a task instance of job `other` may be stopped, alone or with its gang, for job
+    /// `job_index`. A gang stops as a whole, which loses much work, so that is done only for
+    /// replicas of a service, which have to be available at all times.
+    fn may_preempt(&self, job_index: u32, other: u32) -> bool {
+        self.outranks(job_index, other)
+            && (self.jobs[job_index].is_service() || !self.is_multi_task_gang(other))
     }
 
     /// Whether [`Self::select_victims`] finds a set of stops. Cheaper, as it does not look for the
     /// best one.
-    pub(in crate::coordination) fn can_make_room(&self, ix: u32, m: u32) -> bool {
-        let needs = &self.jobs[ix].spec.needs;
-        let mut room = self.unreserved_resources(ix, m);
-        let mut instances = self.workers[m].instances.iter();
+    pub(in crate::coordination) fn can_make_room(&self, job_index: u32, worker_index: u32) -> bool {
+        let needs = &self.jobs[job_index].spec.needs;
+        let mut room = self.unreserved_resources(job_index, worker_index);
+        let mut instances = self.workers[worker_index].instances.iter();
         while !needs.fits_in(&room) {
             let Some((key, instance)) = instances.next() else {
                 return false;
             };
-            let stops = instance.stop.is_some() || self.may_preempt(ix, key.job);
+            let stops = instance.stop.is_some() || self.may_preempt(job_index, key.job);
             if instance.may_exist() && stops {
                 room.add(&self.jobs[key.job].spec.needs);
             }
@@ -69,10 +70,14 @@
 
     /// A set of stops on one worker that makes room for one task, chosen in ascending order of
     /// cost.
-    pub(in crate::coordination) fn select_victims(&self, ix: u32, m: u32) -> Option<Preemption> {
-        let needs = self.jobs[ix].spec.needs;
-        let mut room = self.unreserved_resources(ix, m);
-        for (key, instance) in &self.workers[m].instances {
+    pub(in crate::coordination) fn select_victims(
+        &self,
+        job_index: u32,
+        worker_index: u32,
+    ) -> Option<Preemption> {
+        let needs = self.jobs[job_index].spec.needs;
+        let mut room = self.unreserved_resources(job_index, worker_index);
+        for (key, instance) in &self.workers[worker_index].instances {
             if instance.may_exist() && instance.stop.is_some() {
                 // This instance is being stopped already. Its room is reserved for the job that it
                 // is stopped for.
@@ -83,7 +88,7 @@
             cost: 0.0,
             victims: Vec::new(),
         };
-        for (cost, key) in self.victim_candidates(ix, m) {
+        for (cost, key) in self.victim_candidates(job_index, worker_index) {
             if needs.fits_in(&room) {
                 break;
             }
@@ -98,18 +103,18 @@
             }
         }
         let fits = needs.fits_in(&room);
-        debug_assert_eq!(fits, self.can_make_room(ix, m));
+        debug_assert_eq!(fits, self.can_make_room(job_index, worker_index));
         fits.then_some(preemption)
     }
 
     /// The task instances on a worker that may be stopped for a job, the cheapest first.
-    fn victim_candidates(&self, ix: u32, m: u32) -> Vec<(f64, InstanceId)> {
-        let mut candidates: Vec<(f64, InstanceId)> = self.workers[m]
+    fn victim_candidates(&self, job_index: u32, worker_index: u32) -> Vec<(f64, InstanceId)> {
+        let mut candidates: Vec<(f64, InstanceId)> = self.workers[worker_index]
             .instances
             .iter()
             .filter(|(_, instance)| instance.may_exist() && instance.stop.is_none())
-            .filter(|(key, _)| self.may_preempt(ix, key.job))
-            .map(|(key, instance)| (self.stop_cost(ix, key, instance), *key))
+            .filter(|(key, _)| self.may_preempt(job_index, key.job))
+            .map(|(key, instance)| (self.stop_cost(job_index, key, instance), *key))
             .collect();
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         candidates
@@ -117,7 +122,7 @@
 
     /// The cost of stopping a task instance: the lost work of it and its gang, increased by the
     /// delay that its grace period causes for the preempting job.
-    fn stop_cost(&self, ix: u32, key: &InstanceId, instance: &TaskInstance) -> f64 {
+    fn stop_cost(&self, job_index: u32, key: &InstanceId, instance: &TaskInstance) -> f64 {
         let mut lost_work = self.lost_work(key, instance);
         if self.is_multi_task_gang(key.job) {
             lost_work *= f64::from(self.jobs[key.job].spec.tasks);
@@ -125,7 +130,7 @@
         // A task that saves a checkpoint frees its room later. Without this factor, replicas that
         // had to start within a second waited for lower-priority tasks to save theirs.
         let grace_in_tolerances =
-            self.stop_grace_s(key.job) / self.jobs[ix].start_delay_tolerance_s;
+            self.stop_grace_s(key.job) / self.jobs[job_index].start_delay_tolerance_s;
         lost_work * grace_in_tolerances.min(MAX_GRACE_IN_TOLERANCES).exp()
     }
 
@@ -146,8 +151,8 @@
 
     /// The grace period, in seconds, in which a stopped task of a job can save a checkpoint; 0 if
     /// the job takes none.
-    pub(in crate::coordination) fn stop_grace_s(&self, ix: u32) -> f64 {
-        let spec = &self.jobs[ix].spec;
+    pub(in crate::coordination) fn stop_grace_s(&self, job_index: u32) -> f64 {
+        let spec = &self.jobs[job_index].spec;
         if spec.checkpoint_interval_s > 0.0 {
             checkpoint_grace_s(spec.checkpoint_save_s)
         } else {
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -124,11 +124,11 @@
     /// Returns a worker that has stopped by itself. Only its return to the cloud proves that its
     /// tasks are gone.
     fn return_failed_worker(&mut self, entry: &ListedWorker, kind: u32, zone: u32) {
-        let m = match self.workers.index_of(&entry.name) {
-            Some(m) => m,
+        let worker_index = match self.workers.index_of(&entry.name) {
+            Some(worker_index) => worker_index,
             None => self.add_worker(&entry.name, &entry.address, kind, zone, entry.spot),
         };
         self.provisioning.booting.remove(&entry.name);
-        self.workers[m].scaling_in = true;
+        self.workers[worker_index].scaling_in = true;
     }
 }
--- a/src/coordination/provisioning/quarantine.rs
+++ b/src/coordination/provisioning/quarantine.rs
@@ -30,14 +30,14 @@
 impl Core {
     /// Handles a failed task. Either the worker or the job is at fault; the results of the job on
     /// other workers and of other jobs on this worker show which.
-    pub(crate) fn handle_task_failure(&mut self, m: u32, id: InstanceId) {
+    pub(crate) fn handle_task_failure(&mut self, worker_index: u32, id: InstanceId) {
         let now = self.now;
         let job = &mut self.jobs[id.job];
         let task = &mut job.tasks[id.task as usize];
         task.not_before = (now + TASK_RETRY_DELAY_S) as f32;
         job.failures += 1;
-        if !job.failed_on.contains(&m) {
-            job.failed_on.push(m);
+        if !job.failed_on.contains(&worker_index) {
+            job.failed_on.push(worker_index);
         }
         let in_doubt = job.failed_on.len() >= IN_DOUBT_AFTER_WORKERS && job.done == 0;
         if in_doubt && !job.is_service() {
@@ -47,19 +47,19 @@
         if self.is_faulty_job(id.job) {
             self.delay_faulty_job(id.job);
         }
-        self.workers[m]
+        self.workers[worker_index]
             .failed_jobs
             .insert(id.job, now + JOB_BACKOFF_S);
         if self.jobs[id.job].known_good {
-            self.quarantine(m);
+            self.quarantine(worker_index);
         }
     }
 
     /// Retries a job that fails on every worker with exponential backoff, until its user cancels
     /// it.
-    fn delay_faulty_job(&mut self, ix: u32) {
+    fn delay_faulty_job(&mut self, job_index: u32) {
         let now = self.now;
-        let job = &mut self.jobs[ix];
+        let job = &mut self.jobs[job_index];
         let delay_s = 2.0f64.powi(job.failures.min(MAX_JOB_RETRY_DOUBLINGS) as i32);
         job.retry_at = now + delay_s.min(MAX_JOB_RETRY_DELAY_S);
         if now - job.warned_at > WARN_INTERVAL_S {
@@ -72,22 +72,22 @@
     /// which it failed lately. Failures of other jobs never quarantine a worker: several faulty
     /// jobs on their first attempts look like several good jobs on a faulty worker, and new workers
     /// that have run nothing else would be quarantined.
-    pub(crate) fn mark_job_known_good(&mut self, ix: u32) {
-        if std::mem::replace(&mut self.jobs[ix].known_good, true) {
+    pub(crate) fn mark_job_known_good(&mut self, job_index: u32) {
+        if std::mem::replace(&mut self.jobs[job_index].known_good, true) {
             return;
         }
-        self.jobs[ix].failures = 0;
-        for m in self.workers.indices() {
-            let backoff_until = self.workers[m].failed_jobs.get(&ix);
+        self.jobs[job_index].failures = 0;
+        for worker_index in self.workers.indices() {
+            let backoff_until = self.workers[worker_index].failed_jobs.get(&job_index);
             if backoff_until.is_some_and(|&until| until > self.now) {
-                self.quarantine(m);
+                self.quarantine(worker_index);
             }
         }
     }
 
-    fn quarantine(&mut self, m: u32) {
+    fn quarantine(&mut self, worker_index: u32) {
         let now = self.now;
-        let worker = &mut self.workers[m];
+        let worker = &mut self.workers[worker_index];
         if worker.quarantined_until > now {
             return;
         }
@@ -99,17 +99,19 @@
     }
 
     /// Returns whether a job has failed on several workers and never run well.
-    pub(crate) fn is_faulty_job(&self, ix: u32) -> bool {
+    pub(crate) fn is_faulty_job(&self, job_index: u32) -> bool {
         self.jobs
-            .get(ix)
+            .get(job_index)
             .is_some_and(|job| !job.known_good && job.failed_on.len() >= FAULTY_AFTER_WORKERS)
     }
 
     /// Records that a task of the job has run well on this worker.
-    pub(crate) fn record_task_success(&mut self, m: u32, ix: u32) {
-        self.jobs[ix].failed_on.retain(|&failed| failed != m);
-        let worker = &mut self.workers[m];
-        worker.failed_jobs.remove(&ix);
+    pub(crate) fn record_task_success(&mut self, worker_index: u32, job_index: u32) {
+        self.jobs[job_index]
+            .failed_on
+            .retain(|&failed| failed != worker_index);
+        let worker = &mut self.workers[worker_index];
+        worker.failed_jobs.remove(&job_index);
         if worker.failed_jobs.is_empty() && worker.quarantined_until <= self.now {
             worker.quarantine_count = 0;
         }
@@ -117,8 +119,8 @@
 
     /// Returns how many more tasks of a job may be started now. The number is small for a job that
     /// has failed and is not known to be good.
-    pub(crate) fn trial_start_limit(&self, ix: u32) -> u32 {
-        let job = &self.jobs[ix];
+    pub(crate) fn trial_start_limit(&self, job_index: u32) -> u32 {
+        let job = &self.jobs[job_index];
         if job.known_good || job.failed_on.is_empty() {
             u32::MAX
         } else {
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -23,13 +23,13 @@
         for name in names {
             self.provisioning.booting.remove(&name);
             self.workers.record_scaled_in(&name);
-            let Some(m) = self.workers.index_of(&name) else {
+            let Some(worker_index) = self.workers.index_of(&name) else {
                 continue;
             };
-            self.clear_worker(m);
-            self.unregister_worker(m);
-            self.remove_worker_from_shards(m);
-            self.workers.remove(m);
+            self.clear_worker(worker_index);
+            self.unregister_worker(worker_index);
+            self.remove_worker_from_shards(worker_index);
+            self.workers.remove(worker_index);
             self.end_drain_of_removed_worker(&name);
             removed.push(name);
         }
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -164,8 +164,8 @@
             plan.available
                 .extend(self.available_workers_outside(&demand.zones_unresponsive));
         }
-        for ix in self.jobs_by_weight(&demand) {
-            self.plan_workers_for(ix, &demand, &mut plan);
+        for job_index in self.jobs_by_weight(&demand) {
+            self.plan_workers_for(job_index, &demand, &mut plan);
         }
         plan.wanted
     }
@@ -203,20 +203,20 @@
         let mut jobs: Vec<(f64, u32)> = self
             .jobs
             .iter()
-            .filter(|(ix, job)| {
+            .filter(|(job_index, job)| {
                 job.state == JobState::Live
-                    && !self.is_faulty_job(*ix)
-                    && (self.needs_workers(job) || demand.replicas_at_risk.contains_key(ix))
+                    && !self.is_faulty_job(*job_index)
+                    && (self.needs_workers(job) || demand.replicas_at_risk.contains_key(job_index))
             })
-            .map(|(ix, _)| (self.weight(ix), ix))
+            .map(|(job_index, _)| (self.weight(job_index), job_index))
             .collect();
         jobs.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        jobs.into_iter().map(|(_, ix)| ix).collect()
+        jobs.into_iter().map(|(_, job_index)| job_index).collect()
     }
 
     /// Plans new workers for the tasks of a job that do not fit on the available ones.
-    fn plan_workers_for(&self, ix: u32, demand: &ScaleOutDemand, plan: &mut ScaleOutPlan) {
-        let job = &self.jobs[ix];
+    fn plan_workers_for(&self, job_index: u32, demand: &ScaleOutDemand, plan: &mut ScaleOutPlan) {
+        let job = &self.jobs[job_index];
         let needs = job.spec.needs;
         let waiting = if self.needs_workers(job) {
             job.waiting()
@@ -225,8 +225,12 @@
         };
         let mut remaining = waiting
             .min(MAX_TASKS_PER_JOB)
-            .min(self.trial_start_limit(ix));
-        remaining += demand.replicas_at_risk.get(&ix).copied().unwrap_or(0);
+            .min(self.trial_start_limit(job_index));
+        remaining += demand
+            .replicas_at_risk
+            .get(&job_index)
+            .copied()
+            .unwrap_or(0);
         for worker in plan
             .available
             .iter_mut()
@@ -236,7 +240,7 @@
         }
         while remaining > 0 && plan.allowed > 0 {
             let zones_unresponsive = &demand.zones_unresponsive;
-            let Some(pool) = self.cheapest_pool(ix, &plan.wanted, zones_unresponsive) else {
+            let Some(pool) = self.cheapest_pool(job_index, &plan.wanted, zones_unresponsive) else {
                 break;
             };
             let Some(kind) = self.types.get(pool.kind) else {
@@ -279,8 +283,8 @@
         if !zones_unresponsive.contains(&true) {
             return replicas;
         }
-        for (m, worker) in self.workers.iter() {
-            if !zones_unresponsive[worker.zone as usize] || !self.is_unresponsive(m) {
+        for (worker_index, worker) in self.workers.iter() {
+            if !zones_unresponsive[worker.zone as usize] || !self.is_unresponsive(worker_index) {
                 continue;
             }
             for (id, instance) in &worker.instances {
@@ -297,15 +301,15 @@
     fn available_workers_outside(&self, zones_unresponsive: &[bool]) -> Vec<AvailableWorker> {
         self.workers
             .iter()
-            .filter(|(m, worker)| {
+            .filter(|(worker_index, worker)| {
                 !zones_unresponsive[worker.zone as usize]
-                    && self.worker_usable(*m)
+                    && self.worker_usable(*worker_index)
                     && worker.reservations.is_empty()
             })
-            .map(|(m, worker)| AvailableWorker {
+            .map(|(worker_index, worker)| AvailableWorker {
                 kind: worker.instance_type,
                 spot: worker.spot,
-                free: self.free_resources(m),
+                free: self.free_resources(worker_index),
             })
             .collect()
     }
@@ -314,11 +318,11 @@
     /// with the fewest planned workers is chosen, which spreads workers over the zones.
     fn cheapest_pool(
         &self,
-        ix: u32,
+        job_index: u32,
         wanted: &BTreeMap<CapacityPool, u32>,
         zones_unresponsive: &[bool],
     ) -> Option<CapacityPool> {
-        let job = &self.jobs[ix];
+        let job = &self.jobs[job_index];
         let mut best: Option<((f64, u32), CapacityPool)> = None;
         for (kind, described) in (0u32..).zip(&self.types.descriptions) {
             let Some(described) = described else { continue };
@@ -330,7 +334,7 @@
             for zone in 0..self.zones.len() as u32 {
                 let offered = described.zones.iter().any(|z| z == self.zones.name(zone));
                 let unresponsive = zones_unresponsive[zone as usize];
-                if !offered || unresponsive || !self.job_allows_zone(ix, zone) {
+                if !offered || unresponsive || !self.job_allows_zone(job_index, zone) {
                     continue;
                 }
                 for spot in [true, false] {
@@ -362,7 +366,10 @@
     }
 
     /// Returns whether another task of the job may run in this zone.
-    fn job_allows_zone(&self, ix: u32, zone: u32) -> bool {
-        self.jobs[ix].zone.is_none_or(|required| required == zone) && self.zone_allows(ix, zone)
+    fn job_allows_zone(&self, job_index: u32, zone: u32) -> bool {
+        self.jobs[job_index]
+            .zone
+            .is_none_or(|required| required == zone)
+            && self.zone_allows(job_index, zone)
     }
 }
--- a/src/coordination/provisioning/unresponsive.rs
+++ b/src/coordination/provisioning/unresponsive.rs
@@ -75,23 +75,27 @@
         let mut probes_remaining = None;
         let mut released = Vec::new();
         for late in survey.late {
-            let m = late.index;
-            if !self.may_run_replicas(m) {
+            let worker_index = late.index;
+            if !self.may_run_replicas(worker_index) {
                 continue;
             }
             let release = !network_fault && self.is_confirmed_unresponsive(&late) && {
                 let recent = recent.get_or_insert_with(|| self.recent_heartbeats());
-                self.zone_is_reachable(recent, m, self.workers[m].unanswered_at)
+                self.zone_is_reachable(
+                    recent,
+                    worker_index,
+                    self.workers[worker_index].unanswered_at,
+                )
             };
             if release {
-                released.push(m);
-                self.workers[m].scaling_in = true;
+                released.push(worker_index);
+                self.workers[worker_index].scaling_in = true;
                 self.send_scale_in();
-            } else if self.may_probe(m) {
+            } else if self.may_probe(worker_index) {
                 let remaining = probes_remaining.get_or_insert_with(|| self.remaining_probes());
                 if *remaining > 0 {
                     *remaining -= 1;
-                    self.send_probe(m);
+                    self.send_probe(worker_index);
                 }
             }
         }
@@ -124,8 +128,8 @@
     }
 
     /// Returns whether a probe may be sent to a worker now.
-    fn may_probe(&self, m: u32) -> bool {
-        let worker = &self.workers[m];
+    fn may_probe(&self, worker_index: u32) -> bool {
+        let worker = &self.workers[worker_index];
         worker.in_flight.is_none() && worker.next_message_at <= self.now
     }
 
@@ -156,8 +160,8 @@
     }
 
     /// Returns whether a worker may run a replica of a service.
-    fn may_run_replicas(&self, m: u32) -> bool {
-        self.workers[m]
+    fn may_run_replicas(&self, worker_index: u32) -> bool {
+        self.workers[worker_index]
             .instances
             .iter()
             .any(|(id, instance)| instance.may_exist() && self.jobs[id.job].is_service())
@@ -181,16 +185,19 @@
         let since = Some(self.elected_at + ELECTION_MARGIN_S);
         let recent = self.recent_heartbeats();
         let mut released = Vec::new();
-        for &m in unreconciled {
-            let worker = &self.workers[m];
+        for &worker_index in unreconciled {
+            let worker = &self.workers[worker_index];
             // Probes are sent once a second, so two have gone unanswered by then.
             let probed_twice = worker
                 .unanswered_at
                 .is_some_and(|t| self.now - t > SECOND_PROBE_AFTER_S)
-                && self.is_unreachable_by_all(m);
-            if probed_twice && !worker.scaling_in && self.zone_is_reachable(&recent, m, since) {
-                released.push(m);
-                self.workers[m].scaling_in = true;
+                && self.is_unreachable_by_all(worker_index);
+            if probed_twice
+                && !worker.scaling_in
+                && self.zone_is_reachable(&recent, worker_index, since)
+            {
+                released.push(worker_index);
+                self.workers[worker_index].scaling_in = true;
             }
         }
         self.log_released(ReleaseReason::Unreconciled, &released);
@@ -208,14 +215,14 @@
         let expired_at = self.elected_at + ttl_s + self.lease_upper_bound_s();
         let max_interval_s = self.max_heartbeat_interval_s();
         let mut released = Vec::new();
-        for &m in unreconciled {
-            let worker = &mut self.workers[m];
+        for &worker_index in unreconciled {
+            let worker = &mut self.workers[worker_index];
             let sends_heartbeats = worker
                 .last_heartbeat_at
                 .is_some_and(|t| t - expired_at > max_interval_s);
             if sends_heartbeats && !worker.scaling_in {
                 worker.scaling_in = true;
-                released.push(m);
+                released.push(worker_index);
             }
         }
         self.log_released(ReleaseReason::OneWayPartitioned, &released);
@@ -233,9 +240,14 @@
     /// lease expires, and returning the worker would only end them sooner. Without this check, a
     /// leader that is itself partitioned would return healthy workers one by one as they become
     /// late.
-    fn zone_is_reachable(&self, recent: &RecentHeartbeats, m: u32, since: Option<Time>) -> bool {
-        let worker = &self.workers[m];
-        let recorded = worker.may_be_alive().then_some(m);
+    fn zone_is_reachable(
+        &self,
+        recent: &RecentHeartbeats,
+        worker_index: u32,
+        since: Option<Time>,
+    ) -> bool {
+        let worker = &self.workers[worker_index];
+        let recorded = worker.may_be_alive().then_some(worker_index);
         recent.others_responsive(recorded, worker.zone, since)
     }
 
@@ -244,9 +256,9 @@
     /// placement batches.
     fn recent_heartbeats(&self) -> RecentHeartbeats {
         let mut recent = RecentHeartbeats::default();
-        for (m, worker) in self.workers.iter() {
+        for (worker_index, worker) in self.workers.iter() {
             if worker.may_be_alive() {
-                recent.record(m, worker.zone, worker.last_heartbeat_at);
+                recent.record(worker_index, worker.zone, worker.last_heartbeat_at);
             }
         }
         recent
@@ -256,10 +268,10 @@
     /// unresponsive too.
     pub(super) fn zone_is_unresponsive(&self, zone: u32) -> bool {
         let (mut unresponsive, mut all) = (0, 0);
-        for (m, worker) in self.workers.iter() {
+        for (worker_index, worker) in self.workers.iter() {
             if worker.zone == zone && worker.last_heartbeat_at.is_some() {
                 all += 1;
-                unresponsive += u32::from(self.is_unresponsive(m));
+                unresponsive += u32::from(self.is_unresponsive(worker_index));
             }
         }
         all > 0 && unresponsive * 2 > all
@@ -268,13 +280,13 @@
     /// Logs the workers released in one step. A single worker is logged by name; several are logged
     /// as a count, and by name at debug level.
     fn log_released(&self, reason: ReleaseReason, released: &[u32]) {
-        if let [m] = released {
-            let worker = &self.workers[*m].name;
+        if let [worker_index] = released {
+            let worker = &self.workers[*worker_index].name;
             tracing::warn!(worker, "{reason} worker released");
             return;
         }
-        for &m in released {
-            let worker = &self.workers[m].name;
+        for &worker_index in released {
+            let worker = &self.workers[worker_index].name;
             tracing::debug!(worker, "{reason} worker released");
         }
         if !released.is_empty() {
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -32,7 +32,7 @@
 /// A worker to which a replica can migrate.
 struct Target {
     /// Index of the worker.
-    m: u32,
+    worker_index: u32,
     fetch_s: f64,
     preemption_cost: f64,
     victims: Vec<InstanceId>,
@@ -51,14 +51,19 @@
                 .workers
                 .indices()
                 .into_iter()
-                .filter_map(|m| Some((self.blocking_replicas(profile, m)?.len(), m)))
+                .filter_map(|worker_index| {
+                    Some((
+                        self.blocking_replicas(profile, worker_index)?.len(),
+                        worker_index,
+                    ))
+                })
                 .collect();
             candidates.sort_unstable();
-            for (_, m) in candidates {
+            for (_, worker_index) in candidates {
                 if missing == 0 || self.replica_downtime_budget_s <= 0.0 {
                     break;
                 }
-                if self.migrate_replicas_off(profile, m) {
+                if self.migrate_replicas_off(profile, worker_index) {
                     missing -= 1;
                 }
             }
@@ -99,11 +104,11 @@
     /// Returns the replicas that must leave a worker so that a task of the profile fits once all
     /// other tasks there have ended. `None` if there are none, if one of them may not migrate, or
     /// if the worker is not eligible.
-    fn blocking_replicas(&self, profile: u32, m: u32) -> Option<Vec<InstanceId>> {
+    fn blocking_replicas(&self, profile: u32, worker_index: u32) -> Option<Vec<InstanceId>> {
         let profile = &self.large_task_profiles[profile as usize];
-        let worker = &self.workers[m];
-        if !self.worker_usable(m)
-            || !self.worker_suits_profile(profile, m)
+        let worker = &self.workers[worker_index];
+        if !self.worker_usable(worker_index)
+            || !self.worker_suits_profile(profile, worker_index)
             || !worker.reservations.is_empty()
             || worker.reserved_for.is_some()
         {
@@ -143,35 +148,39 @@
     }
 
     /// Migrates either all replicas that block a worker or none, and returns whether it did.
-    fn migrate_replicas_off(&mut self, profile: u32, m: u32) -> bool {
-        let Some(migrations) = self.plan_replica_migrations(profile, m) else {
+    fn migrate_replicas_off(&mut self, profile: u32, worker_index: u32) -> bool {
+        let Some(migrations) = self.plan_replica_migrations(profile, worker_index) else {
             return false;
         };
         for ReplicaMigration { id, to, victims } in migrations {
             tracing::info!(
                 job = %self.jobs[id.job].spec.id,
-                from = self.workers[m].name,
+                from = self.workers[worker_index].name,
                 to = self.workers[to].name,
                 "replica migrated off a whole worker"
             );
             self.replica_downtime_budget_s -= MIGRATION_DOWNTIME_S + self.fetch_s(id.job, to);
             self.preempt_and_reserve(id.job, to, &victims);
-            self.stop_instance(m, id, 0.0);
+            self.stop_instance(worker_index, id, 0.0);
         }
-        self.workers[m].reserved_for = Some(profile);
+        self.workers[worker_index].reserved_for = Some(profile);
         true
     }
 
     /// Returns a target for each replica that blocks a worker, or `None` if one of them has no
     /// target.
-    fn plan_replica_migrations(&self, profile: u32, m: u32) -> Option<Vec<ReplicaMigration>> {
+    fn plan_replica_migrations(
+        &self,
+        profile: u32,
+        worker_index: u32,
+    ) -> Option<Vec<ReplicaMigration>> {
         let mut migrations: Vec<ReplicaMigration> = Vec::new();
-        for id in self.blocking_replicas(profile, m)? {
+        for id in self.blocking_replicas(profile, worker_index)? {
             let is_taken = |to: u32| migrations.iter().any(|other| other.to == to);
-            let target = self.cheapest_target(id, m, is_taken)?;
+            let target = self.cheapest_target(id, worker_index, is_taken)?;
             migrations.push(ReplicaMigration {
                 id,
-                to: target.m,
+                to: target.worker_index,
                 victims: target.victims,
             });
         }
@@ -188,39 +197,43 @@
     ) -> Option<Target> {
         let workers = self.workers.indices().into_iter();
         workers
-            .filter(|&m| m != from && !is_taken(m) && self.workers[m].reservations.is_empty())
-            .filter(|&m| self.can_host_replica(id.job, from, m))
-            .filter_map(|m| self.replica_target(id.job, m))
+            .filter(|&worker_index| {
+                worker_index != from
+                    && !is_taken(worker_index)
+                    && self.workers[worker_index].reservations.is_empty()
+            })
+            .filter(|&worker_index| self.can_host_replica(id.job, from, worker_index))
+            .filter_map(|worker_index| self.replica_target(id.job, worker_index))
             .min_by(|a, b| {
                 a.fetch_s
                     .total_cmp(&b.fetch_s)
                     .then(a.preemption_cost.total_cmp(&b.preemption_cost))
-                    .then(a.m.cmp(&b.m))
+                    .then(a.worker_index.cmp(&b.worker_index))
             })
     }
 
     /// Returns whether a job's replica on the worker `from` may run on another worker instead.
-    fn can_host_replica(&self, ix: u32, from: u32, m: u32) -> bool {
-        let zone = self.workers[m].zone;
+    fn can_host_replica(&self, job_index: u32, from: u32, worker_index: u32) -> bool {
+        let zone = self.workers[worker_index].zone;
         // Within its own zone the replica does not add to the zone's instances.
         let same_zone = zone == self.workers[from].zone;
-        self.worker_usable(m)
-            && self.worker_allowed(ix, m)
-            && (same_zone || self.zone_allows(ix, zone))
-            && !self.fragments_worker(ix, m)
+        self.worker_usable(worker_index)
+            && self.worker_allowed(job_index, worker_index)
+            && (same_zone || self.zone_allows(job_index, zone))
+            && !self.fragments_worker(job_index, worker_index)
     }
 
     /// Returns a worker as a target if the replica fits on it, either at once or after preempting
     /// tasks that belong to no gang.
-    fn replica_target(&self, ix: u32, m: u32) -> Option<Target> {
-        let preemption = self.select_victims(ix, m)?;
+    fn replica_target(&self, job_index: u32, worker_index: u32) -> Option<Target> {
+        let preemption = self.select_victims(job_index, worker_index)?;
         let preempts_gang = preemption
             .victims
             .iter()
             .any(|id| self.jobs[id.job].is_gang());
         (!preempts_gang).then(|| Target {
-            m,
-            fetch_s: self.fetch_s(ix, m),
+            worker_index,
+            fetch_s: self.fetch_s(job_index, worker_index),
             preemption_cost: preemption.cost,
             victims: preemption.victims,
         })
--- a/src/coordination/reconciliation/blocked_jobs.rs
+++ b/src/coordination/reconciliation/blocked_jobs.rs
@@ -16,12 +16,12 @@
         let unknown_workers = self.reconciliation.unknown_workers
             && self.now <= self.elected_at + self.lease_upper_bound_s();
         let blocked_before = self.blocked_job_count();
-        for ix in self.jobs.indices() {
-            let blocked = self.must_block(ix, &unreconciled, unknown_workers);
+        for job_index in self.jobs.indices() {
+            let blocked = self.must_block(job_index, &unreconciled, unknown_workers);
             let becomes_unblocked =
-                std::mem::replace(&mut self.jobs[ix].blocked, blocked) && !blocked;
-            if becomes_unblocked && self.is_multi_task_gang(ix) {
-                self.abort_partial_attempts(ix);
+                std::mem::replace(&mut self.jobs[job_index].blocked, blocked) && !blocked;
+            if becomes_unblocked && self.is_multi_task_gang(job_index) {
+                self.abort_partial_attempts(job_index);
             }
         }
         self.count_unknown_usage(&unreconciled, unknown_workers);
@@ -48,8 +48,8 @@
         self.jobs.iter().filter(|(_, job)| job.blocked).count()
     }
 
-    fn must_block(&self, ix: u32, unreconciled: &[u32], unknown_workers: bool) -> bool {
-        let job = &self.jobs[ix];
+    fn must_block(&self, job_index: u32, unreconciled: &[u32], unknown_workers: bool) -> bool {
+        let job = &self.jobs[job_index];
         // The limit of a team is checked against its whole usage, which is unknown until every
         // worker is reconciled.
         let limited = self.teams[job.team as usize].is_limited();
@@ -58,7 +58,7 @@
                 || (limited && !unreconciled.is_empty())
                 || unreconciled
                     .iter()
-                    .any(|&m| self.constraints_allow_worker(ix, m)))
+                    .any(|&worker_index| self.constraints_allow_worker(job_index, worker_index)))
     }
 
     /// Workers to which an earlier leader may have given tasks and that have not reported their
@@ -73,7 +73,7 @@
                     && !expired
                     && self.now <= self.lease_expires_at(worker)
             })
-            .map(|(m, _)| m)
+            .map(|(worker_index, _)| worker_index)
             .collect()
     }
 
@@ -89,12 +89,15 @@
             .workers
             .iter()
             .filter(|(_, worker)| worker.running_orphans().next().is_some())
-            .map(|(m, _)| m);
+            .map(|(worker_index, _)| worker_index);
         let mut unknown = Resources::default();
         let mut unbounded = unknown_workers;
-        for m in unreconciled.iter().copied().chain(with_orphans) {
-            unbounded |= self.types.get(self.workers[m].instance_type).is_none();
-            let free = self.free_resources(m);
+        for worker_index in unreconciled.iter().copied().chain(with_orphans) {
+            unbounded |= self
+                .types
+                .get(self.workers[worker_index].instance_type)
+                .is_none();
+            let free = self.free_resources(worker_index);
             unknown.cpus += free.cpus.max(0);
             unknown.gpus += free.gpus.max(0);
         }
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -17,62 +17,64 @@
         message_id: u64,
         outcome: CommandOutcome,
     ) {
-        let Some(m) = self.workers.index_of(name) else {
+        let Some(worker_index) = self.workers.index_of(name) else {
             return;
         };
-        let in_flight = &mut self.workers[m].in_flight;
+        let in_flight = &mut self.workers[worker_index].in_flight;
         let Some(message) = in_flight.take_if(|message| message.id == message_id) else {
             return;
         };
         let answered = !matches!(outcome, CommandOutcome::Unsent | CommandOutcome::Unknown);
-        self.record_command_result(m, answered);
-        let worker = &mut self.workers[m];
+        self.record_command_result(worker_index, answered);
+        let worker = &mut self.workers[worker_index];
         worker.commands_unanswered =
             !answered && (message.has_commands || worker.commands_unanswered);
         match outcome {
             CommandOutcome::Unsent => {
-                self.record_unanswered_message(m, &message);
-                self.remove_unexecuted_starts(m, &message);
+                self.record_unanswered_message(worker_index, &message);
+                self.remove_unexecuted_starts(worker_index, &message);
             }
             CommandOutcome::Executed(heartbeat) => {
-                self.workers[m].next_message_at = self.now;
-                self.apply_direct_answer(m, &message, heartbeat, true);
+                self.workers[worker_index].next_message_at = self.now;
+                self.apply_direct_answer(worker_index, &message, heartbeat, true);
             }
-            CommandOutcome::Rejected(heartbeat) => self.handle_rejection(m, &message, heartbeat),
-            CommandOutcome::Unknown => self.handle_unknown_outcome(m, &message),
+            CommandOutcome::Rejected(heartbeat) => {
+                self.handle_rejection(worker_index, &message, heartbeat)
+            }
+            CommandOutcome::Unknown => self.handle_unknown_outcome(worker_index, &message),
         }
     }
 
-    fn record_unanswered_message(&mut self, m: u32, message: &InFlightMessage) {
-        self.workers[m].record_unanswered(self.now, message.relayed);
-        self.workers[m].next_message_at = self.next_probe_at(m);
+    fn record_unanswered_message(&mut self, worker_index: u32, message: &InFlightMessage) {
+        self.workers[worker_index].record_unanswered(self.now, message.relayed);
+        self.workers[worker_index].next_message_at = self.next_probe_at(worker_index);
     }
 
     /// Handles a message that the worker has rejected without executing it.
     fn handle_rejection(
         &mut self,
-        m: u32,
+        worker_index: u32,
         message: &InFlightMessage,
         heartbeat: Option<Heartbeat>,
     ) {
         // A worker that answers with a heartbeat can be sent the next message at once. After an
         // election, that message carries the new fencing token, without which it rejects commands.
-        self.workers[m].next_message_at = if heartbeat.is_some() {
+        self.workers[worker_index].next_message_at = if heartbeat.is_some() {
             self.now
         } else {
             self.now + REJECTED_RETRY_S
         };
-        self.remove_unexecuted_starts(m, message);
+        self.remove_unexecuted_starts(worker_index, message);
         if let Some(heartbeat) = heartbeat {
-            self.apply_direct_answer(m, message, heartbeat, false);
+            self.apply_direct_answer(worker_index, message, heartbeat, false);
         }
     }
 
     /// Handles a message that may or may not have arrived. The network may delay it for minutes, so
     /// the starts in it may still be executed, and the worker is not told to forget their attempts,
     /// until its incarnation changes.
-    fn handle_unknown_outcome(&mut self, m: u32, message: &InFlightMessage) {
-        let worker = &mut self.workers[m];
+    fn handle_unknown_outcome(&mut self, worker_index: u32, message: &InFlightMessage) {
+        let worker = &mut self.workers[worker_index];
         tracing::info!(
             worker = worker.name,
             starts = message.starts.len(),
@@ -85,18 +87,18 @@
                 instance.unacknowledged = true;
             }
         }
-        self.record_unanswered_message(m, message);
+        self.record_unanswered_message(worker_index, message);
     }
 
     /// Removes the instances whose start was definitely not executed.
-    fn remove_unexecuted_starts(&mut self, m: u32, message: &InFlightMessage) {
+    fn remove_unexecuted_starts(&mut self, worker_index: u32, message: &InFlightMessage) {
         for id in &message.starts {
-            let not_executed = self.workers[m]
+            let not_executed = self.workers[worker_index]
                 .instances
                 .get(id)
                 .is_some_and(|i| !i.unacknowledged && i.sent_directly_in(message.id));
             if not_executed {
-                self.remove_instance(m, *id);
+                self.remove_instance(worker_index, *id);
                 self.abort_gang_attempt(*id);
             }
         }
@@ -105,7 +107,7 @@
     /// Applies the heartbeat with which a worker has answered a message.
     fn apply_direct_answer(
         &mut self,
-        m: u32,
+        worker_index: u32,
         message: &InFlightMessage,
         heartbeat: Heartbeat,
         executed: bool,
@@ -114,18 +116,18 @@
             self.effects.push(Effect::StepDown);
             return;
         }
-        let worker = &self.workers[m];
+        let worker = &self.workers[worker_index];
         if heartbeat.worker != worker.name || heartbeat.incarnation <= worker.expired_incarnation {
             return;
         }
-        if self.is_newer(m, &heartbeat) {
+        if self.is_newer(worker_index, &heartbeat) {
             let source = HeartbeatSource::Direct {
                 message_id: message.id,
                 executed,
             };
-            self.apply_heartbeat(m, heartbeat, source);
+            self.apply_heartbeat(worker_index, heartbeat, source);
         } else if executed {
-            self.resolve_executed_starts(m, message, &heartbeat);
+            self.resolve_executed_starts(worker_index, message, &heartbeat);
         }
     }
 
@@ -133,12 +135,12 @@
     /// newer heartbeat. The newer heartbeat alone does not tell what became of these starts.
     fn resolve_executed_starts(
         &mut self,
-        m: u32,
+        worker_index: u32,
         message: &InFlightMessage,
         heartbeat: &Heartbeat,
     ) {
         for id in &message.starts {
-            let Some(instance) = self.workers[m].instances.get_mut(id) else {
+            let Some(instance) = self.workers[worker_index].instances.get_mut(id) else {
                 continue;
             };
             if !instance.sent_directly_in(message.id) {
@@ -151,7 +153,7 @@
             if listed {
                 instance.start_delivery = StartDelivery::Reported;
             } else if !instance.unacknowledged {
-                self.remove_instance(m, *id);
+                self.remove_instance(worker_index, *id);
             }
         }
     }
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -33,13 +33,15 @@
 
     /// Handles a heartbeat that this controller has received from a worker.
     pub(crate) fn handle_heartbeat(&mut self, ticket: u64, heartbeat: Heartbeat) {
-        let m = match self.worker_of(&heartbeat) {
-            Ok(m) => m,
+        let worker_index = match self.worker_of(&heartbeat) {
+            Ok(worker_index) => worker_index,
             Err(why) => return self.refuse(ticket, &heartbeat, why),
         };
         let is_repeat =
-            HeartbeatSequence::of(&heartbeat) == self.workers[m].newest_receipt.sequence;
-        if is_repeat || self.is_duplicate_heartbeat(m, &heartbeat, self.own_controller_index()) {
+            HeartbeatSequence::of(&heartbeat) == self.workers[worker_index].newest_receipt.sequence;
+        if is_repeat
+            || self.is_duplicate_heartbeat(worker_index, &heartbeat, self.own_controller_index())
+        {
             return self.refuse(ticket, &heartbeat, HeartbeatRefusal::Duplicate);
         }
         self.answer_heartbeat(ticket, heartbeat);
@@ -62,12 +64,12 @@
     /// heartbeat repeatedly until it may answer it; these copies are not duplicates.
     pub(crate) fn is_duplicate_heartbeat(
         &mut self,
-        m: u32,
+        worker_index: u32,
         heartbeat: &Heartbeat,
         controller: u32,
     ) -> bool {
         let sequence = HeartbeatSequence::of(heartbeat);
-        let newest = &mut self.workers[m].newest_receipt;
+        let newest = &mut self.workers[worker_index].newest_receipt;
         let duplicate = sequence < newest.sequence
             || (sequence == newest.sequence && controller != newest.controller);
         if !duplicate {
@@ -81,19 +83,19 @@
 
     /// Answers a heartbeat, redirects its worker to the shard owner, or defers the answer.
     pub(crate) fn answer_heartbeat(&mut self, ticket: u64, heartbeat: Heartbeat) {
-        let m = match self.worker_of(&heartbeat) {
-            Ok(m) => m,
+        let worker_index = match self.worker_of(&heartbeat) {
+            Ok(worker_index) => worker_index,
             Err(why) => return self.refuse(ticket, &heartbeat, why),
         };
-        let Some(heartbeat) = self.defer_if_fenced(m, ticket, heartbeat) else {
+        let Some(heartbeat) = self.defer_if_fenced(worker_index, ticket, heartbeat) else {
             return;
         };
-        let newer = self.is_newer(m, &heartbeat);
-        match self.route_heartbeat(m, self.own_controller_index(), true) {
+        let newer = self.is_newer(worker_index, &heartbeat);
+        match self.route_heartbeat(worker_index, self.own_controller_index(), true) {
             Route::Here => {}
             Route::Redirect(controller) => {
                 if newer {
-                    self.apply_heartbeat(m, heartbeat, HeartbeatSource::Worker);
+                    self.apply_heartbeat(worker_index, heartbeat, HeartbeatSource::Worker);
                 }
                 self.reconciliation.lease_log.record_redirect();
                 return self
@@ -102,16 +104,16 @@
             }
             Route::Wait => return self.defer_answer(ticket, heartbeat),
         }
-        self.workers[m].answered_at = Some(self.now);
+        self.workers[worker_index].answered_at = Some(self.now);
         let sequence = HeartbeatSequence::of(&heartbeat);
         let commands = if newer {
-            self.apply_heartbeat(m, heartbeat, HeartbeatSource::Worker);
-            self.collect_commands(m, sequence.counter)
+            self.apply_heartbeat(worker_index, heartbeat, HeartbeatSource::Worker);
+            self.collect_commands(worker_index, sequence.counter)
         } else {
             // A direct answer has overtaken the heartbeat, but the answer still renews the lease.
-            self.due_stops(m)
+            self.due_stops(worker_index)
         };
-        self.record_renewal(m, sequence, !newer, &commands);
+        self.record_renewal(worker_index, sequence, !newer, &commands);
         self.effects.push(Effect::AnswerHeartbeat {
             ticket,
             body: commands_body(self.token, None, &commands),
@@ -120,12 +122,12 @@
 
     fn record_renewal(
         &mut self,
-        m: u32,
+        worker_index: u32,
         sequence: HeartbeatSequence,
         overtaken: bool,
         commands: &[Command],
     ) {
-        let worker = &self.workers[m];
+        let worker = &self.workers[worker_index];
         let renewal = Renewal {
             worker: &worker.name,
             sequence,
@@ -147,15 +149,15 @@
         if self.workers.is_scaled_in(&heartbeat.worker) {
             return Err(HeartbeatRefusal::ScaledIn);
         }
-        let m = match self.workers.index_of(&heartbeat.worker) {
-            Some(m) => m,
+        let worker_index = match self.workers.index_of(&heartbeat.worker) {
+            Some(worker_index) => worker_index,
             None => self.add_booted_worker(heartbeat),
         };
-        if heartbeat.incarnation <= self.workers[m].expired_incarnation {
+        if heartbeat.incarnation <= self.workers[worker_index].expired_incarnation {
             // The network has delayed the heartbeat: the lease of that incarnation has expired.
             return Err(HeartbeatRefusal::IncarnationExpired);
         }
-        Ok(m)
+        Ok(worker_index)
     }
 
     fn add_booted_worker(&mut self, heartbeat: &Heartbeat) -> u32 {
@@ -173,34 +175,34 @@
     }
 
     /// Whether a heartbeat is newer than every heartbeat applied so far.
-    pub(crate) fn is_newer(&self, m: u32, heartbeat: &Heartbeat) -> bool {
-        HeartbeatSequence::of(heartbeat) > self.workers[m].sequence()
+    pub(crate) fn is_newer(&self, worker_index: u32, heartbeat: &Heartbeat) -> bool {
+        HeartbeatSequence::of(heartbeat) > self.workers[worker_index].sequence()
     }
 
     /// Applies a heartbeat that is newer than every heartbeat applied so far.
     pub(crate) fn apply_heartbeat(
         &mut self,
-        m: u32,
+        worker_index: u32,
         heartbeat: Heartbeat,
         source: HeartbeatSource,
     ) {
-        if heartbeat.incarnation > self.workers[m].incarnation {
-            self.begin_incarnation(m);
+        if heartbeat.incarnation > self.workers[worker_index].incarnation {
+            self.begin_incarnation(worker_index);
         }
         let counter = heartbeat.counter;
-        let was_reconciled = self.workers[m].reconciled;
-        let reclaim_noticed = self.update_worker(m, &heartbeat);
-        self.register_worker(m);
-        let (listed, orphaned_tasks) = self.apply_listed_tasks(m, &heartbeat.tasks);
-        self.remove_absent_instances(m, &listed, counter, source);
-        self.workers[m].orphaned_tasks = orphaned_tasks;
-        self.queue_orphan_commands(m);
-        self.log_applied_heartbeat(m, &heartbeat, source, was_reconciled);
+        let was_reconciled = self.workers[worker_index].reconciled;
+        let reclaim_noticed = self.update_worker(worker_index, &heartbeat);
+        self.register_worker(worker_index);
+        let (listed, orphaned_tasks) = self.apply_listed_tasks(worker_index, &heartbeat.tasks);
+        self.remove_absent_instances(worker_index, &listed, counter, source);
+        self.workers[worker_index].orphaned_tasks = orphaned_tasks;
+        self.queue_orphan_commands(worker_index);
+        self.log_applied_heartbeat(worker_index, &heartbeat, source, was_reconciled);
         if reclaim_noticed {
-            self.checkpoint_before_reclaim(m);
+            self.checkpoint_before_reclaim(worker_index);
         }
         let now = self.now;
-        let worker = &mut self.workers[m];
+        let worker = &mut self.workers[worker_index];
         if worker.instances.is_empty() && worker.orphaned_tasks.is_empty() {
             worker.idle_since.get_or_insert(now);
         } else {
@@ -210,12 +212,12 @@
 
     fn log_applied_heartbeat(
         &mut self,
-        m: u32,
+        worker_index: u32,
         heartbeat: &Heartbeat,
         source: HeartbeatSource,
         was_reconciled: bool,
     ) {
-        let worker = &self.workers[m];
+        let worker = &self.workers[worker_index];
         let reconciles = worker.reconciled && !was_reconciled;
         let orphaned = worker.running_orphans().count();
         if !reconciles && orphaned == 0 {
@@ -239,8 +241,8 @@
     }
 
     /// Records a new incarnation of a worker, which holds none of the tasks of earlier ones.
-    fn begin_incarnation(&mut self, m: u32) {
-        let worker = &mut self.workers[m];
+    fn begin_incarnation(&mut self, worker_index: u32) {
+        let worker = &mut self.workers[worker_index];
         if worker.incarnation > 0 && !worker.instances.is_empty() {
             tracing::info!(
                 worker = worker.name,
@@ -253,14 +255,14 @@
         // lease of the previous incarnation still counted, tasks started in the new one would be
         // taken for gone as soon as that lease expired.
         worker.answered_at = Some(self.now);
-        self.clear_worker(m);
+        self.clear_worker(worker_index);
     }
 
     /// Applies the heartbeat's fields that describe the worker itself. Returns whether this is the
     /// first heartbeat with a notice that the cloud will reclaim the worker.
-    fn update_worker(&mut self, m: u32, heartbeat: &Heartbeat) -> bool {
+    fn update_worker(&mut self, worker_index: u32, heartbeat: &Heartbeat) -> bool {
         let now = self.now;
-        let worker = &mut self.workers[m];
+        let worker = &mut self.workers[worker_index];
         worker.incarnation = heartbeat.incarnation;
         worker.counter = heartbeat.counter;
         worker.reconciled = heartbeat.token == self.token;
@@ -280,7 +282,7 @@
     /// listed tasks of unknown jobs.
     fn apply_listed_tasks(
         &mut self,
-        m: u32,
+        worker_index: u32,
         tasks: &[TaskStatus],
     ) -> (BTreeSet<InstanceId>, Vec<TaskStatus>) {
         let mut listed = BTreeSet::new();
@@ -296,7 +298,7 @@
                 attempt: status.attempt,
             };
             listed.insert(id);
-            self.apply_task_phase(m, id, status.phase);
+            self.apply_task_phase(worker_index, id, status.phase);
         }
         (listed, orphaned_tasks)
     }
@@ -311,12 +313,12 @@
     /// the worker before it was sent.
     fn remove_absent_instances(
         &mut self,
-        m: u32,
+        worker_index: u32,
         listed: &BTreeSet<InstanceId>,
         counter: u64,
         source: HeartbeatSource,
     ) {
-        let absent: Vec<InstanceId> = self.workers[m]
+        let absent: Vec<InstanceId> = self.workers[worker_index]
             .instances
             .iter()
             .filter(|(id, instance)| {
@@ -329,11 +331,11 @@
         for id in absent {
             // The answer with the start was lost, so later answers may be lost as well.
             let lost = matches!(
-                self.workers[m].instances[&id].start_delivery,
+                self.workers[worker_index].instances[&id].start_delivery,
                 StartDelivery::Response { .. }
             );
-            self.workers[m].commands_unanswered |= lost;
-            self.remove_instance(m, id);
+            self.workers[worker_index].commands_unanswered |= lost;
+            self.remove_instance(worker_index, id);
             self.abort_gang_attempt(id);
         }
     }
--- a/src/coordination/reconciliation/leases.rs
+++ b/src/coordination/reconciliation/leases.rs
@@ -45,8 +45,8 @@
         let mut expired = 0u32;
         let mut instances = 0;
         let mut last = None;
-        for m in self.workers.indices() {
-            let worker = &self.workers[m];
+        for worker_index in self.workers.indices() {
+            let worker = &self.workers[worker_index];
             if !worker.may_be_alive() || self.now <= self.lease_expires_at(worker) {
                 continue;
             }
@@ -57,12 +57,12 @@
             );
             expired += 1;
             instances += worker.instances.len();
-            last = Some(m);
-            self.expire_lease(m);
+            last = Some(worker_index);
+            self.expire_lease(worker_index);
         }
         match (expired, last) {
-            (1, Some(m)) => {
-                let worker = &self.workers[m].name;
+            (1, Some(worker_index)) => {
+                let worker = &self.workers[worker_index].name;
                 tracing::info!(worker, instances, "worker lease expired");
             }
             (0, _) => {}
@@ -70,13 +70,13 @@
         }
     }
 
-    fn expire_lease(&mut self, m: u32) {
-        self.clear_worker(m);
-        let worker = &mut self.workers[m];
+    fn expire_lease(&mut self, worker_index: u32) {
+        self.clear_worker(worker_index);
+        let worker = &mut self.workers[worker_index];
         worker.expired_incarnation = worker.incarnation;
         worker.reconciled = false;
         // The worker holds no tasks, so the next leader need not wait for its heartbeat. If it
         // stayed registered, reclaimed spot workers would delay every failover by a lease.
-        self.unregister_worker(m);
+        self.unregister_worker(worker_index);
     }
 }
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -16,12 +16,14 @@
 
 impl Core {
     /// Applies the phase of a task instance that a worker has listed.
-    pub(super) fn apply_task_phase(&mut self, m: u32, id: InstanceId, phase: TaskPhase) {
-        if !self.workers[m].instances.contains_key(&id) && self.adopt_instance(m, id, phase) {
+    pub(super) fn apply_task_phase(&mut self, worker_index: u32, id: InstanceId, phase: TaskPhase) {
+        if !self.workers[worker_index].instances.contains_key(&id)
+            && self.adopt_instance(worker_index, id, phase)
+        {
             return;
         }
         let now = self.now;
-        let instance = self.workers[m]
+        let instance = self.workers[worker_index]
             .instances
             .get_mut(&id)
             .expect("adopted if it was not known");
@@ -46,7 +48,7 @@
         if confirms_delivery && first_report {
             // The worker receives the commands in answers to its heartbeats, even if it does not
             // answer direct messages.
-            self.workers[m].commands_unanswered = false;
+            self.workers[worker_index].commands_unanswered = false;
         }
         let job = &mut self.jobs[id.job];
         let ending = job.is_ending();
@@ -58,39 +60,43 @@
             self.mark_job_known_good(id.job);
         }
         if matches!(phase, TaskPhase::Exited(_)) {
-            self.handle_task_exit(m, id, phase);
-            self.release_resources(m, id);
+            self.handle_task_exit(worker_index, id, phase);
+            self.release_resources(worker_index, id);
             return;
         }
         if phase != TaskPhase::Fetching {
-            self.record_image(m, id.job);
+            self.record_image(worker_index, id.job);
         }
         if ending && !stopping {
-            self.stop_instance(m, id, 0.0);
+            self.stop_instance(worker_index, id, 0.0);
         }
     }
 
     /// Adds an instance that an earlier leader started, or that is listed again before its worker
     /// has forgotten it. Returns whether it has exited; if so, its exit has been handled.
-    fn adopt_instance(&mut self, m: u32, id: InstanceId, phase: TaskPhase) -> bool {
+    fn adopt_instance(&mut self, worker_index: u32, id: InstanceId, phase: TaskPhase) -> bool {
         let exited = matches!(phase, TaskPhase::Exited(_));
-        self.add_instance(m, id, TaskInstance::adopted(exited.then_some(phase)));
+        self.add_instance(
+            worker_index,
+            id,
+            TaskInstance::adopted(exited.then_some(phase)),
+        );
         let job = &mut self.jobs[id.job];
         if !exited && job.is_gang() {
             job.attempt = Some(id.attempt);
         }
         if exited {
-            self.handle_task_exit(m, id, phase);
+            self.handle_task_exit(worker_index, id, phase);
         }
         exited
     }
 
     /// Records that the image of a job is the most recently used one in a worker's cache.
-    pub(crate) fn record_image(&mut self, m: u32, job: u32) {
+    pub(crate) fn record_image(&mut self, worker_index: u32, job: u32) {
         let image = self.jobs[job].image;
-        let instance_type = self.types.get(self.workers[m].instance_type);
+        let instance_type = self.types.get(self.workers[worker_index].instance_type);
         let cache_gb = instance_type.map_or(f64::INFINITY, |t| t.cache_gb);
-        let worker = &mut self.workers[m];
+        let worker = &mut self.workers[worker_index];
         let known = worker.images.contains(&image);
         worker.images.retain(|&i| i != image);
         worker.images.push(image);
@@ -101,29 +107,31 @@
         }
         // The worker registry tells the next leader which images each worker has.
         if !known {
-            self.schedule_images_write(m);
+            self.schedule_images_write(worker_index);
         }
     }
 
-    fn handle_task_exit(&mut self, m: u32, id: InstanceId, phase: TaskPhase) {
+    fn handle_task_exit(&mut self, worker_index: u32, id: InstanceId, phase: TaskPhase) {
         let TaskPhase::Exited(exit) = phase else {
             return;
         };
         match exit {
-            Exit::Done => self.handle_task_done(m, id),
+            Exit::Done => self.handle_task_done(worker_index, id),
             Exit::Error => {
                 tracing::info!(
                     job = %self.jobs[id.job].spec.id,
                     task = id.task,
-                    worker = self.workers[m].name,
+                    worker = self.workers[worker_index].name,
                     "task failed"
                 );
-                self.handle_task_failure(m, id);
+                self.handle_task_failure(worker_index, id);
             }
             Exit::NoRoom => {
                 self.delay_retry(id, NO_ROOM_RETRY_S);
                 let avoid_until = self.now + NO_ROOM_AVOID_S;
-                self.workers[m].failed_jobs.insert(id.job, avoid_until);
+                self.workers[worker_index]
+                    .failed_jobs
+                    .insert(id.job, avoid_until);
             }
             Exit::Busy | Exit::Unknown => self.delay_retry(id, BUSY_RETRY_S),
             Exit::Stopped { .. } | Exit::PeersGone | Exit::GangTimeout => {}
@@ -137,9 +145,9 @@
         self.jobs[id.job].tasks[id.task as usize].not_before = (self.now + delay_s) as f32;
     }
 
-    fn handle_task_done(&mut self, m: u32, id: InstanceId) {
-        self.record_image(m, id.job);
-        self.record_task_success(m, id.job);
+    fn handle_task_done(&mut self, worker_index: u32, id: InstanceId) {
+        self.record_image(worker_index, id.job);
+        self.record_task_success(worker_index, id.job);
         self.mark_job_known_good(id.job);
         if !self.jobs[id.job].is_gang() {
             return self.mark_task_done(id.job, id.task);
@@ -152,10 +160,10 @@
 
     /// Queues the stops of a worker's orphaned tasks, and orders it to forget those that have
     /// exited.
-    pub(super) fn queue_orphan_commands(&mut self, m: u32) {
-        let orphaned = self.workers[m].orphaned_tasks.iter();
+    pub(super) fn queue_orphan_commands(&mut self, worker_index: u32) {
+        let orphaned = self.workers[worker_index].orphaned_tasks.iter();
         let commands = orphaned.map(orphan_command).collect();
-        self.workers[m].queue_missing(commands);
+        self.workers[worker_index].queue_missing(commands);
     }
 }
 
--- a/src/coordination/reconciliation/worker_commands.rs
+++ b/src/coordination/reconciliation/worker_commands.rs
@@ -12,14 +12,15 @@
 
 impl Core {
     /// Collects the commands for the answer to a worker's newest heartbeat.
-    pub(super) fn collect_commands(&mut self, m: u32, counter: u64) -> Vec<Command> {
-        let stops = self.due_stops(m);
+    pub(super) fn collect_commands(&mut self, worker_index: u32, counter: u64) -> Vec<Command> {
+        let stops = self.due_stops(worker_index);
         let room = MAX_COMMANDS - stops.len();
         let mut commands = Vec::new();
-        if self.workers[m].in_flight.is_none() {
-            commands = self.take_queued_commands(m, room, StartDelivery::Response { counter });
+        if self.workers[worker_index].in_flight.is_none() {
+            commands =
+                self.take_queued_commands(worker_index, room, StartDelivery::Response { counter });
         }
-        let follow_up = self.follow_up_commands(m, room.saturating_sub(commands.len()));
+        let follow_up = self.follow_up_commands(worker_index, room.saturating_sub(commands.len()));
         append_missing(&mut commands, follow_up);
         append_missing(&mut commands, stops);
         commands
@@ -33,8 +34,8 @@
     /// may be repeated, and a message may be lost. If the stops were only sent from the outbox,
     /// they would wait while a direct message is in flight, and leases would be renewed repeatedly
     /// without them (docs/incidents/cancelled-task-ran-on.md).
-    pub(super) fn due_stops(&self, m: u32) -> Vec<Command> {
-        let worker = &self.workers[m];
+    pub(super) fn due_stops(&self, worker_index: u32) -> Vec<Command> {
+        let worker = &self.workers[worker_index];
         let mut stops: Vec<Command> = worker.running_orphans().map(orphan_command).collect();
         for (id, instance) in &worker.instances {
             let must_stop = self.jobs[id.job].is_ending() && instance.exit().is_none();
@@ -54,21 +55,27 @@
 
     /// At most `limit` commands that follow from a worker's newest heartbeat: exited tasks are
     /// forgotten, and commands that had no effect are sent again.
-    pub(crate) fn follow_up_commands(&mut self, m: u32, limit: usize) -> Vec<Command> {
+    pub(crate) fn follow_up_commands(&mut self, worker_index: u32, limit: usize) -> Vec<Command> {
         let mut commands = Vec::new();
-        let ids: Vec<InstanceId> = self.workers[m].instances.keys().copied().collect();
+        let ids: Vec<InstanceId> = self.workers[worker_index]
+            .instances
+            .keys()
+            .copied()
+            .collect();
         for id in ids {
             if commands.len() >= limit {
                 break;
             }
-            match self.follow_up_for(id, &self.workers[m].instances[&id]) {
+            match self.follow_up_for(id, &self.workers[worker_index].instances[&id]) {
                 FollowUp::Nothing => {}
                 FollowUp::Forget => commands.push(self.command(id, Verb::Forget)),
                 FollowUp::Start => commands.push(self.command(id, Verb::Start)),
-                FollowUp::Stop { grace_s } => commands.push(self.repeat_stop(m, id, grace_s)),
+                FollowUp::Stop { grace_s } => {
+                    commands.push(self.repeat_stop(worker_index, id, grace_s))
+                }
                 FollowUp::StartAndStop => {
                     commands.push(self.command(id, Verb::Start));
-                    commands.push(self.repeat_stop(m, id, 0.0));
+                    commands.push(self.repeat_stop(worker_index, id, 0.0));
                 }
             }
         }
@@ -105,9 +112,9 @@
             && instance.phase != Some(TaskPhase::Saving)
     }
 
-    fn repeat_stop(&mut self, m: u32, id: InstanceId, grace_s: f64) -> Command {
+    fn repeat_stop(&mut self, worker_index: u32, id: InstanceId, grace_s: f64) -> Command {
         let now = self.now;
-        let instance = self.workers[m].instances.get_mut(&id);
+        let instance = self.workers[worker_index].instances.get_mut(&id);
         if let Some(stop) = instance.and_then(|i| i.stop.as_mut()) {
             stop.sent_at = Some(now);
         }
@@ -118,12 +125,12 @@
     /// starts in them are sent and when the stops are sent.
     pub(crate) fn take_queued_commands(
         &mut self,
-        m: u32,
+        worker_index: u32,
         limit: usize,
         delivery: StartDelivery,
     ) -> Vec<Command> {
         let now = self.now;
-        let worker = &mut self.workers[m];
+        let worker = &mut self.workers[worker_index];
         let count = worker.outbox.len().min(limit);
         let remaining = worker.outbox.split_off(count);
         let commands = std::mem::replace(&mut worker.outbox, remaining);
--- a/src/coordination/registry/mod.rs
+++ b/src/coordination/registry/mod.rs
@@ -54,36 +54,37 @@
             .iter()
             .map(|image| self.intern_image(image, 0.0))
             .collect();
-        let m = self.add_worker(name, &record.address, kind, zone, record.spot);
-        let worker = &mut self.workers[m];
+        let worker_index = self.add_worker(name, &record.address, kind, zone, record.spot);
+        let worker = &mut self.workers[worker_index];
         worker.page = Some(page);
         worker.registered = true;
         worker.known_to_predecessor = true;
         worker.images = images;
-        self.registry.restore_worker(page, m);
+        self.registry.restore_worker(page, worker_index);
     }
 
     /// Adds a worker to a page. It may be given tasks once the page is stored.
-    pub(super) fn register_worker(&mut self, m: u32) {
-        if self.workers[m].page.is_none() {
-            let page = self.registry.add(m, self.now);
-            self.workers[m].page = Some(page);
+    pub(super) fn register_worker(&mut self, worker_index: u32) {
+        if self.workers[worker_index].page.is_none() {
+            let page = self.registry.add(worker_index, self.now);
+            self.workers[worker_index].page = Some(page);
         }
     }
 
     /// Removes a worker that certainly has no task instances and gets none until its next
     /// heartbeat.
-    pub(super) fn unregister_worker(&mut self, m: u32) {
-        self.unfence_worker(m);
-        self.workers[m].registered = false;
-        if let Some(page) = self.workers[m].page.take() {
-            self.registry.remove(page, m, self.now + REMOVAL_DELAY_S);
+    pub(super) fn unregister_worker(&mut self, worker_index: u32) {
+        self.unfence_worker(worker_index);
+        self.workers[worker_index].registered = false;
+        if let Some(page) = self.workers[worker_index].page.take() {
+            self.registry
+                .remove(page, worker_index, self.now + REMOVAL_DELAY_S);
         }
     }
 
     /// Schedules a write of the worker's page after a change of its images.
-    pub(super) fn schedule_images_write(&mut self, m: u32) {
-        if let Some(page) = self.workers[m].page {
+    pub(super) fn schedule_images_write(&mut self, worker_index: u32) {
+        if let Some(page) = self.workers[worker_index].page {
             let due = self.now + IMAGES_DELAY_S;
             self.registry.schedule_write(page, due);
         }
@@ -109,18 +110,18 @@
 
     fn registry_page_value(&self, page: u32) -> Value {
         let mut value = Map::new();
-        for &m in self.registry.workers(page) {
-            let record = serde_json::to_value(self.worker_record(m))
+        for &worker_index in self.registry.workers(page) {
+            let record = serde_json::to_value(self.worker_record(worker_index))
                 .expect("a struct of texts is valid JSON");
-            value.insert(self.workers[m].name.clone(), record);
+            value.insert(self.workers[worker_index].name.clone(), record);
         }
         Value::Object(value)
     }
 
     /// Builds a worker's record, with as many of its most recently used images as there is room
     /// for.
-    fn worker_record(&self, m: u32) -> WorkerRecord {
-        let worker = &self.workers[m];
+    fn worker_record(&self, worker_index: u32) -> WorkerRecord {
+        let worker = &self.workers[worker_index];
         let mut record = WorkerRecord {
             address: worker.address.clone(),
             machine_type: self.types.names.name(worker.instance_type).to_string(),
@@ -167,10 +168,10 @@
     /// that were removed from the page during the write are skipped.
     fn mark_registered(&mut self, page: u32, value: &Value) {
         for name in value.as_object().into_iter().flat_map(|names| names.keys()) {
-            if let Some(m) = self.workers.index_of(name)
-                && self.workers[m].page == Some(page)
+            if let Some(worker_index) = self.workers.index_of(name)
+                && self.workers[worker_index].page == Some(page)
             {
-                self.workers[m].registered = true;
+                self.workers[worker_index].registered = true;
             }
         }
     }
--- a/src/coordination/sharding/balance.rs
+++ b/src/coordination/sharding/balance.rs
@@ -123,7 +123,7 @@
         let late_after_s = self.unresponsive_after_s() - REVOKE_LEAD_S;
         let (mut late, mut all) = (0, 0);
         let mut to_revoke = Vec::new();
-        for (m, worker) in self.workers.iter() {
+        for (worker_index, worker) in self.workers.iter() {
             let last_heartbeat_at = worker
                 .last_heartbeat_at
                 .unwrap_or(self.expecting_heartbeats_since);
@@ -132,7 +132,7 @@
             all += 1;
             // Workers whose lease has expired are already handled and do not count as late.
             late += usize::from(is_late && !lease_expired);
-            if is_late || self.requires_stops_in_answers(m) {
+            if is_late || self.requires_stops_in_answers(worker_index) {
                 to_revoke.push(worker.shard_number);
             }
         }
--- a/src/coordination/sharding/mod.rs
+++ b/src/coordination/sharding/mod.rs
@@ -69,19 +69,19 @@
             relayed: RelayedMessages::default(),
             traffic: TrafficLog::new(self.now),
         });
-        for m in self.workers.indices() {
-            self.add_worker_to_shards(m);
+        for worker_index in self.workers.indices() {
+            self.add_worker_to_shards(worker_index);
         }
     }
 
     /// Adds a new worker to the shards. Unless it is fenced, shard owners of an earlier leader may
     /// answer it until one TTL after the election. A fenced worker gets no answers.
-    pub(super) fn add_worker_to_shards(&mut self, m: u32) {
+    pub(super) fn add_worker_to_shards(&mut self, worker_index: u32) {
         let ttl_s = self.config.tuning.leader_ttl_ms as f64 / 1000.0;
         let Some(sharding) = &mut self.sharding else {
             return;
         };
-        let worker = &mut self.workers[m];
+        let worker = &mut self.workers[worker_index];
         let last_answer = if worker.fenced && worker.answered_at.is_some() {
             0
         } else {
@@ -91,9 +91,9 @@
     }
 
     /// Removes a worker from the shards.
-    pub(super) fn remove_worker_from_shards(&mut self, m: u32) {
+    pub(super) fn remove_worker_from_shards(&mut self, worker_index: u32) {
         if let Some(sharding) = &mut self.sharding {
-            sharding.remove_worker(self.workers[m].shard_number);
+            sharding.remove_worker(self.workers[worker_index].shard_number);
         }
     }
 
