--- a/src/coordination/sharding/relays.rs
+++ b/src/coordination/sharding/relays.rs
@@ -45,9 +45,9 @@
 
 impl Core {
     /// The controller that relays messages to a worker, or `None` if the leader sends them itself.
-    pub(in crate::coordination) fn relay_for(&self, m: u32) -> Option<u32> {
+    pub(in crate::coordination) fn relay_for(&self, worker_index: u32) -> Option<u32> {
         let sharding = self.sharding.as_ref()?;
-        let worker = &self.workers[m];
+        let worker = &self.workers[worker_index];
         let now = ceil_ms(self.now);
         let owner = sharding.coordinator.owner_relay(worker.shard_number, now);
         match worker.unanswered_senders() {
@@ -71,22 +71,25 @@
 
     /// Whether a worker has answered neither this controller nor, if another can relay, that one. A
     /// leader that alone has lost its connections to the workers must not treat them as lost.
-    pub(in crate::coordination) fn is_unreachable_by_all(&self, m: u32) -> bool {
-        let UnansweredSenders { own, relayed } = self.workers[m].unanswered_senders();
-        own && (relayed || !self.has_relay(m))
+    pub(in crate::coordination) fn is_unreachable_by_all(&self, worker_index: u32) -> bool {
+        let UnansweredSenders { own, relayed } = self.workers[worker_index].unanswered_senders();
+        own && (relayed || !self.has_relay(worker_index))
     }
 
-    fn has_relay(&self, m: u32) -> bool {
+    fn has_relay(&self, worker_index: u32) -> bool {
         let now = ceil_ms(self.now);
-        let relay = |s: &Sharding| s.coordinator.any_relay(self.workers[m].shard_number, now);
+        let relay = |s: &Sharding| {
+            s.coordinator
+                .any_relay(self.workers[worker_index].shard_number, now)
+        };
         self.sharding.as_ref().and_then(relay).is_some()
     }
 
     /// When a worker that has not answered is probed next: at once if only one of the two paths,
     /// direct and relayed, has failed and a relay is available.
-    pub(in crate::coordination) fn next_probe_at(&self, m: u32) -> Time {
-        let UnansweredSenders { own, relayed } = self.workers[m].unanswered_senders();
-        if own != relayed && self.has_relay(m) {
+    pub(in crate::coordination) fn next_probe_at(&self, worker_index: u32) -> Time {
+        let UnansweredSenders { own, relayed } = self.workers[worker_index].unanswered_senders();
+        if own != relayed && self.has_relay(worker_index) {
             self.now
         } else {
             self.now + PROBE_RETRY_S
@@ -94,17 +97,25 @@
     }
 
     /// Records that a message is sent through a relay.
-    pub(in crate::coordination) fn record_relayed_message(&mut self, m: u32, message_id: u64) {
+    pub(in crate::coordination) fn record_relayed_message(
+        &mut self,
+        worker_index: u32,
+        message_id: u64,
+    ) {
         if let Some(sharding) = &mut self.sharding {
-            let worker = self.workers[m].name.clone();
+            let worker = self.workers[worker_index].name.clone();
             sharding.relayed.insert(message_id, worker, self.now);
         }
     }
 
     /// Records whether a worker answered a command.
-    pub(in crate::coordination) fn record_command_result(&mut self, m: u32, answered: bool) {
+    pub(in crate::coordination) fn record_command_result(
+        &mut self,
+        worker_index: u32,
+        answered: bool,
+    ) {
         if let Some(sharding) = &mut self.sharding {
-            let (now, number) = (ceil_ms(self.now), self.workers[m].shard_number);
+            let (now, number) = (ceil_ms(self.now), self.workers[worker_index].shard_number);
             sharding
                 .coordinator
                 .record_command_result(now, number, answered);
@@ -143,14 +154,14 @@
         let Some(name) = sharding.and_then(|s| s.relayed.remove(message_id)) else {
             return;
         };
-        let Some(m) = self.workers.index_of(&name) else {
+        let Some(worker_index) = self.workers.index_of(&name) else {
             return;
         };
-        let worker = &self.workers[m];
+        let worker = &self.workers[worker_index];
         let (unanswered_at, unanswered_senders) = (worker.unanswered_at, worker.unanswered_senders);
         let commands_unanswered = worker.commands_unanswered;
         self.handle_command_outcome(&name, message_id, outcome);
-        let worker = &mut self.workers[m];
+        let worker = &mut self.workers[worker_index];
         worker.unanswered_at = unanswered_at;
         worker.unanswered_senders = unanswered_senders;
         worker.commands_unanswered = commands_unanswered;
--- a/src/coordination/sharding/routing.rs
+++ b/src/coordination/sharding/routing.rs
@@ -25,28 +25,28 @@
     }
 
     /// The shard owner of a worker, or `None` if only this controller may answer it.
-    pub(in crate::coordination) fn shard_owner_of(&self, m: u32) -> Option<u32> {
+    pub(in crate::coordination) fn shard_owner_of(&self, worker_index: u32) -> Option<u32> {
         let sharding = self.sharding.as_ref()?;
         sharding
             .coordinator
-            .shard_owner(self.workers[m].shard_number)
+            .shard_owner(self.workers[worker_index].shard_number)
     }
 
     /// The name of the controller that answers a worker. `None` if workers are not sharded, or if
     /// the worker has no shard owner and is unresponsive.
-    pub(in crate::coordination) fn answering_controller(&self, m: u32) -> Option<&str> {
+    pub(in crate::coordination) fn answering_controller(&self, worker_index: u32) -> Option<&str> {
         let sharding = self.sharding.as_ref()?;
-        let index = match self.shard_owner_of(m) {
+        let index = match self.shard_owner_of(worker_index) {
             Some(owner) => owner,
-            None if self.is_unresponsive(m) => return None,
+            None if self.is_unresponsive(worker_index) => return None,
             None => sharding.own_index,
         };
         sharding.controllers.get(index as usize).map(String::as_str)
     }
 
     /// Which controllers may be assigned a worker now.
-    pub(super) fn answer_permission(&self, m: u32) -> AnswerPermission {
-        if self.fencing.is_fenced(&self.workers[m].name) {
+    pub(super) fn answer_permission(&self, worker_index: u32) -> AnswerPermission {
+        if self.fencing.is_fenced(&self.workers[worker_index].name) {
             // Under a lease extension by all peers, the leader itself may answer fenced workers.
             return if self.now < self.lease_extended_until {
                 AnswerPermission::LeaderOnly
@@ -54,7 +54,7 @@
                 AnswerPermission::NoController
             };
         }
-        if self.requires_stops_in_answers(m) {
+        if self.requires_stops_in_answers(worker_index) {
             AnswerPermission::LeaderOnly
         } else {
             AnswerPermission::AnyController
@@ -66,8 +66,8 @@
     /// of a job that this leader does not know, which may have ended at any time. The time counts
     /// from when the job began to end and not from the stop command to this instance, because the
     /// leader may have learned of the instance only now.
-    pub(super) fn requires_stops_in_answers(&self, m: u32) -> bool {
-        let worker = &self.workers[m];
+    pub(super) fn requires_stops_in_answers(&self, worker_index: u32) -> bool {
+        let worker = &self.workers[worker_index];
         let runs_ended_task = |(id, instance): (&InstanceId, &TaskInstance)| {
             let ending_since = self.jobs[id.job].ending_since;
             instance.exit().is_none()
@@ -80,13 +80,13 @@
     /// the worker's request is still open at that controller.
     pub(in crate::coordination) fn route_heartbeat(
         &mut self,
-        m: u32,
+        worker_index: u32,
         at: u32,
         waits: bool,
     ) -> Route {
-        let permission = self.answer_permission(m);
-        let previous_owner = self.shard_owner_of(m);
-        let number = self.workers[m].shard_number;
+        let permission = self.answer_permission(worker_index);
+        let previous_owner = self.shard_owner_of(worker_index);
+        let number = self.workers[worker_index].shard_number;
         let Some(sharding) = &mut self.sharding else {
             return Route::Here;
         };
@@ -96,7 +96,7 @@
             .handle_heartbeat(now, number, at, permission, waits);
         let owner = sharding.coordinator.shard_owner(number);
         if owner != previous_owner {
-            let worker = &self.workers[m].name;
+            let worker = &self.workers[worker_index].name;
             let log = &mut self.reconciliation.lease_log;
             log.record_assignment(self.now, worker, owner, "heartbeat");
         }
@@ -109,14 +109,19 @@
     pub(in crate::coordination) fn answer_deferred_heartbeats(&mut self) {
         for (name, DeferredHeartbeat { ticket, heartbeat }) in self.fencing.take_deferred() {
             let fenced = self.fencing.is_fenced(&name) && self.now >= self.lease_extended_until;
-            let m = self.workers.index_of(&name);
-            if let Some(controller) = m.and_then(|m| self.shard_owner_of(m)) {
+            let worker_index = self.workers.index_of(&name);
+            if let Some(controller) =
+                worker_index.and_then(|worker_index| self.shard_owner_of(worker_index))
+            {
                 // The worker has since reported to another controller.
                 self.effects
                     .push(Effect::RedirectWorker { ticket, controller });
                 continue;
             }
-            let owned = m.is_some_and(|m| self.latest_possible_answer(&self.workers[m]).is_none());
+            let owned = worker_index.is_some_and(|worker_index| {
+                self.latest_possible_answer(&self.workers[worker_index])
+                    .is_none()
+            });
             if fenced || owned {
                 self.fencing.defer(ticket, heartbeat);
             } else {
--- a/src/coordination/sharding/status.rs
+++ b/src/coordination/sharding/status.rs
@@ -100,54 +100,59 @@
             age_ms,
             awaits_reply,
         } = forwarded;
-        let m = self.worker_of(&heartbeat).ok()?;
-        if self.is_duplicate_heartbeat(m, &heartbeat, from) {
+        let worker_index = self.worker_of(&heartbeat).ok()?;
+        if self.is_duplicate_heartbeat(worker_index, &heartbeat, from) {
             return None;
         }
         let received_at = self.now - age_ms as f64 / 1000.0;
-        let is_newer = self.is_newer(m, &heartbeat);
+        let is_newer = self.is_newer(worker_index, &heartbeat);
         if is_newer || awaits_reply {
-            let worker = &mut self.workers[m];
+            let worker = &mut self.workers[worker_index];
             worker.last_heartbeat_at = worker.last_heartbeat_at.or_later(received_at);
             worker.reported_at = worker.reported_at.or_later(received_at);
             self.fencing.release(&worker.name, self.now);
         }
         if is_newer {
-            self.apply_forwarded_heartbeat(m, heartbeat, received_at);
+            self.apply_forwarded_heartbeat(worker_index, heartbeat, received_at);
         }
         if is_outdated || !(is_newer || awaits_reply) {
             return None;
         }
-        match self.route_heartbeat(m, from, awaits_reply) {
+        match self.route_heartbeat(worker_index, from, awaits_reply) {
             Route::Redirect(to) if awaits_reply => Some(to),
             _ => None,
         }
     }
 
     /// Applies a forwarded heartbeat with the time at which the shard owner received it.
-    fn apply_forwarded_heartbeat(&mut self, m: u32, heartbeat: Heartbeat, received_at: Time) {
-        let worker = &self.workers[m];
+    fn apply_forwarded_heartbeat(
+        &mut self,
+        worker_index: u32,
+        heartbeat: Heartbeat,
+        received_at: Time,
+    ) {
+        let worker = &self.workers[worker_index];
         let (answered_at, last_heartbeat_at) = (worker.answered_at, worker.last_heartbeat_at);
         let incarnation = worker.incarnation;
-        self.apply_heartbeat(m, heartbeat, HeartbeatSource::Worker);
-        let worker = &mut self.workers[m];
+        self.apply_heartbeat(worker_index, heartbeat, HeartbeatSource::Worker);
+        let worker = &mut self.workers[worker_index];
         worker.last_heartbeat_at = last_heartbeat_at;
         if worker.incarnation > incarnation {
             // The incarnation had begun by the time of the heartbeat. Later answers by other
             // controllers are bounded by the shard coordinator.
             worker.answered_at = answered_at.or_later(received_at);
         }
-        self.queue_follow_up(m);
+        self.queue_follow_up(worker_index);
     }
 
     /// Queues the commands that follow from a heartbeat. A shard owner's answer carries no
     /// commands, so they are sent with the next direct message.
-    fn queue_follow_up(&mut self, m: u32) {
-        if self.workers[m].in_flight.is_some() {
+    fn queue_follow_up(&mut self, worker_index: u32) {
+        if self.workers[worker_index].in_flight.is_some() {
             return;
         }
-        let commands = self.follow_up_commands(m, usize::MAX);
-        self.workers[m].queue_missing(commands);
+        let commands = self.follow_up_commands(worker_index, usize::MAX);
+        self.workers[worker_index].queue_missing(commands);
     }
 
     /// Whether a new leader still waits for the heartbeats that shard owners have buffered.
--- a/src/coordination/start_conditions.rs
+++ b/src/coordination/start_conditions.rs
@@ -12,31 +12,31 @@
 
 impl Core {
     /// Whether a task may be started on a worker now.
-    pub(super) fn may_start(&self, ix: u32, task: u32, m: u32) -> bool {
-        let job = &self.jobs[ix];
-        let worker = &self.workers[m];
+    pub(super) fn may_start(&self, job_index: u32, task: u32, worker_index: u32) -> bool {
+        let job = &self.jobs[job_index];
+        let worker = &self.workers[worker_index];
         let state = &job.tasks[task as usize];
         job.state == JobState::Live
             && !state.done
             && state.instances == 0
             && f64::from(state.not_before) <= self.now
             && !job.blocked
-            && self.worker_usable(m)
-            && self.worker_allowed(ix, m)
-            && job.spec.needs.fits_in(&self.free_resources(m))
-            && self.zone_allows(ix, worker.zone)
+            && self.worker_usable(worker_index)
+            && self.worker_allowed(job_index, worker_index)
+            && job.spec.needs.fits_in(&self.free_resources(worker_index))
+            && self.zone_allows(job_index, worker.zone)
             && self.team_allows(job.team, &job.spec.needs)
     }
 
     /// Whether one more instance of the job may be started in this zone.
-    pub(super) fn zone_allows(&self, ix: u32, zone: u32) -> bool {
-        self.zone_allows_more(ix, zone, 0)
+    pub(super) fn zone_allows(&self, job_index: u32, zone: u32) -> bool {
+        self.zone_allows_more(job_index, zone, 0)
     }
 
     /// Whether one more instance of the job may be started in this zone, in addition to `planned`
     /// ones.
-    pub(super) fn zone_allows_more(&self, ix: u32, zone: u32, planned: u32) -> bool {
-        let job = &self.jobs[ix];
+    pub(super) fn zone_allows_more(&self, job_index: u32, zone: u32, planned: u32) -> bool {
+        let job = &self.jobs[job_index];
         let here = job
             .instances_by_zone
             .get(zone as usize)
@@ -58,20 +58,20 @@
     }
 
     /// Whether the job may run on the worker and does not avoid it after a recent failure.
-    pub(super) fn worker_allowed(&self, ix: u32, m: u32) -> bool {
-        let worker = &self.workers[m];
-        self.constraints_allow_worker(ix, m)
+    pub(super) fn worker_allowed(&self, job_index: u32, worker_index: u32) -> bool {
+        let worker = &self.workers[worker_index];
+        self.constraints_allow_worker(job_index, worker_index)
             && worker
                 .failed_jobs
-                .get(&ix)
+                .get(&job_index)
                 .is_none_or(|&until| until <= self.now)
     }
 
     /// Whether the job's own constraints (zone, instance types, spot) allow the worker. Recent
     /// failures do not count, so this tells whether any leader could have started the job there.
-    pub(super) fn constraints_allow_worker(&self, ix: u32, m: u32) -> bool {
-        let job = &self.jobs[ix];
-        let worker = &self.workers[m];
+    pub(super) fn constraints_allow_worker(&self, job_index: u32, worker_index: u32) -> bool {
+        let job = &self.jobs[job_index];
+        let worker = &self.workers[worker_index];
         (!worker.spot || job.spec.spot)
             && job.zone.is_none_or(|zone| zone == worker.zone)
             && job
@@ -88,26 +88,26 @@
     }
 
     /// Whether a worker has sent nothing for longer than the latest heartbeat takes.
-    pub(super) fn is_unresponsive(&self, m: u32) -> bool {
-        self.workers[m]
+    pub(super) fn is_unresponsive(&self, worker_index: u32) -> bool {
+        self.workers[worker_index]
             .last_heartbeat_at
             .is_none_or(|at| self.now - at > self.unresponsive_after_s())
     }
 
     /// Whether a worker has sent no heartbeat on its own for half a lease, although it may answer
     /// direct messages. Its lease is not renewed, so a task started there would end with the lease.
-    fn sends_no_heartbeats(&self, m: u32) -> bool {
+    fn sends_no_heartbeats(&self, worker_index: u32) -> bool {
         // While no leader was valid, heartbeats were refused. That time does not count.
         let listening = self.expecting_heartbeats_since.max(self.valid_since);
-        let last_report_at = self.workers[m].reported_at;
+        let last_report_at = self.workers[worker_index].reported_at;
         let last_report_at = last_report_at.map_or(listening, |at| at.max(listening));
         let timeout_s = self.config.cluster.workers.lease_s / 2.0;
         self.now - last_report_at > timeout_s.max(self.unresponsive_after_s())
     }
 
     /// Whether anything may be started on a worker.
-    pub(super) fn worker_usable(&self, m: u32) -> bool {
-        let worker = &self.workers[m];
+    pub(super) fn worker_usable(&self, worker_index: u32) -> bool {
+        let worker = &self.workers[worker_index];
         worker.reconciled
             && !worker.scaling_in
             && !worker.draining
@@ -118,14 +118,14 @@
             && worker.reclaim_at.is_none()
             && worker.quarantined_until <= self.now
             && worker.may_be_alive()
-            && !self.is_unresponsive(m)
-            && !self.sends_no_heartbeats(m)
+            && !self.is_unresponsive(worker_index)
+            && !self.sends_no_heartbeats(worker_index)
     }
 
     /// The resources of a worker that are not taken by instances that may exist there; none if its
     /// instance type is not described.
-    pub(super) fn free_resources(&self, m: u32) -> Resources {
-        let worker = &self.workers[m];
+    pub(super) fn free_resources(&self, worker_index: u32) -> Resources {
+        let worker = &self.workers[worker_index];
         let Some(instance_type) = self.types.get(worker.instance_type) else {
             return Resources::default();
         };
--- a/tests/behaviours.rs
+++ b/tests/behaviours.rs
@@ -68,7 +68,7 @@
     let in_partition = harness
         .instances_of(job)
         .iter()
-        .filter(|(_, m)| partitioned.contains(*m))
+        .filter(|(_, worker)| partitioned.contains(*worker))
         .count();
     assert_eq!(in_partition, 4, "half of the replicas are in each zone");
     harness.unreachable = partitioned.clone();
@@ -409,7 +409,7 @@
         harness
             .instances_of(job)
             .iter()
-            .any(|(_, m)| *m == "a-small-0")
+            .any(|(_, worker)| *worker == "a-small-0")
     };
     assert!(!runs_on_faulty_worker(first) && !runs_on_faulty_worker(next));
 }
--- a/tests/migration.rs
+++ b/tests/migration.rs
@@ -93,7 +93,7 @@
                 .small_jobs
                 .iter()
                 .flat_map(|j| self.harness.instances_of(*j));
-            places.filter(|(_, m)| *m == name).count()
+            places.filter(|(_, worker)| *worker == name).count()
         };
         worker_names().map(count_on).to_vec()
     }
@@ -221,7 +221,10 @@
     cluster.harness.run(20.0);
     let after = cluster.harness.instances_of(gang);
     assert_eq!(after.len(), 2);
-    assert!(after.iter().all(|(_, m)| *m != before[0]), "{after:?}");
+    assert!(
+        after.iter().all(|(_, worker)| *worker != before[0]),
+        "{after:?}"
+    );
     let starts_of = |task: u32| {
         let task = format!("{gang}/{task}");
         cluster.harness.history.workers_of(&task).len()
--- a/tests/migration_random.rs
+++ b/tests/migration_random.rs
@@ -103,7 +103,7 @@
             1 => worker().prop_map(Step::Crash),
             1 => worker().prop_map(Step::Disconnect),
             1 => Just(Step::Reconnect),
-            2 => (worker(), proptest::option::of(5u8..60)).prop_map(|(m, d)| Step::Drain(m, d)),
+            2 => (worker(), proptest::option::of(5u8..60)).prop_map(|(worker_index, deadline)| Step::Drain(worker_index, deadline)),
             2 => worker().prop_map(Step::Undrain),
             1 => Just(Step::FailOver),
             1 => (1u8..15).prop_map(Step::Pause),
@@ -178,7 +178,7 @@
         for (job, kind) in &self.jobs {
             let places = self.harness.instances_of(*job);
             used += self.gpus_per_task[job] * places.len() as f64;
-            let zones: BTreeSet<&str> = places.iter().map(|(_, m)| &m[..1]).collect();
+            let zones: BTreeSet<&str> = places.iter().map(|(_, worker)| &worker[..1]).collect();
             match kind {
                 JobKind::Gang | JobKind::WholeWorkerGang => {
                     assert!(zones.len() < 2, "{job}: {places:?}");
@@ -308,21 +308,24 @@
                     cluster.harness.run(0.2);
                 }
             }
-            Step::Crash(m) => cluster.harness.remove_worker(WORKERS[m]),
-            Step::Disconnect(m) => {
-                cluster.harness.unreachable.insert(WORKERS[m].into());
+            Step::Crash(worker_index) => cluster.harness.remove_worker(WORKERS[worker_index]),
+            Step::Disconnect(worker_index) => {
+                cluster
+                    .harness
+                    .unreachable
+                    .insert(WORKERS[worker_index].into());
             }
             Step::Reconnect => cluster.harness.unreachable.clear(),
-            Step::Drain(m, deadline) => {
+            Step::Drain(worker_index, deadline) => {
                 cluster.harness.send_admin_request(AdminRequest::Drain {
-                    node: WORKERS[m].into(),
+                    node: WORKERS[worker_index].into(),
                     deadline_s: deadline.map(f64::from),
                     yes: true,
                 });
             }
-            Step::Undrain(m) => {
+            Step::Undrain(worker_index) => {
                 cluster.harness.send_admin_request(AdminRequest::Undrain {
-                    node: WORKERS[m].into(),
+                    node: WORKERS[worker_index].into(),
                 });
             }
             Step::FailOver => cluster.harness.fail_over(),
--- a/tests/reconciliation.rs
+++ b/tests/reconciliation.rs
@@ -116,10 +116,11 @@
         if step % 20 == 1 {
             let at = step / 20;
             let listed = [(0, first(at)), (1, Some(&[][..]))];
-            for (m, tasks) in listed {
+            for (worker_index, tasks) in listed {
                 let Some(tasks) = tasks else { continue };
-                let heartbeat = heartbeat_with(JobId(9), WORKERS[m], 10 + u64::from(at), tasks);
-                let ticket = u64::from(step) * 2 + m as u64;
+                let heartbeat =
+                    heartbeat_with(JobId(9), WORKERS[worker_index], 10 + u64::from(at), tasks);
+                let ticket = u64::from(step) * 2 + worker_index as u64;
                 inputs.push(Input::Heartbeat { ticket, heartbeat });
             }
         }
