--- a/src/coordination/demand_log.rs
+++ b/src/coordination/demand_log.rs
@@ -44,9 +44,9 @@
                 "demand"
             );
         }
-        for ((kind, zone, spot), supply) in self.supply() {
+        for ((instance_type, zone, spot), supply) in self.supply() {
             tracing::debug!(
-                kind = self.types.names.name(kind),
+                kind = self.types.names.name(instance_type),
                 zone = self.zones.name(zone),
                 spot,
                 all = supply.all,
@@ -64,7 +64,11 @@
     /// Returns the demand by class.
     fn demand(&self) -> BTreeMap<&str, Demand> {
         let mut classes: BTreeMap<&str, Demand> = BTreeMap::new();
-        for (_, job) in self.jobs.iter().filter(|(_, j)| j.state == JobState::Live) {
+        for (_, job) in self
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.state == JobState::Live)
+        {
             let demand = classes.entry(&job.spec.class).or_default();
             demand.jobs += 1;
             demand.waiting += job.waiting();
--- a/src/coordination/drains/admin.rs
+++ b/src/coordination/drains/admin.rs
@@ -100,7 +100,7 @@
         let capacity = self
             .types
             .get(worker.instance_type)
-            .map(|kind| kind.capacity);
+            .map(|instance_type| instance_type.capacity);
         let capacity = display_units(&capacity.unwrap_or_default());
         let used = display_units(&worker.used);
         let usage = |resource: usize| views::ResourceUsage {
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -28,10 +28,14 @@
             .descriptions
             .iter()
             .enumerate()
-            .filter(|(k, _)| job.types.as_ref().is_none_or(|l| l.contains(&(*k as u32))))
-            .filter_map(|(_, t)| t.as_ref())
-            .filter(|t| job.spec.needs.fits_in(&t.capacity))
-            .map(|t| job.spec.needs.dominant_share_of(&t.capacity))
+            .filter(|(index, _)| {
+                job.types
+                    .as_ref()
+                    .is_none_or(|types| types.contains(&(*index as u32)))
+            })
+            .filter_map(|(_, instance_type)| instance_type.as_ref())
+            .filter(|instance_type| job.spec.needs.fits_in(&instance_type.capacity))
+            .map(|instance_type| job.spec.needs.dominant_share_of(&instance_type.capacity))
             .reduce(f64::min)?;
         if smallest_share <= LARGE_TASK_SHARE || job.is_service() {
             return None;
@@ -73,19 +77,19 @@
         profile
             .types
             .as_ref()
-            .is_none_or(|l| l.contains(&worker.instance_type))
-            && profile.zone.is_none_or(|z| z == worker.zone)
+            .is_none_or(|types| types.contains(&worker.instance_type))
+            && profile.zone.is_none_or(|zone| zone == worker.zone)
             && (!worker.spot || profile.spot)
             && self
                 .types
                 .get(worker.instance_type)
-                .is_some_and(|t| profile.needs.fits_in(&t.capacity))
+                .is_some_and(|instance_type| profile.needs.fits_in(&instance_type.capacity))
     }
 
     /// Returns whether a worker lists a task of a profile.
     fn worker_holds_profile(&self, profile: u32, worker_index: u32) -> bool {
         let mut instances = self.workers[worker_index].instances.keys();
-        instances.any(|k| self.jobs[k.job].large_task_profile == Some(profile))
+        instances.any(|id| self.jobs[id.job].large_task_profile == Some(profile))
     }
 
     /// Updates which workers are reserved for each large-task profile. A worker stays reserved
@@ -142,7 +146,7 @@
                 })
                 .filter_map(|worker_index| {
                     self.seconds_until_room(&needs, worker_index)
-                        .map(|t| (t, worker_index))
+                        .map(|room_in_s| (room_in_s, worker_index))
                 })
                 .collect();
             candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -164,10 +168,10 @@
     ) -> Option<Resources> {
         let reserved_for = self.workers[worker_index].reserved_for?;
         let profile = &self.large_task_profiles[reserved_for as usize];
-        let may_use = self.jobs.get(job_index).is_some_and(|j| {
-            j.large_task_profile == Some(reserved_for)
-                || j.spec.priority != profile.priority
-                || j.within_quota
+        let may_use = self.jobs.get(job_index).is_some_and(|job| {
+            job.large_task_profile == Some(reserved_for)
+                || job.spec.priority != profile.priority
+                || job.within_quota
         });
         (!may_use).then_some(profile.needs)
     }
@@ -180,7 +184,7 @@
         if job.large_task_profile.is_some() {
             return false;
         }
-        let Some(kind) = self.types.get(self.workers[worker_index].instance_type) else {
+        let Some(instance_type) = self.types.get(self.workers[worker_index].instance_type) else {
             return false;
         };
         if !self
@@ -196,15 +200,15 @@
                 .descriptions
                 .iter()
                 .flatten()
-                .map(|t| t.capacity.gpus)
+                .map(|instance_type| instance_type.capacity.gpus)
                 .max();
             return job.is_service()
                 && job.spec.needs.gpus == 0
-                && kind.capacity.gpus > 0
-                && Some(kind.capacity.gpus) == max_gpus;
+                && instance_type.capacity.gpus > 0
+                && Some(instance_type.capacity.gpus) == max_gpus;
         }
         // Only replicas of services are subtracted, as they do not end by themselves.
-        let mut available = kind.capacity;
+        let mut available = instance_type.capacity;
         for key in self.workers[worker_index].instances.keys() {
             if self.jobs[key.job].is_service() {
                 available.sub(&self.jobs[key.job].spec.needs);
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -48,7 +48,7 @@
             }
         }
         let all = self.jobs[job_index].spec.tasks as usize;
-        for (attempt, _) in tasks.into_iter().filter(|(_, t)| t.len() < all) {
+        for (attempt, _) in tasks.into_iter().filter(|(_, tasks)| tasks.len() < all) {
             tracing::info!(
                 job = %self.jobs[job_index].spec.id,
                 attempt,
@@ -102,7 +102,7 @@
         let job = &self.jobs[job_index];
         // Tasks of the previous attempt occupy their workers until they exit. A failed task is
         // retried after a delay, and the other tasks wait with it.
-        let is_delayed = |t: &Task| f64::from(t.not_before) > self.now;
+        let is_delayed = |task: &Task| f64::from(task.not_before) > self.now;
         if job.active > 0 || job.tasks.iter().any(is_delayed) {
             return None;
         }
@@ -188,7 +188,7 @@
             for (_, worker_index) in workers {
                 self.workers[worker_index]
                     .reservations
-                    .retain(|c| c.job == job_index);
+                    .retain(|reservation| reservation.job == job_index);
                 if !self.workers[worker_index].reservations.is_empty() {
                     self.renew_reservation(worker_index, job_index, GANG_RESERVATION_S);
                 } else if needs.fits_in(&self.available_resources(worker_index, job_index)) {
@@ -204,10 +204,10 @@
         let job = &self.jobs[job_index];
         let weight = self.weight(job_index);
         // Reservations for jobs of the same large-task profile and a lower weight are taken over.
-        let may_take_over = |c: &Reservation| {
-            c.job == job_index
-                || (self.jobs[c.job].large_task_profile == job.large_task_profile
-                    && self.weight(c.job) < weight)
+        let may_take_over = |reservation: &Reservation| {
+            reservation.job == job_index
+                || (self.jobs[reservation.job].large_task_profile == job.large_task_profile
+                    && self.weight(reservation.job) < weight)
         };
         let mut workers: Vec<(f64, u32)> = self
             .workers
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -124,14 +124,14 @@
         let job = &self.jobs[job_index];
         let needs = &job.spec.needs;
         let running_price_factor = self.config.tuning.running_price_factor;
-        let is_allowed = |kind: &u32| {
+        let is_allowed = |instance_type: &u32| {
             job.types
                 .as_ref()
-                .is_none_or(|allowed| allowed.contains(kind))
+                .is_none_or(|allowed| allowed.contains(instance_type))
         };
         (0u32..)
             .zip(&self.types.descriptions)
-            .filter(|(kind, _)| is_allowed(kind))
+            .filter(|(instance_type, _)| is_allowed(instance_type))
             .filter_map(|(_, instance_type)| instance_type.as_ref())
             .filter(|instance_type| needs.fits_in(&instance_type.capacity))
             .map(|instance_type| {
@@ -160,12 +160,13 @@
         let mut planner_job_by_job: BTreeMap<u32, u32> = BTreeMap::new();
         let mut avoided_by_job: BTreeMap<u32, Vec<u32>> = BTreeMap::new();
         for (worker_index, worker) in self.workers.iter() {
-            let Some(kind) = self.types.get(worker.instance_type) else {
+            let Some(instance_type) = self.types.get(worker.instance_type) else {
                 continue;
             };
             let at = view.workers.len() as u32;
             view.workers.push(worker_index);
-            let planner_worker = self.worker_for_planner(worker_index, kind, waiting_job, secured);
+            let planner_worker =
+                self.worker_for_planner(worker_index, instance_type, waiting_job, secured);
             view.fleet.workers.push(planner_worker);
             let failed = worker.failed_jobs.iter();
             for (&job_index, _) in failed.filter(|(_, until)| **until > self.now) {
@@ -202,7 +203,7 @@
     fn worker_for_planner(
         &self,
         worker_index: u32,
-        kind: &MachineType,
+        instance_type: &MachineType,
         waiting_job: Option<u32>,
         secured: &[u32],
     ) -> defrag::Worker {
@@ -217,9 +218,9 @@
         };
         let available = worker.reservations.iter().all(is_unsecured);
         let price = if worker.spot {
-            kind.spot_price
+            instance_type.spot_price
         } else {
-            kind.price * self.config.tuning.running_price_factor
+            instance_type.price * self.config.tuning.running_price_factor
         };
         defrag::Worker {
             zone: worker.zone,
@@ -227,15 +228,15 @@
             spot: worker.spot,
             usable,
             freeable: usable && available && (reserved_for_job || reserved_for.is_none()),
-            capacity: kind.capacity,
+            capacity: instance_type.capacity,
             room: match waiting_job.filter(|_| available) {
                 Some(job_index) => self.available_resources(worker_index, job_index),
                 None => self.available_resources(worker_index, u32::MAX),
             },
             price: price / SECONDS_PER_HOUR,
-            fetch_gb_per_s: kind.fetch_gb_per_s,
+            fetch_gb_per_s: instance_type.fetch_gb_per_s,
             images: worker.images.clone(),
-            preemptible: self.preemptible(worker_index, kind, price / SECONDS_PER_HOUR),
+            preemptible: self.preemptible(worker_index, instance_type, price / SECONDS_PER_HOUR),
         }
     }
 
@@ -244,7 +245,7 @@
     fn preemptible(
         &self,
         worker_index: u32,
-        kind: &MachineType,
+        instance_type: &MachineType,
         price: f64,
     ) -> Vec<defrag::Preemptible> {
         let instances = self.workers[worker_index].instances.iter();
@@ -255,7 +256,7 @@
             .map(|(id, instance)| {
                 let spec = &self.jobs[id.job].spec;
                 let lost_s = self.estimate_instance(id, instance).lost_s;
-                let share = spec.needs.dominant_share_of(&kind.capacity);
+                let share = spec.needs.dominant_share_of(&instance_type.capacity);
                 defrag::Preemptible {
                     priority: spec.priority as u8,
                     needs: spec.needs,
--- a/src/coordination/provisioning/boots.rs
+++ b/src/coordination/provisioning/boots.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct BootingWorker {
     /// Index of the instance type.
-    pub(super) kind: u32,
+    pub(super) instance_type: u32,
     /// When the boot began.
     pub(super) since: Time,
     /// Whether it is a spot worker, which the cloud may reclaim.
@@ -42,23 +42,27 @@
         let Some(booting) = self.provisioning.booting.remove(name) else {
             return;
         };
-        let Some(kind) = self.types.get(booting.kind) else {
+        let Some(instance_type) = self.types.get(booting.instance_type) else {
             return;
         };
         let took_s = self.now - booting.since;
-        let observed = (took_s / kind.boot_s.max(1.0)).clamp(MIN_BOOT_FACTOR, MAX_BOOT_FACTOR);
+        let observed =
+            (took_s / instance_type.boot_s.max(1.0)).clamp(MIN_BOOT_FACTOR, MAX_BOOT_FACTOR);
         let factors = &mut self.provisioning.boot_time_factors;
-        let factor = factors.entry(booting.kind).or_insert(1.0);
+        let factor = factors.entry(booting.instance_type).or_insert(1.0);
         *factor += BOOT_WEIGHT * (observed - *factor);
         tracing::debug!(worker = name, took_s, factor = *factor, "boot time");
     }
 
     /// Returns after how many seconds a boot is overdue. Overdue workers are replaced by new
     /// requests.
-    fn boot_overdue_after_s(&self, kind: u32) -> Time {
+    fn boot_overdue_after_s(&self, instance_type: u32) -> Time {
         let factors = &self.provisioning.boot_time_factors;
-        let factor = factors.get(&kind).copied().unwrap_or(1.0);
-        let boot_s = self.types.get(kind).map_or(DEFAULT_BOOT_S, |t| t.boot_s);
+        let factor = factors.get(&instance_type).copied().unwrap_or(1.0);
+        let boot_s = self
+            .types
+            .get(instance_type)
+            .map_or(DEFAULT_BOOT_S, |described| described.boot_s);
         boot_s * factor.clamp(MIN_ESTIMATED_FACTOR, MAX_BOOT_FACTOR) * OVERDUE_FACTOR
             + OVERDUE_MARGIN_S
     }
@@ -69,13 +73,15 @@
         self.provisioning
             .booting
             .values()
-            .filter(|worker| self.now - worker.since <= self.boot_overdue_after_s(worker.kind))
+            .filter(|worker| {
+                self.now - worker.since <= self.boot_overdue_after_s(worker.instance_type)
+            })
             .filter_map(|worker| {
-                let kind = self.types.get(worker.kind)?;
+                let instance_type = self.types.get(worker.instance_type)?;
                 Some(AvailableWorker {
-                    kind: worker.kind,
+                    instance_type: worker.instance_type,
                     spot: worker.spot,
-                    free: kind.capacity,
+                    free: instance_type.capacity,
                 })
             })
             .collect()
@@ -88,7 +94,8 @@
             .booting
             .iter()
             .filter(|(_, worker)| {
-                let return_after_s = RETURN_FACTOR * self.boot_overdue_after_s(worker.kind);
+                let return_after_s =
+                    RETURN_FACTOR * self.boot_overdue_after_s(worker.instance_type);
                 self.now - worker.since > return_after_s
             })
             .map(|(name, _)| name)
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -101,17 +101,17 @@
             if self.workers.is_scaled_in(&entry.name) {
                 continue;
             }
-            let kind = self.types.intern(&entry.machine_type);
+            let instance_type = self.types.intern(&entry.machine_type);
             let zone = self.zones.intern(&entry.zone);
             match entry.phase.as_str() {
-                PHASE_FAILED => self.return_failed_worker(&entry, kind, zone),
+                PHASE_FAILED => self.return_failed_worker(&entry, instance_type, zone),
                 PHASE_STARTING if !self.workers.contains(&entry.name) => {
                     let since = self.now - entry.age_s;
                     self.provisioning
                         .booting
                         .entry(entry.name)
                         .or_insert(BootingWorker {
-                            kind,
+                            instance_type,
                             since,
                             spot: entry.spot,
                         });
@@ -123,10 +123,10 @@
 
     /// Returns a worker that has stopped by itself. Only its return to the cloud proves that its
     /// tasks are gone.
-    fn return_failed_worker(&mut self, entry: &ListedWorker, kind: u32, zone: u32) {
+    fn return_failed_worker(&mut self, entry: &ListedWorker, instance_type: u32, zone: u32) {
         let worker_index = match self.workers.index_of(&entry.name) {
             Some(worker_index) => worker_index,
-            None => self.add_worker(&entry.name, &entry.address, kind, zone, entry.spot),
+            None => self.add_worker(&entry.name, &entry.address, instance_type, zone, entry.spot),
         };
         self.provisioning.booting.remove(&entry.name);
         self.workers[worker_index].scaling_in = true;
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CapacityPool {
     /// Index of the instance type.
-    kind: u32,
+    instance_type: u32,
     /// Index of the zone.
     zone: u32,
     /// Whether its workers are spot workers, which the cloud may reclaim.
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(super) struct AvailableWorker {
     /// Index of the worker's instance type.
-    pub(super) kind: u32,
+    pub(super) instance_type: u32,
     /// Whether it is a spot worker, which the cloud may reclaim.
     pub(super) spot: bool,
     /// Its free resources.
@@ -70,7 +70,7 @@
             && job
                 .types
                 .as_ref()
-                .is_none_or(|types| types.contains(&self.kind))
+                .is_none_or(|types| types.contains(&self.instance_type))
     }
 }
 
@@ -130,7 +130,7 @@
             return;
         }
         let worker = BootingWorker {
-            kind: pool.kind,
+            instance_type: pool.instance_type,
             since: self.now,
             spot: pool.spot,
         };
@@ -195,7 +195,7 @@
         job.waiting() > 0
             && job
                 .unplaced_since
-                .is_some_and(|t| self.now - t > MIN_UNPLACED_S)
+                .is_some_and(|since| self.now - since > MIN_UNPLACED_S)
     }
 
     /// Returns the jobs that need new workers, by descending weight.
@@ -243,15 +243,15 @@
             let Some(pool) = self.cheapest_pool(job_index, &plan.wanted, zones_unresponsive) else {
                 break;
             };
-            let Some(kind) = self.types.get(pool.kind) else {
+            let Some(instance_type) = self.types.get(pool.instance_type) else {
                 break;
             };
             *plan.wanted.entry(pool).or_default() += 1;
             plan.allowed -= 1;
             let mut worker = AvailableWorker {
-                kind: pool.kind,
+                instance_type: pool.instance_type,
                 spot: pool.spot,
-                free: kind.capacity,
+                free: instance_type.capacity,
             };
             remaining = worker.pack_tasks(&needs, remaining);
             plan.available.push(worker);
@@ -267,7 +267,7 @@
             .insert(request.clone(), ProvisioningRequest { pool, count });
         self.effects.push(Effect::ScaleOut {
             request,
-            machine_type: self.types.names.name(pool.kind).to_string(),
+            machine_type: self.types.names.name(pool.instance_type).to_string(),
             zone: self.zones.name(pool.zone).to_string(),
             spot: pool.spot,
             count,
@@ -307,7 +307,7 @@
                     && worker.reservations.is_empty()
             })
             .map(|(worker_index, worker)| AvailableWorker {
-                kind: worker.instance_type,
+                instance_type: worker.instance_type,
                 spot: worker.spot,
                 free: self.free_resources(worker_index),
             })
@@ -324,9 +324,12 @@
     ) -> Option<CapacityPool> {
         let job = &self.jobs[job_index];
         let mut best: Option<((f64, u32), CapacityPool)> = None;
-        for (kind, described) in (0u32..).zip(&self.types.descriptions) {
+        for (instance_type, described) in (0u32..).zip(&self.types.descriptions) {
             let Some(described) = described else { continue };
-            let allowed = job.types.as_ref().is_none_or(|types| types.contains(&kind));
+            let allowed = job
+                .types
+                .as_ref()
+                .is_none_or(|types| types.contains(&instance_type));
             if !allowed || !job.spec.needs.fits_in(&described.capacity) {
                 continue;
             }
@@ -338,7 +341,11 @@
                     continue;
                 }
                 for spot in [true, false] {
-                    let pool = CapacityPool { kind, zone, spot };
+                    let pool = CapacityPool {
+                        instance_type,
+                        zone,
+                        spot,
+                    };
                     if !self.may_request(job, pool) {
                         continue;
                     }
--- a/src/coordination/registry/mod.rs
+++ b/src/coordination/registry/mod.rs
@@ -47,14 +47,14 @@
     }
 
     fn restore_worker(&mut self, page: u32, name: &str, record: &WorkerRecord) {
-        let kind = self.types.intern(&record.machine_type);
+        let instance_type = self.types.intern(&record.machine_type);
         let zone = self.zones.intern(&record.zone);
         let images: Vec<u32> = record
             .images
             .iter()
             .map(|image| self.intern_image(image, 0.0))
             .collect();
-        let worker_index = self.add_worker(name, &record.address, kind, zone, record.spot);
+        let worker_index = self.add_worker(name, &record.address, instance_type, zone, record.spot);
         let worker = &mut self.workers[worker_index];
         worker.page = Some(page);
         worker.registered = true;
