--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -39,7 +39,7 @@
                 self.apply_direct_answer(worker_index, &message, heartbeat, true);
             }
             CommandOutcome::Rejected(heartbeat) => {
-                self.handle_rejection(worker_index, &message, heartbeat)
+                self.handle_rejection(worker_index, &message, heartbeat);
             }
             CommandOutcome::Unknown => self.handle_unknown_outcome(worker_index, &message),
         }
--- a/src/coordination/reconciliation/worker_commands.rs
+++ b/src/coordination/reconciliation/worker_commands.rs
@@ -71,7 +71,7 @@
                 FollowUp::Forget => commands.push(self.command(id, Verb::Forget)),
                 FollowUp::Start => commands.push(self.command(id, Verb::Start)),
                 FollowUp::Stop { grace_s } => {
-                    commands.push(self.repeat_stop(worker_index, id, grace_s))
+                    commands.push(self.repeat_stop(worker_index, id, grace_s));
                 }
                 FollowUp::StartAndStop => {
                     commands.push(self.command(id, Verb::Start));
