--- a/src/coordination/auction/epsilon_scaling.rs
+++ b/src/coordination/auction/epsilon_scaling.rs
@@ -68,8 +68,8 @@
 }
 
 /// Runs an auction with more demand than supply from an opening price. The result is valid only if
-/// every slot is sold: at a lower price, someone would have bid for an unsold slot. Returns `None`
-/// if it is not valid, or if there is no opening price.
+/// every slot is sold: at a lower price, some group would have bid for an unsold slot. Returns
+/// `None` if the result is not valid, or if there is no opening price.
 fn clear_from_opening_price(
     lots: &[Lot],
     groups: &[BidderGroup],
--- a/src/coordination/auction/mod.rs
+++ b/src/coordination/auction/mod.rs
@@ -1,10 +1,10 @@
 //! The ε-auction that assigns waiting tasks to workers.
 //!
-//! The free room of each worker is a lot of priced slots. Similar tasks bid as one [`BidderGroup`].
-//! It bids for as many bundles of slots as it has unassigned tasks, and raises the price of each
-//! until its net value equals that of the best bundle that the group leaves, less ε. Identical
-//! tasks therefore never bid against each other, which would raise prices by only ε at a time until
-//! the cap on bids is reached.
+//! The free resources of each worker are a lot of priced slots. Similar tasks bid as one
+//! [`BidderGroup`]. It bids for as many bundles of slots as it has unassigned tasks, and raises the
+//! price of each until its net value is ε below that of the best bundle that the group does not bid
+//! for. Identical tasks therefore never bid against each other, which would raise prices by only ε
+//! at a time until the cap on bids is reached.
 //!
 //! - `types`: the inputs and results of an auction;
 //! - `market`: slots, their prices and holders, and the bids;
--- a/src/coordination/auction/types.rs
+++ b/src/coordination/auction/types.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::job::Resources;
 
-/// The free room of one worker, cut into slots.
+/// The free resources of one worker, divided into slots.
 #[derive(Debug, Clone)]
 pub struct Lot {
     /// Number of free CPU slots.
@@ -58,7 +58,7 @@
     }
 }
 
-/// Assigns room on a lot to one task of a group.
+/// Assigns one bundle of a lot to one task of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Award {
     /// Index of the bidder group.
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -1,7 +1,7 @@
 //! The leader's core: `step(now, inputs) -> effects`, without any I/O.
 //!
 //! The core tracks every task instance that may exist, not only those that are likely to. An
-//! instance counts until it is proven gone, and each start is checked against all instances that
+//! instance counts until it is proved gone, and each start is checked against all instances that
 //! may exist at that moment.
 //!
 //! This module dispatches each input to the part that handles it, and defines the work of each
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -16,7 +16,8 @@
 
 /// The maximum number of recent messages in flight, if this controller delivers all of them.
 const MAX_RECENT_IN_FLIGHT: usize = 256;
-/// The window units taken by a message that this controller delivers itself.
+/// The units that a message takes of the window for recent messages, if this controller delivers it
+/// itself. The window has `MAX_RECENT_IN_FLIGHT * OWN_COST` units.
 const OWN_COST: usize = 4;
 /// The window units taken by a message that a shard owner delivers.
 const RELAYED_COST: usize = 1;
--- a/src/coordination/fencing/mod.rs
+++ b/src/coordination/fencing/mod.rs
@@ -2,10 +2,10 @@
 //! that the next leader need not count them from its own election.
 //!
 //! Until its removal from the record is stored, a fenced worker gets no answers, because an answer
-//! renews its lease, and no starts, because a started task could run under a lease whose begin this
-//! leader did not see. The only exception are answers under a lease extension that all other
-//! controllers have voted for: each of them remembers its vote and, as the next leader, allows for
-//! such answers.
+//! renews its lease, and no starts, because a started task could run under a lease of which this
+//! leader does not know when it began. The only exception is answers under a lease extension that
+//! all other controllers have voted for: each of them remembers its vote and, as the next leader,
+//! allows for such answers.
 
 mod state;
 
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -209,9 +209,9 @@
         }
         // Only replicas of services are subtracted, as they do not end by themselves.
         let mut available = instance_type.capacity;
-        for key in self.workers[worker_index].instances.keys() {
-            if self.jobs[key.job].is_service() {
-                available.sub(&self.jobs[key.job].spec.needs);
+        for id in self.workers[worker_index].instances.keys() {
+            if self.jobs[id.job].is_service() {
+                available.sub(&self.jobs[id.job].spec.needs);
             }
         }
         let mut available_after = available;
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -18,16 +18,16 @@
 impl Core {
     /// Stops the remaining tasks of a gang's attempt after one of them was lost before it was done.
     /// The rest of the attempt is useless, and must be gone before the next attempt starts.
-    pub(super) fn abort_gang_attempt(&mut self, key: InstanceId) {
-        let Some(job) = self.jobs.get(key.job) else {
+    pub(super) fn abort_gang_attempt(&mut self, id: InstanceId) {
+        let Some(job) = self.jobs.get(id.job) else {
             return;
         };
         if !job.is_gang() || job.spec.tasks == 1 || job.done > 0 {
             return;
         }
         for worker_index in self.workers.indices() {
-            for other in self.instances_of(worker_index, key.job) {
-                if other.attempt == key.attempt {
+            for other in self.instances_of(worker_index, id.job) {
+                if other.attempt == id.attempt {
                     self.stop_instance(worker_index, other, 0.0);
                 }
             }
@@ -41,9 +41,9 @@
     pub(super) fn abort_partial_attempts(&mut self, job_index: u32) {
         let mut tasks: BTreeMap<u64, BTreeSet<u32>> = BTreeMap::new();
         for worker_index in self.workers.indices() {
-            for key in self.instances_of(worker_index, job_index) {
-                if self.workers[worker_index].instances[&key].may_exist() {
-                    tasks.entry(key.attempt).or_default().insert(key.task);
+            for id in self.instances_of(worker_index, job_index) {
+                if self.workers[worker_index].instances[&id].may_exist() {
+                    tasks.entry(id.attempt).or_default().insert(id.task);
                 }
             }
         }
@@ -66,32 +66,32 @@
     pub(super) fn stop_gang(&mut self, job_index: u32) {
         let grace = checkpoint_grace_s(self.jobs[job_index].spec.checkpoint_save_s);
         for worker_index in self.workers.indices() {
-            for key in self.instances_of(worker_index, job_index) {
-                self.stop_instance(worker_index, key, grace);
+            for id in self.instances_of(worker_index, job_index) {
+                self.stop_instance(worker_index, id, grace);
             }
         }
     }
 
     /// Stops a task instance with its grace period, and if it belongs to a gang, the whole gang.
-    pub(super) fn stop_gracefully(&mut self, worker_index: u32, key: InstanceId) {
-        if self.is_multi_task_gang(key.job) {
-            self.stop_gang(key.job);
+    pub(super) fn stop_gracefully(&mut self, worker_index: u32, id: InstanceId) {
+        if self.is_multi_task_gang(id.job) {
+            self.stop_gang(id.job);
         } else {
-            self.stop_instance(worker_index, key, self.stop_grace_s(key.job));
+            self.stop_instance(worker_index, id, self.stop_grace_s(id.job));
         }
     }
 
     /// Stops the tasks on a worker that will be reclaimed if they can save a checkpoint, gangs as a
     /// whole. Tasks that cannot save one run on, as they may finish before the reclaim.
     pub(super) fn checkpoint_before_reclaim(&mut self, worker_index: u32) {
-        let keys: Vec<InstanceId> = self.workers[worker_index]
+        let ids: Vec<InstanceId> = self.workers[worker_index]
             .instances
             .keys()
             .copied()
             .collect();
-        for key in keys {
-            if self.stop_grace_s(key.job) > 0.0 {
-                self.stop_gracefully(worker_index, key);
+        for id in ids {
+            if self.stop_grace_s(id.job) > 0.0 {
+                self.stop_gracefully(worker_index, id);
             }
         }
     }
@@ -126,14 +126,14 @@
             let mut total_value = 0.0;
             let mut by_zone = vec![0u32; self.zones.len()];
             for (worker_index, value) in candidates {
-                let mut room = self.available_resources(worker_index, job_index);
-                let z = self.workers[worker_index].zone as usize;
+                let mut available = self.available_resources(worker_index, job_index);
+                let zone_index = self.workers[worker_index].zone as usize;
                 while placements.len() < job.spec.tasks as usize
-                    && job.spec.needs.fits_in(&room)
-                    && by_zone[z] < job.zone_cap()
+                    && job.spec.needs.fits_in(&available)
+                    && by_zone[zone_index] < job.zone_cap()
                 {
-                    room.sub(&job.spec.needs);
-                    by_zone[z] += 1;
+                    available.sub(&job.spec.needs);
+                    by_zone[zone_index] += 1;
                     placements.push(worker_index);
                     total_value += value;
                 }
@@ -152,8 +152,8 @@
 
     /// Reserves workers for late gangs, at most one gang per zone. Without reservations, smaller
     /// jobs took every worker as it became free, and a gang that needs several at once waited for
-    /// minutes. A gang that is not late yet does better to wait for another gang to end, which
-    /// frees several workers at once.
+    /// minutes. A gang that is not late yet is better off waiting for another gang to end,
+    /// which frees several workers at once.
     ///
     /// Only free workers are reserved, for one batch at a time, and no gang reserves workers in two
     /// zones, so no two gangs can deadlock.
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -134,8 +134,8 @@
     /// Stops all instances of a job that may be on a worker, and cancels its queued starts.
     pub(super) fn stop_all_instances(&mut self, job_index: u32) {
         for worker_index in self.workers.indices() {
-            for key in self.instances_of(worker_index, job_index) {
-                self.stop_instance(worker_index, key, 0.0);
+            for id in self.instances_of(worker_index, job_index) {
+                self.stop_instance(worker_index, id, 0.0);
             }
         }
     }
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -62,7 +62,7 @@
         request: String,
         outcome: ScaleOutOutcome,
     },
-    /// A scale-in request ended; `ok` if the cloud released all of these workers.
+    /// A scale-in request ended; `ok` if all of these workers were scaled in.
     ScaledIn { workers: Vec<String>, ok: bool },
 }
 
@@ -141,7 +141,7 @@
         spot: bool,
         count: u32,
     },
-    /// Release these workers to the cloud.
+    /// Return these workers to the cloud.
     ScaleIn(Vec<String>),
     /// Request the list of workers from the cloud.
     ListWorkers,
--- a/src/coordination/migration/estimates.rs
+++ b/src/coordination/migration/estimates.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::gangs::checkpoint_grace_s;
 use crate::coordination::model::*;
-use crate::coordination::state::{Core, MIN_RUN_BEFORE_MOVE_S};
+use crate::coordination::state::{Core, MIN_RUN_BEFORE_MIGRATION_S};
 use crate::protocol::worker::TaskPhase;
 
 /// The time from an order to stop until the leader has proof that the instance is gone, in addition
@@ -46,10 +46,10 @@
             };
         }
         let ran_s = instance.running_since.map_or(0.0, |since| self.now - since);
-        let saves = job.spec.checkpoint_interval_s > 0.0;
+        let saves_checkpoints = job.spec.checkpoint_interval_s > 0.0;
         InstanceEstimate {
             ends_in_s: (job.work_s() - ran_s).max(job.work_s() * MIN_LEFT_SHARE),
-            lost_s: if saves {
+            lost_s: if saves_checkpoints {
                 job.spec.checkpoint_save_s
             } else {
                 ran_s
@@ -69,10 +69,10 @@
     ) -> bool {
         let job = &self.jobs[id.job];
         let settings = &self.config.tuning.defragmentation;
-        let saves = job.spec.checkpoint_interval_s > 0.0;
+        let saves_checkpoints = job.spec.checkpoint_interval_s > 0.0;
         let running_since = instance.running_since;
         let has_run_long_enough =
-            running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
+            running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MIGRATION_S);
         let has_objective = !job.placement_deadlines_s.is_empty()
             && job.start_delay_tolerance_s < OBJECTIVE_TOLERANCE_S;
         let migrated_at = self.migrations.last_migrated_at(job.spec.id, id.task);
@@ -86,7 +86,7 @@
             && !instance.unacknowledged
             && instance.stop.is_none()
             && (draining || has_run_long_enough || !(has_objective || job.is_service()))
-            && (job.is_service() || saves || lost_s < settings.max_lost_work_s)
+            && (job.is_service() || saves_checkpoints || lost_s < settings.max_lost_work_s)
             && migrated_at.is_none_or(|time| self.now - time > settings.migration_cooldown_s)
     }
 
--- a/src/coordination/migration/mod.rs
+++ b/src/coordination/migration/mod.rs
@@ -192,19 +192,19 @@
         Ok(())
     }
 
-    /// Preempts tasks of lower priority on a worker until the job has room there, counting the room
-    /// of tasks that are being stopped or end soon.
+    /// Preempts tasks of lower priority on a worker until the job has room there. The resources of
+    /// tasks that are being stopped or end soon count as free.
     fn preempt_lower_priority(&mut self, worker_index: u32, job_index: u32) {
         let needs = self.jobs[job_index].spec.needs;
         let priority = self.jobs[job_index].spec.priority;
-        let mut room = self.free_resources(worker_index);
+        let mut free = self.free_resources(worker_index);
         let mut victims: Vec<(f64, InstanceId)> = Vec::new();
         let instances = self.workers[worker_index].instances.iter();
         for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
             let spec = &self.jobs[id.job].spec;
             let estimate = self.estimate_instance(id, instance);
             if instance.stop.is_some() || estimate.ends_in_s <= ENDS_SOON_S {
-                room.add(&spec.needs);
+                free.add(&spec.needs);
             } else if spec.priority < priority && !self.is_multi_task_gang(id.job) {
                 let cost = self.weight(id.job) * (estimate.lost_s + MIGRATION_OVERHEAD_S);
                 victims.push((cost, *id));
@@ -212,10 +212,10 @@
         }
         victims.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         for (_, id) in victims {
-            if needs.fits_in(&room) {
+            if needs.fits_in(&free) {
                 return;
             }
-            room.add(&self.jobs[id.job].spec.needs);
+            free.add(&self.jobs[id.job].spec.needs);
             self.stop_gracefully(worker_index, id);
         }
     }
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -22,7 +22,7 @@
     pub(super) instances: Vec<InstanceId>,
 }
 
-/// The places that a job still lacks.
+/// The places that a job still lacks. A place is room for one task on a worker.
 pub(super) struct MissingPlaces<'a> {
     pub(super) tasks: u32,
     /// The workers that are secured for the job, see [`Core::secured_workers`].
--- a/src/coordination/migration/start.rs
+++ b/src/coordination/migration/start.rs
@@ -56,7 +56,7 @@
             let job_index = view.instances[planned.instance as usize].job;
             let target = view.workers[planned.to as usize];
             // A target may be a worker that is kept free for tasks of the waiting job's profile. It
-            // is used all the same: if all free room is on such workers, there is no other target.
+            // is used all the same: if only such workers have room, there is no other target.
             let reserved_for = self.workers[target].reserved_for;
             if large_task_profile.is_some() && reserved_for == large_task_profile {
                 self.workers[target].reserved_for = None;
--- a/src/coordination/model/instance.rs
+++ b/src/coordination/model/instance.rs
@@ -15,7 +15,7 @@
     pub attempt: u64,
 }
 
-/// How far the start command of an instance has got on its way to the worker.
+/// The delivery state of an instance's start command.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum StartDelivery {
     /// In the worker's outbox: no message has carried it yet.
@@ -31,7 +31,7 @@
 /// An attempt of a task that a worker may hold.
 #[derive(Debug, Clone)]
 pub struct TaskInstance {
-    /// How far its start command has got.
+    /// The delivery state of its start command.
     pub start_delivery: StartDelivery,
     /// The phase that its worker last reported.
     pub phase: Option<TaskPhase>,
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -115,7 +115,7 @@
     pub protected: bool,
 }
 
-/// The expected work of a service replica in bids. A replica has no end of its own.
+/// The expected work of a service replica in bids. A replica does not end by itself.
 const SERVICE_WORK_S: f64 = 600.0;
 
 impl Job {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// The number of tasks that are not done and surely not on any worker.
+    /// The number of tasks that are not done and certainly not on any worker.
     pub fn waiting(&self) -> u32 {
         self.spec.tasks - self.done - self.active
     }
@@ -181,7 +181,7 @@
         self.ending_since.get_or_insert(now);
     }
 
-    /// Takes back a cancellation that was not stored.
+    /// Reverts a cancellation that was not stored.
     pub fn resume(&mut self) {
         self.state = JobState::Live;
         self.ending_since = None;
--- a/src/coordination/model/worker.rs
+++ b/src/coordination/model/worker.rs
@@ -112,7 +112,7 @@
     pub in_flight: Option<InFlightMessage>,
     /// Its page in the worker registry.
     pub page: Option<u32>,
-    /// Some stored version of a registry page surely lists it.
+    /// Some stored version of a registry page certainly lists it.
     pub registered: bool,
     /// An earlier leader registered it, so it may hold tasks that an earlier leader started.
     pub known_to_predecessor: bool,
--- a/src/coordination/placement/auction_round.rs
+++ b/src/coordination/placement/auction_round.rs
@@ -1,5 +1,5 @@
-//! The auction of one batch: offers the free room of workers as lots to groups of waiting tasks,
-//! and starts the tasks that are awarded room.
+//! The auction of one batch: offers the free resources of workers as lots to groups of waiting
+//! tasks, and starts the tasks that are awarded a part of a lot.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -28,7 +28,8 @@
 }
 
 impl Core {
-    /// Auctions the free room of all workers to the jobs of a batch, and starts the awarded tasks.
+    /// Auctions the free resources of all workers to the jobs of a batch, and starts the tasks that
+    /// are awarded a part of them.
     pub(super) fn run_auction(&mut self, batch: &[u32]) {
         let supply = self.auction_supply();
         if supply.lots.is_empty() {
@@ -53,8 +54,8 @@
         }
     }
 
-    /// The free room of every usable worker as lots; workers with less than one free CPU slot are
-    /// left out.
+    /// The free resources of every usable worker as lots; workers with less than one free CPU slot
+    /// are left out.
     fn auction_supply(&self) -> Supply {
         let slot_cpus = self.config.tuning.slot_cpus;
         let mut supply = Supply::default();
@@ -62,11 +63,13 @@
             if !self.worker_usable(worker_index) {
                 continue;
             }
-            let room = self.available_resources(worker_index, NO_JOB);
+            let available = self.available_resources(worker_index, NO_JOB);
             let lot = Lot {
-                cpu_slots: (room.cpus as f64 / 1000.0 / slot_cpus).floor().max(0.0) as u32,
-                gpu_slots: (room.gpus / 1000).max(0) as u32,
-                memory: room.memory.max(0),
+                cpu_slots: (available.cpus as f64 / 1000.0 / slot_cpus)
+                    .floor()
+                    .max(0.0) as u32,
+                gpu_slots: (available.gpus / 1000).max(0) as u32,
+                memory: available.memory.max(0),
                 zone: self.workers[worker_index].zone,
             };
             if lot.cpu_slots > 0 {
--- a/src/coordination/placement/batch_selection.rs
+++ b/src/coordination/placement/batch_selection.rs
@@ -27,8 +27,7 @@
 const ON_TARGET_URGENCY: f64 = 1.6;
 /// The urgency of any other job with an objective for its start.
 const LATE_URGENCY: f64 = 1.3;
-/// The urgency of an array past its completion target: it gives way to jobs that can still meet
-/// theirs.
+/// The urgency of an array past its completion target. Jobs that can still meet theirs go first.
 const LATE_ARRAY_URGENCY: f64 = 0.7;
 /// What is added to the urgency of an array with little work left, and the amount of remaining work
 /// at which half of it is added.
--- a/src/coordination/placement/mod.rs
+++ b/src/coordination/placement/mod.rs
@@ -1,8 +1,9 @@
 //! Placement: once per batch interval, assigns waiting tasks to workers.
 //!
 //! `batch_selection` chooses the jobs of a batch and computes their weights, `value` computes the
-//! value of a worker for a task, `auction_round` auctions the free room of workers, `exact_fit`
-//! places tasks for which the slots of the auction are too coarse, and `start` starts single tasks.
+//! value of a worker for a task, `auction_round` auctions the free resources of workers,
+//! `exact_fit` places tasks for which the slots of the auction are too coarse, and `start` starts
+//! single tasks.
 
 mod auction_round;
 mod batch_selection;
--- a/src/coordination/placement/value.rs
+++ b/src/coordination/placement/value.rs
@@ -65,7 +65,8 @@
             occupied_s *= 1.0 + work_s / tuning.spot_mean_life_s;
         }
         let share = if self.fragments_worker(job_index, worker_index) {
-            // The task keeps a whole-worker task off this worker, so it is charged for all of it.
+            // The task prevents a large task from running here, so it is charged for the whole
+            // worker.
             1.0
         } else {
             self.jobs[job_index]
@@ -85,11 +86,11 @@
     /// old.
     fn headroom_gate(&self, worker_index: u32, instance_type: &MachineType) -> f64 {
         let tuning = &self.config.tuning;
-        let room = self.free_resources(worker_index);
-        let whole = &instance_type.capacity;
-        let headroom = free_share(room.cpus, whole.cpus)
-            .min(free_share(room.memory, whole.memory))
-            .min(free_share(room.gpus, whole.gpus).max(MIN_GPU_HEADROOM));
+        let free = self.free_resources(worker_index);
+        let capacity = &instance_type.capacity;
+        let headroom = free_share(free.cpus, capacity.cpus)
+            .min(free_share(free.memory, capacity.memory))
+            .min(free_share(free.gpus, capacity.gpus).max(MIN_GPU_HEADROOM));
         let last_heartbeat_at = self.workers[worker_index].last_heartbeat_at;
         let age_s = last_heartbeat_at.map_or(0.0, |at| self.now - at);
         let excess = headroom - tuning.headroom_decay_per_s * age_s - tuning.headroom_midpoint;
@@ -104,9 +105,9 @@
             > job.start_delay_tolerance_s * FETCH_SHARE_OF_TOLERANCE
     }
 
-    /// How well a worker suits a job in the long term; 0 is best. A replica runs for long, so it
-    /// must not be placed where it keeps whole-worker tasks away. A replica that is needed at once
-    /// should find its image in the cache.
+    /// How well a worker suits a job in the long term; 0 is best. A replica runs for a long time,
+    /// so it must not be placed where it prevents large tasks from running. A replica that is
+    /// needed at once should find its image in the cache.
     fn tier(&self, job_index: u32, worker_index: u32) -> u8 {
         let job = &self.jobs[job_index];
         // A replica that replaces a lost one is unavailable for the whole fetch, so no fetch time
@@ -191,7 +192,7 @@
             .instances
             .iter()
             .filter(|(_, instance)| matches!(instance.phase, None | Some(TaskPhase::Fetching)))
-            .map(|(key, _)| self.jobs[key.job].image)
+            .map(|(id, _)| self.jobs[id.job].image)
             .filter(|image| !worker.images.contains(image))
             .collect();
         images.sort_unstable();
@@ -201,9 +202,9 @@
 }
 
 /// The free share of a resource; 1 if the worker has none of that resource at all.
-fn free_share(free: i64, whole: i64) -> f64 {
-    if whole > 0 {
-        free as f64 / whole as f64
+fn free_share(free: i64, capacity: i64) -> f64 {
+    if capacity > 0 {
+        free as f64 / capacity as f64
     } else {
         1.0
     }
--- a/src/coordination/preemption/gangs.rs
+++ b/src/coordination/preemption/gangs.rs
@@ -40,8 +40,8 @@
             ..
         } in plan.placements
         {
-            for key in victims {
-                self.stop_instance(worker_index, key, self.stop_grace_s(key.job));
+            for id in victims {
+                self.stop_instance(worker_index, id, self.stop_grace_s(id.job));
             }
             if self.workers[worker_index].reservations.is_empty() {
                 self.reserve(worker_index, job_index, reservation_s);
--- a/src/coordination/preemption/mod.rs
+++ b/src/coordination/preemption/mod.rs
@@ -56,7 +56,8 @@
     }
 
     /// Makes room for a job's tasks one by one: by preemption as far as the budget allows, and then
-    /// by draining workers. Returns whether all its tasks have room now.
+    /// by reserving the workers that will have room soonest. Returns whether room is reserved for
+    /// all its tasks now.
     fn make_room_for_tasks(&mut self, job_index: u32, budget: &mut u32) -> bool {
         let mut missing = self.tasks_without_room(job_index);
         let reserved = self.reserve_by_preempting(job_index, missing.min(*budget));
@@ -65,7 +66,7 @@
         while missing > 0
             && *budget > 0
             && self.team_allows(self.jobs[job_index].team, &self.jobs[job_index].spec.needs)
-            && self.reserve_by_draining(job_index)
+            && self.reserve_soonest_worker(job_index)
         {
             missing -= 1;
         }
--- a/src/coordination/preemption/reservations.rs
+++ b/src/coordination/preemption/reservations.rs
@@ -80,40 +80,40 @@
         by_zone
     }
 
-    /// Free room of a worker less what is reserved for other jobs.
+    /// The free resources of a worker less what is reserved for other jobs.
     pub(in crate::coordination) fn available_resources(
         &self,
         worker_index: u32,
         job_index: u32,
     ) -> Resources {
-        let mut room = self.free_resources(worker_index);
+        let mut available = self.free_resources(worker_index);
         if let Some(kept) = self.withheld_resources(worker_index, job_index) {
-            room.sub(&kept);
+            available.sub(&kept);
         }
         for reservation in &self.workers[worker_index].reservations {
             if reservation.job != job_index {
-                self.subtract_reserved(&mut room, reservation);
+                self.subtract_reserved(&mut available, reservation);
             }
         }
-        room
+        available
     }
 
-    /// Free room of a worker less everything that is reserved on it, including reservations for
-    /// this job.
+    /// The free resources of a worker less everything that is reserved on it, including
+    /// reservations for this job.
     pub(super) fn unreserved_resources(&self, job_index: u32, worker_index: u32) -> Resources {
-        let mut room = self.available_resources(worker_index, job_index);
+        let mut available = self.available_resources(worker_index, job_index);
         for reservation in &self.workers[worker_index].reservations {
             if reservation.job == job_index {
-                self.subtract_reserved(&mut room, reservation);
+                self.subtract_reserved(&mut available, reservation);
             }
         }
-        room
+        available
     }
 
-    fn subtract_reserved(&self, room: &mut Resources, reservation: &Reservation) {
+    fn subtract_reserved(&self, available: &mut Resources, reservation: &Reservation) {
         let needs = &self.jobs[reservation.job].spec.needs;
         for _ in 0..reservation.count {
-            room.sub(needs);
+            available.sub(needs);
         }
     }
 
--- a/src/coordination/preemption/single_tasks.rs
+++ b/src/coordination/preemption/single_tasks.rs
@@ -1,4 +1,5 @@
-//! Preemption for single tasks: stops tasks where that costs least, or else drains a worker.
+//! Preemption for single tasks: stops tasks where that costs least, or else reserves a worker until
+//! enough of its tasks have ended.
 
 use std::cmp::Ordering;
 
@@ -8,10 +9,11 @@
 
 use super::PREEMPTION_RESERVATION_S;
 
-/// How long a worker is reserved, and so drained of small tasks, for a task that needs most of it.
-const DRAIN_RESERVATION_S: f64 = 90.0;
-/// A worker is drained only for a task that needs more than this share of it.
-const DRAIN_MIN_SHARE: f64 = 0.5;
+/// How long a worker is reserved for a task that needs most of it, so that no new tasks start there
+/// while the current ones end.
+const SOONEST_WORKER_RESERVATION_S: f64 = 90.0;
+/// A worker is reserved in this way only for a task that needs more than this share of it.
+const SOONEST_WORKER_MIN_SHARE: f64 = 0.5;
 /// Added to every preemption cost, so that the value of the worker still matters where little work
 /// is lost.
 const BASE_COST: f64 = 1.0;
@@ -113,14 +115,14 @@
         worker_index: u32,
         victims: &[InstanceId],
     ) {
-        for key in victims {
+        for id in victims {
             tracing::debug!(
                 job = %self.jobs[job_index].spec.id,
-                victim = %self.jobs[key.job].spec.id,
+                victim = %self.jobs[id.job].spec.id,
                 worker = self.workers[worker_index].name,
                 "preempting task instance"
             );
-            self.stop_gracefully(worker_index, *key);
+            self.stop_gracefully(worker_index, *id);
         }
         self.reserve(
             worker_index,
@@ -131,7 +133,7 @@
 
     /// Reserves the worker that will be the first to have room for a task that needs much of it.
     /// Returns whether there is such a worker.
-    pub(super) fn reserve_by_draining(&mut self, job_index: u32) -> bool {
+    pub(super) fn reserve_soonest_worker(&mut self, job_index: u32) -> bool {
         let needs = self.jobs[job_index].spec.needs;
         let soonest = self
             .workers
@@ -141,8 +143,9 @@
             .filter(|&worker_index| self.workers[worker_index].reservations.is_empty())
             .filter(|&worker_index| {
                 let instance_type = self.types.get(self.workers[worker_index].instance_type);
-                instance_type
-                    .is_some_and(|t| needs.dominant_share_of(&t.capacity) > DRAIN_MIN_SHARE)
+                instance_type.is_some_and(|described| {
+                    needs.dominant_share_of(&described.capacity) > SOONEST_WORKER_MIN_SHARE
+                })
             })
             .filter_map(|worker_index| {
                 self.seconds_until_room(&needs, worker_index)
@@ -152,7 +155,7 @@
         let Some((worker_index, _)) = soonest else {
             return false;
         };
-        self.reserve(worker_index, job_index, DRAIN_RESERVATION_S);
+        self.reserve(worker_index, job_index, SOONEST_WORKER_RESERVATION_S);
         true
     }
 
@@ -163,13 +166,13 @@
         needs: &Resources,
         worker_index: u32,
     ) -> Option<f64> {
-        let mut room = self.free_resources(worker_index);
+        let mut free = self.free_resources(worker_index);
         let mut ends: Vec<(f64, Resources)> = self.workers[worker_index]
             .instances
             .iter()
-            .filter(|(key, instance)| instance.may_exist() && !self.jobs[key.job].is_service())
-            .map(|(key, instance)| {
-                let job = &self.jobs[key.job];
+            .filter(|(id, instance)| instance.may_exist() && !self.jobs[id.job].is_service())
+            .map(|(id, instance)| {
+                let job = &self.jobs[id.job];
                 let ran_s = instance.running_since.map_or(0.0, |at| self.now - at);
                 let remaining_s = (job.work_s() - ran_s).max(job.work_s() * OVERRUN_SHARE);
                 (remaining_s, job.spec.needs)
@@ -178,12 +181,12 @@
         ends.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut room_in_s = 0.0;
         for (end_s, frees) in ends {
-            if needs.fits_in(&room) {
+            if needs.fits_in(&free) {
                 break;
             }
-            room.add(&frees);
+            free.add(&frees);
             room_in_s = end_s;
         }
-        needs.fits_in(&room).then_some(room_in_s)
+        needs.fits_in(&free).then_some(room_in_s)
     }
 }
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -54,15 +54,15 @@
     /// best one.
     pub(in crate::coordination) fn can_make_room(&self, job_index: u32, worker_index: u32) -> bool {
         let needs = &self.jobs[job_index].spec.needs;
-        let mut room = self.unreserved_resources(job_index, worker_index);
+        let mut available = self.unreserved_resources(job_index, worker_index);
         let mut instances = self.workers[worker_index].instances.iter();
-        while !needs.fits_in(&room) {
-            let Some((key, instance)) = instances.next() else {
+        while !needs.fits_in(&available) {
+            let Some((id, instance)) = instances.next() else {
                 return false;
             };
-            let stops = instance.stop.is_some() || self.may_preempt(job_index, key.job);
+            let stops = instance.stop.is_some() || self.may_preempt(job_index, id.job);
             if instance.may_exist() && stops {
-                room.add(&self.jobs[key.job].spec.needs);
+                available.add(&self.jobs[id.job].spec.needs);
             }
         }
         true
@@ -76,33 +76,33 @@
         worker_index: u32,
     ) -> Option<Preemption> {
         let needs = self.jobs[job_index].spec.needs;
-        let mut room = self.unreserved_resources(job_index, worker_index);
-        for (key, instance) in &self.workers[worker_index].instances {
+        let mut available = self.unreserved_resources(job_index, worker_index);
+        for (id, instance) in &self.workers[worker_index].instances {
             if instance.may_exist() && instance.stop.is_some() {
-                // This instance is being stopped already. Its room is reserved for the job that it
-                // is stopped for.
-                room.add(&self.jobs[key.job].spec.needs);
+                // This instance is being stopped already. Its resources are reserved for the job
+                // that it is stopped for.
+                available.add(&self.jobs[id.job].spec.needs);
             }
         }
         let mut preemption = Preemption {
             cost: 0.0,
             victims: Vec::new(),
         };
-        for (cost, key) in self.victim_candidates(job_index, worker_index) {
-            if needs.fits_in(&room) {
+        for (cost, id) in self.victim_candidates(job_index, worker_index) {
+            if needs.fits_in(&available) {
                 break;
             }
-            let frees = self.jobs[key.job].spec.needs;
-            let helps = (needs.cpus > room.cpus && frees.cpus > 0)
-                || (needs.memory > room.memory && frees.memory > 0)
-                || (needs.gpus > room.gpus && frees.gpus > 0);
+            let frees = self.jobs[id.job].spec.needs;
+            let helps = (needs.cpus > available.cpus && frees.cpus > 0)
+                || (needs.memory > available.memory && frees.memory > 0)
+                || (needs.gpus > available.gpus && frees.gpus > 0);
             if helps {
-                room.add(&frees);
+                available.add(&frees);
                 preemption.cost += cost;
-                preemption.victims.push(key);
+                preemption.victims.push(id);
             }
         }
-        let fits = needs.fits_in(&room);
+        let fits = needs.fits_in(&available);
         debug_assert_eq!(fits, self.can_make_room(job_index, worker_index));
         fits.then_some(preemption)
     }
@@ -113,8 +113,8 @@
             .instances
             .iter()
             .filter(|(_, instance)| instance.may_exist() && instance.stop.is_none())
-            .filter(|(key, _)| self.may_preempt(job_index, key.job))
-            .map(|(key, instance)| (self.stop_cost(job_index, key, instance), *key))
+            .filter(|(id, _)| self.may_preempt(job_index, id.job))
+            .map(|(id, instance)| (self.stop_cost(job_index, id, instance), *id))
             .collect();
         candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         candidates
@@ -122,22 +122,22 @@
 
     /// The cost of stopping a task instance: the lost work of it and its gang, increased by the
     /// delay that its grace period causes for the preempting job.
-    fn stop_cost(&self, job_index: u32, key: &InstanceId, instance: &TaskInstance) -> f64 {
-        let mut lost_work = self.lost_work(key, instance);
-        if self.is_multi_task_gang(key.job) {
-            lost_work *= f64::from(self.jobs[key.job].spec.tasks);
+    fn stop_cost(&self, job_index: u32, id: &InstanceId, instance: &TaskInstance) -> f64 {
+        let mut lost_work = self.lost_work(id, instance);
+        if self.is_multi_task_gang(id.job) {
+            lost_work *= f64::from(self.jobs[id.job].spec.tasks);
         }
-        // A task that saves a checkpoint frees its room later. Without this factor, replicas that
-        // had to start within a second waited for lower-priority tasks to save theirs.
+        // A task that saves a checkpoint frees its resources later. Without this factor, replicas
+        // that had to start within a second waited for lower-priority tasks to save theirs.
         let grace_in_tolerances =
-            self.stop_grace_s(key.job) / self.jobs[job_index].start_delay_tolerance_s;
+            self.stop_grace_s(id.job) / self.jobs[job_index].start_delay_tolerance_s;
         lost_work * grace_in_tolerances.min(MAX_GRACE_IN_TOLERANCES).exp()
     }
 
     /// The work lost by stopping a task instance, weighted by size and importance: the time to save
     /// for tasks with checkpoints, or else all its work so far.
-    fn lost_work(&self, key: &InstanceId, instance: &TaskInstance) -> f64 {
-        let job = &self.jobs[key.job];
+    fn lost_work(&self, id: &InstanceId, instance: &TaskInstance) -> f64 {
+        let job = &self.jobs[id.job];
         let ran_s = instance.running_since.map_or(0.0, |at| self.now - at);
         let lost_s = if job.spec.checkpoint_interval_s > 0.0 {
             job.spec.checkpoint_save_s
@@ -146,7 +146,7 @@
         };
         let needs = &job.spec.needs;
         let size = needs.cpus as f64 / MILLI + CPUS_PER_GPU * needs.gpus as f64 / MILLI;
-        (lost_s + STOP_OVERHEAD_S) * size * self.weight(key.job)
+        (lost_s + STOP_OVERHEAD_S) * size * self.weight(id.job)
     }
 
     /// The grace period, in seconds, in which a stopped task of a job can save a checkpoint; 0 if
@@ -164,7 +164,7 @@
     pub(in crate::coordination) fn longest_stop_grace_s(&self, victims: &[InstanceId]) -> f64 {
         victims
             .iter()
-            .map(|key| self.stop_grace_s(key.job))
+            .map(|id| self.stop_grace_s(id.job))
             .fold(0.0, f64::max)
     }
 }
--- a/src/coordination/provisioning/mod.rs
+++ b/src/coordination/provisioning/mod.rs
@@ -104,7 +104,7 @@
             let instance_type = self.types.intern(&entry.machine_type);
             let zone = self.zones.intern(&entry.zone);
             match entry.phase.as_str() {
-                PHASE_FAILED => self.return_failed_worker(&entry, instance_type, zone),
+                PHASE_FAILED => self.scale_in_failed_worker(&entry, instance_type, zone),
                 PHASE_STARTING if !self.workers.contains(&entry.name) => {
                     let since = self.now - entry.age_s;
                     self.provisioning
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Returns a worker that has stopped by itself. Only its return to the cloud proves that its
-    /// tasks are gone.
-    fn return_failed_worker(&mut self, entry: &ListedWorker, instance_type: u32, zone: u32) {
+    /// Marks a worker that has stopped by itself for scale-in. Only its return to the cloud proves
+    /// that its tasks are gone.
+    fn scale_in_failed_worker(&mut self, entry: &ListedWorker, instance_type: u32, zone: u32) {
         let worker_index = match self.workers.index_of(&entry.name) {
             Some(worker_index) => worker_index,
             None => self.add_worker(&entry.name, &entry.address, instance_type, zone, entry.spot),
--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -7,13 +7,11 @@
 
 /// Workers per request. The cloud accepts at most 100.
 const MAX_WORKERS_PER_REQUEST: usize = 100;
-/// An empty worker is returned after this many quarantines without a successful task in
-/// between.
+/// An empty worker is returned after this many quarantines without a successful task in between.
 const QUARANTINES_BEFORE_RETURN: u32 = 2;
 
 impl Core {
-    /// Handles the result of a scale-in request. `ok` means that the cloud has taken back all of
-    /// the workers.
+    /// Handles the result of a scale-in request. `ok` means that all of the workers were scaled in.
     pub(crate) fn handle_scale_in_result(&mut self, names: Vec<String>, ok: bool) {
         self.provisioning.scale_in_pending = false;
         if !ok {
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -7,7 +7,7 @@
 //! its downtime is about a second plus the time to fetch its image.
 
 use super::model::*;
-use super::state::{Core, MIN_RUN_BEFORE_MOVE_S};
+use super::state::{Core, MIN_RUN_BEFORE_MIGRATION_S};
 
 /// The average share of all replicas that may be down for migrations at a time. Without this limit,
 /// eighty migrations in half a minute cost more replica time than the loss of a leader. Migrating
@@ -143,7 +143,7 @@
     fn replica_may_migrate(&self, id: InstanceId, instance: &TaskInstance) -> bool {
         let running_since = instance.running_since;
         let ran_long_enough =
-            running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
+            running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MIGRATION_S);
         instance.stop.is_none() && ran_long_enough && !self.jobs[id.job].pinned
     }
 
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -58,10 +58,10 @@
     }
 
     /// Whether a newer heartbeat of the worker has been received, or the same one by another
-    /// controller. The worker has had the answer to such a heartbeat or no longer waits for it, so
-    /// the heartbeat must not renew the lease or count as a sign of life. Without this check,
-    /// delayed duplicates kept dead workers from being released. A shard owner forwards the same
-    /// heartbeat repeatedly until it may answer it; these copies are not duplicates.
+    /// controller. The worker has received the answer to such a heartbeat or no longer waits for
+    /// it, so the heartbeat must not renew the lease or count as a sign of life. Without this
+    /// check, delayed duplicates kept dead workers from being released. A shard owner forwards the
+    /// same heartbeat repeatedly until it may answer it; these copies are not duplicates.
     pub(crate) fn is_duplicate_heartbeat(
         &mut self,
         worker_index: u32,
@@ -253,7 +253,7 @@
         worker.reconciled = false;
         // The lease of the new incarnation began before now, so counting from now is safe. If the
         // lease of the previous incarnation still counted, tasks started in the new one would be
-        // taken for gone as soon as that lease expired.
+        // considered gone as soon as that lease expired.
         worker.answered_at = Some(self.now);
         self.clear_worker(worker_index);
     }
--- a/src/coordination/reconciliation/worker_commands.rs
+++ b/src/coordination/reconciliation/worker_commands.rs
@@ -14,20 +14,20 @@
     /// Collects the commands for the answer to a worker's newest heartbeat.
     pub(super) fn collect_commands(&mut self, worker_index: u32, counter: u64) -> Vec<Command> {
         let stops = self.due_stops(worker_index);
-        let room = MAX_COMMANDS - stops.len();
+        let limit = MAX_COMMANDS - stops.len();
         let mut commands = Vec::new();
         if self.workers[worker_index].in_flight.is_none() {
             commands =
-                self.take_queued_commands(worker_index, room, StartDelivery::Response { counter });
+                self.take_queued_commands(worker_index, limit, StartDelivery::Response { counter });
         }
-        let follow_up = self.follow_up_commands(worker_index, room.saturating_sub(commands.len()));
+        let follow_up = self.follow_up_commands(worker_index, limit.saturating_sub(commands.len()));
         append_missing(&mut commands, follow_up);
         append_missing(&mut commands, stops);
         commands
     }
 
     /// The stops that are due on a worker: those of orphaned tasks, of tasks whose jobs have ended
-    /// or are being cancelled, and those in the outbox. At most [`MAX_COMMANDS`].
+    /// or are being cancelled, and those in the outbox. Returns at most [`MAX_COMMANDS`].
     ///
     /// Every answer to a heartbeat renews the lease, so every answer carries these stops. They are
     /// included even if they were sent before or a direct message in flight carries them: a stop
@@ -121,8 +121,8 @@
         self.command(id, Verb::Stop { grace_s })
     }
 
-    /// Takes at most `limit` commands from the outbox and records how the
-    /// starts in them are sent and when the stops are sent.
+    /// Takes at most `limit` commands from the outbox, and records how the starts among them are
+    /// sent and when the stops are sent.
     pub(crate) fn take_queued_commands(
         &mut self,
         worker_index: u32,
--- a/src/coordination/sharding/balance.rs
+++ b/src/coordination/sharding/balance.rs
@@ -9,10 +9,10 @@
 
 use super::Sharding;
 
-/// A late worker is revoked this long before it counts as unresponsive. A missing heartbeat is
-/// evidence only for a worker without a shard owner.
+/// A late worker is revoked this long before it counts as unresponsive. Only while a worker has no
+/// shard owner does a missing heartbeat show that it is unresponsive.
 const REVOKE_LEAD_S: Time = 0.6;
-/// More than one late worker in this many is a mass loss.
+/// If more than one in this many workers is late, that is a mass loss.
 const MASS_LOSS_DIVISOR: usize = 50;
 /// Interval between two log lines about the shards.
 const LOG_INTERVAL_S: Time = 30.0;
--- a/src/coordination/sharding/mod.rs
+++ b/src/coordination/sharding/mod.rs
@@ -102,7 +102,7 @@
         self.sharding.as_ref().map_or(0, |s| s.own_index)
     }
 
-    /// Handles a pause of this process: it does not make shard owners late.
+    /// Handles a pause of this process, which must not make shard owners count as late.
     pub(super) fn shift_shard_statuses(&mut self, pause_s: f64) {
         if let Some(sharding) = &mut self.sharding {
             sharding.coordinator.handle_pause((pause_s * 1000.0) as u64);
--- a/src/coordination/sharding/relays.rs
+++ b/src/coordination/sharding/relays.rs
@@ -69,8 +69,9 @@
         }
     }
 
-    /// Whether a worker has answered neither this controller nor, if another can relay, that one. A
-    /// leader that alone has lost its connections to the workers must not treat them as lost.
+    /// Whether a worker has left a message of this controller unanswered and, if another controller
+    /// can relay, one of that controller as well. If only the leader has lost its connections to
+    /// the workers, it must not treat them as lost.
     pub(in crate::coordination) fn is_unreachable_by_all(&self, worker_index: u32) -> bool {
         let UnansweredSenders { own, relayed } = self.workers[worker_index].unanswered_senders();
         own && (relayed || !self.has_relay(worker_index))
--- a/src/coordination/start_conditions.rs
+++ b/src/coordination/start_conditions.rs
@@ -87,7 +87,7 @@
             + UNRESPONSIVE_MARGIN_S
     }
 
-    /// Whether a worker has sent nothing for longer than the latest heartbeat takes.
+    /// Whether a worker has sent nothing for longer than [`Core::unresponsive_after_s`].
     pub(super) fn is_unresponsive(&self, worker_index: u32) -> bool {
         self.workers[worker_index]
             .last_heartbeat_at
--- a/src/coordination/state/mod.rs
+++ b/src/coordination/state/mod.rs
@@ -24,9 +24,9 @@
 /// Interval of placement batches: tasks that arrive within it are placed together.
 pub const BATCH_INTERVAL_S: f64 = 0.2;
 
-/// A task is not moved within this time of its start if that can be avoided, because a start counts
-/// towards the objectives only if the task then runs for half a minute.
-pub(super) const MIN_RUN_BEFORE_MOVE_S: f64 = 35.0;
+/// A task is not migrated within this time of its start if that can be avoided, because a start
+/// counts towards the objectives only if the task then runs for half a minute.
+pub(super) const MIN_RUN_BEFORE_MIGRATION_S: f64 = 35.0;
 
 /// The settings of the core.
 pub struct Config {
--- a/src/coordination/worker_table.rs
+++ b/src/coordination/worker_table.rs
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Records that the cloud has released this worker.
+    /// Records that this worker was scaled in.
     pub(super) fn record_scaled_in(&mut self, name: &str) {
         self.scaled_in.insert(name.to_string());
     }
 
-    /// Whether the cloud has released this worker.
+    /// Whether this worker was scaled in.
     pub(super) fn is_scaled_in(&self, name: &str) -> bool {
         self.scaled_in.contains(name)
     }
