--- a/crates/admin/src/cli.rs
+++ b/crates/admin/src/cli.rs
@@ -200,8 +200,8 @@
     }
 }
 
-/// Drains a node. If tasks of a protected class would be affected, asks the operator for confirmation
-/// and repeats the request.
+/// Drains a node. If tasks of a protected class would be affected, asks the operator for
+/// confirmation and repeats the request.
 async fn drain(
     client: &Client,
     node: &str,
--- a/crates/admin/src/client.rs
+++ b/crates/admin/src/client.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Returns the migrations in progress, the last ones that ended, and the jobs that wait for whole
-    /// workers.
+    /// Returns the migrations in progress, the last ones that ended, and the jobs that wait for
+    /// whole workers.
     ///
     /// # Errors
     /// See [`ClientError`].
@@ -114,12 +114,12 @@
         self.request(Method::GET, "/operator/moves", &()).await
     }
 
-    /// Drains a node. Returns the node after the drain is stored. Repeating the request has no further
-    /// effect.
+    /// Drains a node. Returns the node after the drain is stored. Repeating the request has no
+    /// further effect.
     ///
     /// # Errors
-    /// [`ClientError::ConfirmationRequired`] if tasks of a protected class would be affected and the
-    /// request does not confirm it. Otherwise see [`ClientError`].
+    /// [`ClientError::ConfirmationRequired`] if tasks of a protected class would be affected and
+    /// the request does not confirm it. Otherwise see [`ClientError`].
     pub async fn drain(&self, node: &str, request: &DrainRequest) -> Result<Node, ClientError> {
         let path = node_path(node, "drain")?;
         self.request(Method::POST, &path, request).await
--- a/crates/admin/src/table.rs
+++ b/crates/admin/src/table.rs
@@ -40,8 +40,8 @@
     table.trim_fmt()
 }
 
-/// Returns a table with one row for each controller: the number of nodes whose heartbeats it answers,
-/// how many of them are ready, and the number of their tasks.
+/// Returns a table with one row for each controller: the number of nodes whose heartbeats it
+/// answers, how many of them are ready, and the number of their tasks.
 pub fn by_shard_owner(nodes: &[Node]) -> String {
     let mut totals_by_owner: BTreeMap<&str, ShardTotals> = BTreeMap::new();
     for node in nodes {
--- a/crates/admin/src/views.rs
+++ b/crates/admin/src/views.rs
@@ -101,8 +101,8 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct DrainOrder")]
 pub struct DrainRequest {
-    /// The time after which the remaining tasks are stopped with their grace period. `None` lets them
-    /// complete.
+    /// The time after which the remaining tasks are stopped with their grace period. `None` lets
+    /// them complete.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Confirms the drain of a node that runs tasks of a protected class.
--- a/crates/admin/tests/command_line.rs
+++ b/crates/admin/tests/command_line.rs
@@ -1,9 +1,10 @@
-//! Tests that renaming a field or variant does not rename a published flag or subcommand: clap derives
-//! their names from the source by default.
+//! Tests that renaming a field or variant does not rename a published flag or subcommand: clap
+//! derives their names from the source by default.
 
 use clap::{Command, Subcommand};
 
-/// Returns each subcommand with its arguments as they are typed. Positional arguments are in capitals.
+/// Returns each subcommand with its arguments as they are typed. Positional arguments are in
+/// capitals.
 fn subcommands_with_arguments() -> Vec<String> {
     let command = copperfield_admin::cli::Command::augment_subcommands(Command::new("copperfield"));
     command
--- a/crates/admin/tests/pinned_bytes.rs
+++ b/crates/admin/tests/pinned_bytes.rs
@@ -1,5 +1,5 @@
-//! Tests that the operators' JSON and tables are the same as those of an earlier build, which are kept
-//! in `tests/pinned`. The files are never regenerated, because a difference is a change of the
+//! Tests that the operators' JSON and tables are the same as those of an earlier build, which are
+//! kept in `tests/pinned`. The files are never regenerated, because a difference is a change of the
 //! interface.
 
 use std::path::PathBuf;
--- a/crates/http/benches/held.rs
+++ b/crates/http/benches/held.rs
@@ -39,8 +39,8 @@
 
 /// Returns the bytes of each connection that were allocated beyond `baseline`.
 fn bytes_per_connection(baseline: isize) -> isize {
-    // Wait until the server has freed the buffers of the last requests. It frees a buffer only after
-    // the client may already have read the response.
+    // Wait until the server has freed the buffers of the last requests. It frees a buffer only
+    // after the client may already have read the response.
     std::thread::sleep(Duration::from_millis(200));
     (ALLOCATED.load(Ordering::Relaxed) - baseline) / CONNECTIONS as isize
 }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,5 +1,5 @@
-//! The client: a pool of idle connections for each address. An idle connection holds a socket and no
-//! buffer.
+//! The client: a pool of idle connections for each address. An idle connection holds a socket and
+//! no buffer.
 
 use std::collections::HashMap;
 use std::future::poll_fn;
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -69,8 +69,8 @@
     pub length: usize,
 }
 
-/// Parses the head of a request at the start of `bytes`. Returns `None` if `bytes` does not contain all of
-/// it yet.
+/// Parses the head of a request at the start of `bytes`. Returns `None` if `bytes` does not contain
+/// all of it yet.
 ///
 /// # Errors
 /// Returns an error if the head is malformed or the framing of its body is ambiguous.
@@ -94,8 +94,8 @@
     }))
 }
 
-/// Parses the head of a response at the start of `bytes`. Returns `None` if `bytes` does not contain all of
-/// it yet.
+/// Parses the head of a response at the start of `bytes`. Returns `None` if `bytes` does not
+/// contain all of it yet.
 ///
 /// # Errors
 /// Returns an error if the head is malformed or the framing of its body is ambiguous.
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -37,8 +37,8 @@
     pub idle_timeout: Duration,
     /// The timeout for reading and handling a request, and again for sending its response.
     pub request_timeout: Duration,
-    /// The maximum size of a body in bytes. A longer body is not read: the handler gets the head with
-    /// an empty body.
+    /// The maximum size of a body in bytes. A longer body is not read: the handler gets the head
+    /// with an empty body.
     pub max_body: u64,
     /// If less than one in this many connections is free, the connections of users are closed after
     /// a response. Otherwise idle connections of users could block workers for a whole lease.
@@ -130,8 +130,9 @@
         }
     }
 
-    /// Waits without a buffer for the first bytes of a request. The socket may be reported as readable
-    /// although it has no data: when it is new, or when the last read filled its buffer exactly.
+    /// Waits without a buffer for the first bytes of a request. The socket may be reported as
+    /// readable although it has no data: when it is new, or when the last read filled its buffer
+    /// exactly.
     async fn read_first_bytes(&mut self) -> io::Result<usize> {
         loop {
             self.stream.readable().await?;
@@ -147,9 +148,9 @@
         }
     }
 
-    /// Discards further data for a bounded time and then closes the connection. If a socket is closed
-    /// with unread bytes, the connection is reset, and a client that is still sending may lose the
-    /// response.
+    /// Discards further data for a bounded time and then closes the connection. If a socket is
+    /// closed with unread bytes, the connection is reset, and a client that is still sending may
+    /// lose the response.
     async fn linger(&mut self) -> io::Result<()> {
         self.stream.shutdown().await?;
         let until_end = skip(&mut self.stream, usize::MAX);
@@ -254,15 +255,16 @@
     }
 
     /// Whether a connection of this class may stay open for further requests. If no connection is
-    /// free, connections of workers are closed too, because a worker without one would wait for longer
-    /// than a lease.
+    /// free, connections of workers are closed too, because a worker without one would wait for
+    /// longer than a lease.
     fn may_keep_alive(&self, client_class: ClientClass) -> bool {
         let free = self.permits.available_permits();
         let is_reserve_used = free < self.max_connections / self.config.reserved_fraction;
         free > 0 && !(client_class == ClientClass::User && is_reserve_used)
     }
 
-    /// Reads the rest of the body and calls the handler. `bytes` is what was received after the head.
+    /// Reads the rest of the body and calls the handler. `bytes` is what was received after the
+    /// head.
     async fn handle(
         &mut self,
         head: RequestHead,
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -143,9 +143,9 @@
     }
 }
 
-/// Many users send large bodies at the same time as workers send heartbeats and other clients stall.
-/// The memory in use must stay within the limit, excess requests of users must be refused, all
-/// workers must be served, and the memory must be free again afterwards.
+/// Many users send large bodies at the same time as workers send heartbeats and other clients
+/// stall. The memory in use must stay within the limit, excess requests of users must be refused,
+/// all workers must be served, and the memory must be free again afterwards.
 #[tokio::test]
 async fn excess_requests_of_users_are_refused_and_workers_are_served() {
     let memory_budget = MemoryBudget::new(2 << 20);
@@ -203,8 +203,8 @@
     assert_eq!(reply.expect("answered").status, 200);
 }
 
-/// Guards against a server that reads the body before it refuses a request: a client that stalled in
-/// the body got no response at all. The refusal must come at once. The body is skipped when it
+/// Guards against a server that reads the body before it refuses a request: a client that stalled
+/// in the body got no response at all. The refusal must come at once. The body is skipped when it
 /// arrives, and a request that is sent together with its last bytes is served.
 #[tokio::test]
 async fn a_refusal_does_not_wait_for_the_body() {
@@ -231,8 +231,8 @@
     assert!(answer.starts_with("HTTP/1.1 200 OK"), "{answer}");
 }
 
-/// Guards against a lost response: if the server closes the socket while the client is still sending,
-/// the connection is reset, and the client cannot read the response.
+/// Guards against a lost response: if the server closes the socket while the client is still
+/// sending, the connection is reset, and the client cannot read the response.
 #[tokio::test]
 async fn a_client_that_is_still_sending_gets_its_response() {
     let address = start_server(MemoryBudget::new(4 << 20)).await;
@@ -305,9 +305,9 @@
     }
 }
 
-/// Guards against requests on a pooled connection that the server has closed while it was idle. Such
-/// a request must use a new connection. If no connection can be established, the error must say that
-/// the request was not sent.
+/// Guards against requests on a pooled connection that the server has closed while it was idle.
+/// Such a request must use a new connection. If no connection can be established, the error must
+/// say that the request was not sent.
 #[tokio::test]
 async fn a_connection_closed_while_idle_is_not_reused() {
     let (address, pool) = (start_server(MemoryBudget::new(1 << 20)).await, pool());
@@ -325,8 +325,8 @@
 }
 
 /// There are more workers than connections, and each worker sends a heartbeat every 50 ms on a
-/// connection that it keeps open. Guards against workers without a connection that wait until another
-/// connection has been idle for `idle_timeout`, which is longer than a lease.
+/// connection that it keeps open. Guards against workers without a connection that wait until
+/// another connection has been idle for `idle_timeout`, which is longer than a lease.
 #[tokio::test]
 async fn all_workers_are_served_if_there_are_more_workers_than_connections() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
--- a/crates/http/tests/head.rs
+++ b/crates/http/tests/head.rs
@@ -26,8 +26,8 @@
 }
 
 proptest! {
-    /// Arbitrary bytes must not cause a panic. A head must be found whatever bytes follow it, and an
-    /// incomplete head must be reported as incomplete wherever it is cut.
+    /// Arbitrary bytes must not cause a panic. A head must be found whatever bytes follow it, and
+    /// an incomplete head must be reported as incomplete wherever it is cut.
     #[test]
     fn arbitrary_bytes_are_parsed_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = (parse_request(&bytes), parse_response(&bytes));
--- a/crates/http/tests/memory_budget.rs
+++ b/crates/http/tests/memory_budget.rs
@@ -4,9 +4,9 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// The bytes in use must never exceed the limit. A request may be refused only if it would exceed
-    /// the limit for its class: users leave a quarter of the budget to workers. After all reservations
-    /// are dropped, no bytes may be in use.
+    /// The bytes in use must never exceed the limit. A request may be refused only if it would
+    /// exceed the limit for its class: users leave a quarter of the budget to workers. After all
+    /// reservations are dropped, no bytes may be in use.
     #[test]
     fn used_bytes_stay_within_the_limit_and_return_to_zero(
         limit in 64usize * 1024..64 * 1024 * 1024,
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -26,7 +26,7 @@
     pub cache_gb: f64,
     /// The rate at which images are fetched, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// The price of an on-demand worker, in the cloud's currency.
+    /// The price of a worker that is not a spot worker, in the cloud's currency.
     pub price: f64,
     /// The price of a spot worker, in the cloud's currency.
     pub spot_price: f64,
@@ -131,8 +131,8 @@
     serde_json::from_slice(body)
 }
 
-/// Returns the body of a request for `count` more workers. The cloud executes requests with
-/// the same `request_name` only once.
+/// Returns the body of a request for `count` more workers. The cloud executes requests with the same
+/// `request_name` only once.
 pub fn scale_out_body(
     request_name: &str,
     machine_type: &str,
--- a/crates/protocol/src/id.rs
+++ b/crates/protocol/src/id.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Parses the identifier of a task, such as `wk-000412/3`, into the job and the task's index in it.
+/// Parses the identifier of a task, such as `wk-000412/3`, into the job and the task number.
 pub fn parse_task(text: &str) -> Option<(JobId, u32)> {
     let (job, task) = text.split_once('/')?;
     Some((JobId::parse(job)?, task.parse().ok()?))
--- a/crates/protocol/src/job/fields.rs
+++ b/crates/protocol/src/job/fields.rs
@@ -51,9 +51,9 @@
 
 /// The fields of a job's description. A `null` counts as omitted.
 ///
-/// The `*_or_*` methods read fields that are required in a submission but may be missing in a stored
-/// record, because an earlier version may have written it. They return a default for a missing
-/// field, and [`Fields::first_omitted`] returns the error for the first one.
+/// The `*_or_*` methods read fields that are required in a submission but may be missing in a
+/// stored record, because an earlier version may have written it. They return a default for a
+/// missing field, and [`Fields::first_omitted`] returns the error for the first one.
 pub(super) struct Fields<'a> {
     map: &'a Map<String, Value>,
     first_omitted: RefCell<Option<InvalidField>>,
--- a/crates/protocol/src/job/resources.rs
+++ b/crates/protocol/src/job/resources.rs
@@ -3,8 +3,8 @@
 /// Amounts are stored in thousandths of a CPU, a GPU or a GB.
 const UNITS_PER_WHOLE: f64 = 1000.0;
 
-/// Amounts of resources in integer thousandths, so that additions and subtractions cause no rounding
-/// errors.
+/// Amounts of resources in integer thousandths, so that additions and subtractions cause no
+/// rounding errors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -62,13 +62,13 @@
             .max(share(self.memory, capacity.memory))
     }
 
-    /// The number of CPUs.
-    pub fn whole_cpus(&self) -> f64 {
+    /// The number of CPUs, which may be a fraction.
+    pub fn fractional_cpus(&self) -> f64 {
         self.cpus as f64 / UNITS_PER_WHOLE
     }
 
-    /// The number of GPUs.
-    pub fn whole_gpus(&self) -> f64 {
+    /// The number of GPUs, which may be a fraction.
+    pub fn fractional_gpus(&self) -> f64 {
         self.gpus as f64 / UNITS_PER_WHOLE
     }
 
--- a/crates/protocol/src/job/spec.rs
+++ b/crates/protocol/src/job/spec.rs
@@ -66,8 +66,8 @@
 impl JobSpec {
     /// Parses a submission.
     ///
-    /// Only fields that may be null may be omitted. Other fields have no default, because a user who
-    /// leaves one out has not chosen that value.
+    /// Only fields that may be null may be omitted. Other fields have no default, because a user
+    /// who leaves one out has not chosen that value.
     ///
     /// # Errors
     /// Returns an error for one field that is missing or has an invalid value.
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Parses a stored job. It may have been stored by an earlier version that required fewer fields.
+    /// Parses a stored job. It may have been stored by an earlier version that required fewer
+    /// fields.
     ///
     /// # Errors
     /// Returns an error for the first field with an invalid value.
@@ -136,8 +137,8 @@
             "shape": self.kind.as_str(),
             "rank": self.priority.as_str(),
             "shards": self.tasks,
-            "cpus": self.needs.whole_cpus(),
-            "gpus": self.needs.whole_gpus(),
+            "cpus": self.needs.fractional_cpus(),
+            "gpus": self.needs.fractional_gpus(),
             "memory_gb": self.needs.memory_gb(),
             "flavors": self.machine_types,
             "region": self.zone,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! Wire types and their validation: the messages that copperfield exchanges with users, workers, the
-//! cloud and the state service, and those between its controllers.
+//! Wire types and their validation: the messages that copperfield exchanges with users, workers,
+//! the cloud and the state service, and those between its controllers.
 //!
 //! Field names that are fixed by other parties appear only in this crate. The rest of the program
 //! uses the names of the types defined here (job, task, gang, worker, lease, fencing token).
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -18,8 +18,8 @@
     LookUpJobs(Vec<JobId>),
     /// Asks the leader to cancel a job. Answered by [`PeerReply::Cancelled`].
     CancelJob(JobId),
-    /// Asks the receiver to send a request to the state service on behalf of the sender, whose own
-    /// requests the state service refuses. Answered by [`PeerReply::State`].
+    /// Asks the receiver to relay a request to the state service, because the service does not
+    /// answer the sender. Answered by [`PeerReply::State`].
     State {
         /// The HTTP method.
         method: String,
@@ -39,8 +39,8 @@
     Ping,
     /// Passes an operator's request to the leader. Answered by [`PeerReply::AdminResponse`].
     Admin(AdminRequest),
-    /// Asks the receiver to confirm that it is not the leader. After it has confirmed, it acts on no
-    /// vote that was granted earlier. Answered by [`PeerReply::NotLeading`].
+    /// Asks the receiver to confirm that it is not the leader. After it has confirmed, it acts on
+    /// no vote that was granted earlier. Answered by [`PeerReply::NotLeading`].
     ConfirmNoLeader,
     /// Sends a shard owner's status to the leader. Answered by [`PeerReply::ShardUpdate`].
     ShardStatus(ShardStatus),
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -20,7 +20,7 @@
     /// The body is not the JSON of a heartbeat.
     #[error("malformed report: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The identifier of a task is not a job's identifier and an index.
+    /// The identifier of a task is not a job's identifier and a task number.
     #[error("shard: bad id {0:?}")]
     TaskId(String),
     /// The phase of a task is unknown.
@@ -69,7 +69,7 @@
 pub struct TaskStatus {
     /// The job of the task.
     pub job: JobId,
-    /// The index of the task in its job.
+    /// The number of the task in its job.
     pub task: u32,
     /// The attempt, which distinguishes this instance from other instances of the task.
     pub attempt: u64,
@@ -256,7 +256,7 @@
     pub verb: Verb,
     /// The job of the task.
     pub job: JobId,
-    /// The index of the task in its job.
+    /// The number of the task in its job.
     pub task: u32,
     /// The attempt, which distinguishes this instance from other instances of the task.
     pub attempt: u64,
@@ -299,8 +299,8 @@
     commands: Vec<WireCommand>,
 }
 
-/// Returns the JSON body with commands to a worker under the leader's fencing token. The answer to a
-/// heartbeat has no `incarnation`. A direct message names the incarnation of the worker for which
+/// Returns the JSON body with commands to a worker under the leader's fencing token. The answer to
+/// a heartbeat has no `incarnation`. A direct message names the incarnation of the worker for which
 /// it is meant.
 pub fn commands_body(token: u64, incarnation: Option<u64>, commands: &[Command]) -> Vec<u8> {
     let body = WireCommands {
--- a/crates/protocol/tests/pinned_bytes.rs
+++ b/crates/protocol/tests/pinned_bytes.rs
@@ -1,6 +1,6 @@
-//! Tests that this build reads and writes the same bytes as an earlier build, whose messages are kept
-//! in `tests/pinned`. The files are never regenerated, because a difference is a change of the wire
-//! format.
+//! Tests that this build reads and writes the same bytes as an earlier build, whose messages are
+//! kept in `tests/pinned`. The files are never regenerated, because a difference is a change of the
+//! wire format.
 
 use std::path::PathBuf;
 
@@ -49,9 +49,9 @@
     assert_eq!(expected.len(), written.len(), "{file}: number of lines");
 }
 
-/// Asserts that each value encodes to its line and that each line decodes and encodes to itself. For
-/// an enum with `variants` variants, also asserts that the file contains each variant and that a
-/// higher variant is rejected.
+/// Asserts that each value encodes to its line and that each line decodes and encodes to itself.
+/// For an enum with `variants` variants, also asserts that the file contains each variant and that
+/// a higher variant is rejected.
 fn assert_encoding<T: BorshSerialize + BorshDeserialize>(file: &str, variants: u8, values: &[T]) {
     let written: Vec<String> = values
         .iter()
--- a/crates/protocol/tests/submission.rs
+++ b/crates/protocol/tests/submission.rs
@@ -1,5 +1,5 @@
-//! Tests of the validation of submissions. An error is one line that names the field, the value that
-//! was found and the allowed values.
+//! Tests of the validation of submissions. An error is one line that names the field, the value
+//! that was found and the allowed values.
 
 use copperfield_protocol::job::JobSpec;
 use serde_json::{Value, json};
@@ -13,8 +13,8 @@
 
 const NAME: &str = "a string of 1 to 200 bytes";
 
-/// Returns for each field its name, some invalid values, the allowed values as the error gives them,
-/// and whether it may be omitted.
+/// Returns for each field its name, some invalid values, the allowed values as the error gives
+/// them, and whether it may be omitted.
 fn fields() -> Vec<(&'static str, Vec<Value>, &'static str, bool)> {
     let long = "x".repeat(201);
     let names = || vec![json!(""), json!(7), json!(long), json!(["a"])];
@@ -132,8 +132,8 @@
     assert_eq!(JobSpec::from_json(&spec.to_json()), Ok(spec));
 }
 
-/// A job that an earlier version accepted must not be lost because it lacks fields that this version
-/// requires.
+/// A job that an earlier version accepted must not be lost because it lacks fields that this
+/// version requires.
 #[test]
 fn a_stored_job_without_a_required_field_is_read() {
     let mut body = sample();
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -82,8 +82,8 @@
             Kind::Gang | Kind::Service => f64::from(spec.tasks),
         };
         for (resource, need, limit) in [
-            ("cpus", spec.needs.whole_cpus(), team.cpus_max),
-            ("gpus", spec.needs.whole_gpus(), team.gpus_max),
+            ("cpus", spec.needs.fractional_cpus(), team.cpus_max),
+            ("gpus", spec.needs.fractional_gpus(), team.gpus_max),
         ] {
             if limit > 0.0 && need * concurrent_tasks > limit + LIMIT_TOLERANCE {
                 return Err(Unschedulable::OverTeamLimit { resource, limit });
