--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -82,7 +82,7 @@
     }
 
     /// Stops the tasks on a worker that will be reclaimed if they can save a checkpoint, gangs as a
-    /// whole. Tasks that cannot save one run on, as they may finish before the reclaim.
+    /// whole. Tasks that cannot save one keep running, as they may finish before the reclaim.
     pub(super) fn checkpoint_before_reclaim(&mut self, worker_index: u32) {
         let ids: Vec<InstanceId> = self.workers[worker_index]
             .instances
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -12,7 +12,7 @@
 
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
-/// The planner's input, and the workers and instances that its indices stand for.
+/// The planner's input, and the workers and instances that its indices refer to.
 #[derive(Default)]
 pub(super) struct ClusterView {
     pub(super) fleet: defrag::Fleet,
--- a/src/coordination/provisioning/quarantine.rs
+++ b/src/coordination/provisioning/quarantine.rs
@@ -69,7 +69,7 @@
     }
 
     /// Marks a job as known to be good once a task has run well, and quarantines the workers on
-    /// which it failed lately. Failures of other jobs never quarantine a worker: several faulty
+    /// which it failed recently. Failures of other jobs never quarantine a worker: several faulty
     /// jobs on their first attempts look like several good jobs on a faulty worker, and new workers
     /// that have run nothing else would be quarantined.
     pub(crate) fn mark_job_known_good(&mut self, job_index: u32) {
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -366,7 +366,7 @@
 
     /// Returns whether workers of the pool may be requested for the job: it must allow spot workers
     /// if the pool has them, and the pool must not have lacked capacity or refused a request
-    /// lately.
+    /// recently.
     fn may_request(&self, job: &Job, pool: CapacityPool) -> bool {
         let avoided_until = &self.provisioning.avoided_until;
         (!pool.spot || job.spec.spot) && !avoided_until.contains_key(&pool)
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -132,7 +132,7 @@
     }
 
     /// Applies the results of the starts in an executed message whose answer was overtaken by a
-    /// newer heartbeat. The newer heartbeat alone does not tell what became of these starts.
+    /// newer heartbeat. The newer heartbeat alone does not show what happened to these starts.
     fn resolve_executed_starts(
         &mut self,
         worker_index: u32,
--- a/src/coordination/reconciliation/heartbeats.rs
+++ b/src/coordination/reconciliation/heartbeats.rs
@@ -35,7 +35,7 @@
     pub(crate) fn handle_heartbeat(&mut self, ticket: u64, heartbeat: Heartbeat) {
         let worker_index = match self.worker_of(&heartbeat) {
             Ok(worker_index) => worker_index,
-            Err(why) => return self.refuse(ticket, &heartbeat, why),
+            Err(reason) => return self.refuse(ticket, &heartbeat, reason),
         };
         let is_repeat =
             HeartbeatSequence::of(&heartbeat) == self.workers[worker_index].newest_receipt.sequence;
@@ -48,13 +48,11 @@
     }
 
     /// Refuses a heartbeat. The refusal does not renew the worker's lease.
-    fn refuse(&mut self, ticket: u64, heartbeat: &Heartbeat, why: HeartbeatRefusal) {
+    fn refuse(&mut self, ticket: u64, heartbeat: &Heartbeat, reason: HeartbeatRefusal) {
         let log = &mut self.reconciliation.lease_log;
-        log.record_refusal(self.now, &heartbeat.worker, why);
-        self.effects.push(Effect::RefuseHeartbeat {
-            ticket,
-            reason: why,
-        });
+        log.record_refusal(self.now, &heartbeat.worker, reason);
+        self.effects
+            .push(Effect::RefuseHeartbeat { ticket, reason });
     }
 
     /// Whether a newer heartbeat of the worker has been received, or the same one by another
@@ -85,7 +83,7 @@
     pub(crate) fn answer_heartbeat(&mut self, ticket: u64, heartbeat: Heartbeat) {
         let worker_index = match self.worker_of(&heartbeat) {
             Ok(worker_index) => worker_index,
-            Err(why) => return self.refuse(ticket, &heartbeat, why),
+            Err(reason) => return self.refuse(ticket, &heartbeat, reason),
         };
         let Some(heartbeat) = self.defer_if_fenced(worker_index, ticket, heartbeat) else {
             return;
--- a/src/coordination/reconciliation/lease_log.rs
+++ b/src/coordination/reconciliation/lease_log.rs
@@ -113,10 +113,10 @@
     }
 
     /// Records a refused heartbeat.
-    pub(super) fn record_refusal(&mut self, now: Time, worker: &str, why: HeartbeatRefusal) {
+    pub(super) fn record_refusal(&mut self, now: Time, worker: &str, reason: HeartbeatRefusal) {
         self.totals.refused += 1;
         if self.admit_line(now) {
-            tracing::debug!(worker, reason = %why, "heartbeat refused");
+            tracing::debug!(worker, reason = %reason, "heartbeat refused");
         }
     }
 
