--- a/crates/heartbeat-forwarder/src/buffer.rs
+++ b/crates/heartbeat-forwarder/src/buffer.rs
@@ -41,11 +41,11 @@
 }
 
 impl BufferedHeartbeat {
-    fn to_forwarded(&self, now: u64, waits: bool) -> ForwardedHeartbeat {
+    fn to_forwarded(&self, now: u64, awaits_reply: bool) -> ForwardedHeartbeat {
         ForwardedHeartbeat {
             heartbeat: self.heartbeat.clone(),
             age_ms: now - self.received_at,
-            waits,
+            awaits_reply,
         }
     }
 }
@@ -195,17 +195,17 @@
         budget: &mut StatusBudget,
     ) -> Vec<ForwardedHeartbeat> {
         let mut forwarded = Vec::new();
-        for waits in [true, false] {
+        for awaits_reply in [true, false] {
             let buffered = self.by_worker.values_mut();
-            for buffered in buffered.filter(|b| b.ticket.is_some() == waits) {
-                if buffered.forwarded_in.is_some() && !waits {
+            for buffered in buffered.filter(|b| b.ticket.is_some() == awaits_reply) {
+                if buffered.forwarded_in.is_some() && !awaits_reply {
                     continue;
                 }
                 if !budget.reserve_heartbeat(&buffered.heartbeat) {
                     break;
                 }
                 buffered.forwarded_in = Some(status_number);
-                forwarded.push(buffered.to_forwarded(now, waits));
+                forwarded.push(buffered.to_forwarded(now, awaits_reply));
             }
         }
         forwarded
--- a/crates/heartbeat-forwarder/tests/forwarding.rs
+++ b/crates/heartbeat-forwarder/tests/forwarding.rs
@@ -2,7 +2,7 @@
 //! it sends again after a loss.
 
 use copperfield_heartbeat_forwarder::{Action, HeartbeatForwarder, LeaseValidity};
-use copperfield_protocol::peer::{Outcome, ShardStatus, ShardUpdate};
+use copperfield_protocol::peer::{CommandOutcome, ShardStatus, ShardUpdate};
 use copperfield_protocol::worker::Heartbeat;
 use copperfield_sharding::{ShardChange, ShardLease};
 
@@ -136,21 +136,21 @@
 #[test]
 fn the_content_of_a_lost_status_is_sent_again() {
     let mut forwarder = forwarder_owning_worker();
-    forwarder.record_outcome(40, Outcome::Unsent);
+    forwarder.record_outcome(40, CommandOutcome::Unsent);
     forwarder.handle_heartbeat(1100, 31, heartbeat(2));
     let lost = forwarder.next_status(1300).expect("due");
-    assert_eq!(lost.outcomes, [(40, Outcome::Unsent)]);
+    assert_eq!(lost.outcomes, [(40, CommandOutcome::Unsent)]);
     assert_eq!(lost.forwarded.len(), 1);
     assert!(
         forwarder.next_status(1400).is_none(),
         "one status in flight at a time"
     );
-    forwarder.record_outcome(41, Outcome::Unknown);
+    forwarder.record_outcome(41, CommandOutcome::Unknown);
     forwarder.handle_lost_status(lost.owner_status.number);
     let next = forwarder.next_status(1400).expect("due");
     assert_eq!(
         next.outcomes,
-        [(40, Outcome::Unsent), (41, Outcome::Unknown)]
+        [(40, CommandOutcome::Unsent), (41, CommandOutcome::Unknown)]
     );
     assert_eq!(next.forwarded.len(), 1);
     assert_eq!(next.forwarded[0].age_ms, 300);
@@ -159,10 +159,10 @@
 #[test]
 fn a_new_leader_receives_the_buffered_heartbeats_and_no_old_outcomes() {
     let mut forwarder = forwarder_owning_worker();
-    forwarder.record_outcome(40, Outcome::Unsent);
+    forwarder.record_outcome(40, CommandOutcome::Unsent);
     forwarder.handle_new_leader();
     let status = forwarder.next_status(1300).expect("due");
     assert_eq!(status.outcomes, []);
     assert_eq!(status.forwarded.len(), 1);
-    assert!(!status.forwarded[0].waits);
+    assert!(!status.forwarded[0].awaits_reply);
 }
--- a/crates/simulation/src/loopback.rs
+++ b/crates/simulation/src/loopback.rs
@@ -9,10 +9,10 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use copperfield::protocol::MAX_BODY;
-use copperfield::transport::client::{Answer, HttpClient, Network};
+use copperfield::protocol::MAX_BODY_BYTES;
+use copperfield::transport::client::{HttpClient, HttpResponse, Network};
 use copperfield::transport::server::{ApiRequest, ApiResponse, bind, serve};
-use copperfield_http::Meter;
+use copperfield_http::MemoryBudget;
 use hyper::Method;
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -135,8 +135,8 @@
             bind(self.cloud_address).await?,
         );
         tokio::select! {
-            result = serve(state, MAX_CONNECTIONS, MAX_BODY, Meter::new(MAX_REQUEST_BYTES), move |r| for_state.clone().answer_state(r)) => result,
-            result = serve(cloud, MAX_CONNECTIONS, MAX_BODY, Meter::new(MAX_REQUEST_BYTES), move |r| for_cloud.clone().answer_cloud(r)) => result,
+            result = serve(state, MAX_CONNECTIONS, MAX_BODY_BYTES, MemoryBudget::new(MAX_REQUEST_BYTES), move |r| for_state.clone().answer_state(r)) => result,
+            result = serve(cloud, MAX_CONNECTIONS, MAX_BODY_BYTES, MemoryBudget::new(MAX_REQUEST_BYTES), move |r| for_cloud.clone().answer_cloud(r)) => result,
             () = self.run_workers() => Ok(()),
         }
     }
@@ -228,7 +228,7 @@
         to: SocketAddr,
         path: &str,
         body: &Value,
-    ) -> Option<Answer> {
+    ) -> Option<HttpResponse> {
         let body = match body {
             Value::Null => Vec::new(),
             body => body.to_string().into_bytes(),
@@ -338,8 +338,8 @@
                     serve(
                         bind(address).await?,
                         MAX_CONNECTIONS,
-                        MAX_BODY,
-                        Meter::new(MAX_REQUEST_BYTES),
+                        MAX_BODY_BYTES,
+                        MemoryBudget::new(MAX_REQUEST_BYTES),
                         answer,
                     )
                     .await
@@ -364,7 +364,7 @@
         name: &str,
         node: usize,
         sent_at: f64,
-        answer: Option<Answer>,
+        answer: Option<HttpResponse>,
     ) -> usize {
         let other = (node + 1) % CONTROLLERS;
         let Some(answer) = answer else { return other };
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -99,7 +99,7 @@
         id: JobId,
         reason: Unschedulable,
     ) -> Result<ApiResponse, ApiError> {
-        match self.context.store.outcome(id).await {
+        match self.context.store.job_outcome(id).await {
             Ok(None) => Err(reason.into()),
             Ok(Some(outcome)) => Ok(outcome_response(id, outcome)),
             Err(_) => Err(ApiError::StateServiceUnavailable),
@@ -161,10 +161,10 @@
     let zone = spec.zone.as_ref();
     types.is_none_or(|types| types.contains(&machine_type.name))
         && zone.is_none_or(|zone| machine_type.zones.contains(zone))
-        && spec.needs.fits_in(&machine_type.whole)
+        && spec.needs.fits_in(&machine_type.capacity)
 }
 
 fn accepted_response(id: JobId) -> ApiResponse {
-    let body = json!({"uid": id.to_string(), "phase": Phase::Pending.spelling()});
+    let body = json!({"uid": id.to_string(), "phase": Phase::Pending.as_str()});
     ApiResponse::json(201, &body)
 }
--- a/tests/cancelled_tasks.rs
+++ b/tests/cancelled_tasks.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use copperfield::coordination::core::{Core, Effect, Input, Outcome};
+use copperfield::coordination::core::{CommandOutcome, Core, Effect, Input};
 use copperfield::protocol::JobId;
 use copperfield::protocol::job::{JobOutcome, Phase};
 use copperfield::protocol::worker::{Heartbeat, TaskPhase, TaskStatus};
@@ -140,15 +140,15 @@
             }
             if self.now - in_flight_since >= PROBE_TIMEOUT_S {
                 self.end_message(|commands| match commands {
-                    true => Outcome::Unknown,
-                    false => Outcome::Unsent,
+                    true => CommandOutcome::Unknown,
+                    false => CommandOutcome::Unsent,
                 });
             }
         }
     }
 
     /// Ends the direct message in flight with this outcome.
-    fn end_message(&mut self, outcome: impl Fn(bool) -> Outcome) {
+    fn end_message(&mut self, outcome: impl Fn(bool) -> CommandOutcome) {
         if let Some((message_id, commands)) = self.message.take() {
             self.inputs.push(Input::DirectMessageEnded {
                 worker: WORKER.into(),
@@ -249,7 +249,7 @@
     let mut leader = Leader::elected();
     leader.cancel_while_unreachable(of);
     leader.await_message();
-    leader.end_message(|_| Outcome::Executed(of.heartbeat(21, TOKEN)));
+    leader.end_message(|_| CommandOutcome::Executed(of.heartbeat(21, TOKEN)));
     leader.receive(of.heartbeat(20, TOKEN - 1));
     leader.step();
     leader.answers.pop().expect("the heartbeat is answered")
@@ -268,7 +268,7 @@
     leader.step();
     assert!(leader.answers.is_empty(), "the worker is fenced");
     leader.await_message();
-    leader.end_message(|_| Outcome::Executed(of.heartbeat(21, TOKEN)));
+    leader.end_message(|_| CommandOutcome::Executed(of.heartbeat(21, TOKEN)));
     leader.step();
     leader.acknowledge_writes = true;
     leader.step();
@@ -300,24 +300,31 @@
 /// end. Returns the violated rules.
 fn simulate_incident(seed: u64, unreachable_s: f64, extra: ExtraFaults) -> Vec<String> {
     simulate(async move {
-        let world = long_lease_site(seed);
-        tokio::spawn(workers(world.clone()));
+        let cluster = start_long_lease_cluster(seed);
+        tokio::spawn(simulate_workers(cluster.clone()));
         for i in 1..=JOBS {
             let id = format!("wk-{i:06}");
             let body = job(i, "sweep", 4, json!({"cpus": 1.0, "pull_gb": 0.1}));
-            tokio::spawn(user(world.clone(), id.clone(), body, 1e6, 1.0, None));
-            let world = world.clone();
+            tokio::spawn(simulate_user(
+                cluster.clone(),
+                id.clone(),
+                body,
+                1e6,
+                1.0,
+                None,
+            ));
+            let cluster = cluster.clone();
             tokio::spawn(async move {
                 sleep(Duration::from_secs_f64(CANCEL_AT_S)).await;
-                call_off(world, id).await;
+                cancel_until_answered(cluster, id).await;
             });
         }
         let cut_at_s = FAULT_AT_S + 0.3;
         let mut faults = vec![(FAULT_AT_S, Fault::RestartLeaders(1, 3.0))];
         for worker in 1..=6 {
-            faults.push((cut_at_s, Fault::CutWorker(worker, unreachable_s)));
+            faults.push((cut_at_s, Fault::PartitionWorker(worker, unreachable_s)));
             if extra.workers_hang {
-                let hang = Fault::Hang(worker, LONG_LEASE_S - 1.0);
+                let hang = Fault::HangWorker(worker, LONG_LEASE_S - 1.0);
                 faults.push((cut_at_s + unreachable_s + REACHABLE_BEFORE_HANG_S, hang));
             }
         }
@@ -326,10 +333,10 @@
             faults.push((CANCEL_AT_S, late));
         }
         for (at, fault) in faults {
-            tokio::spawn(inflict(world.clone(), at, fault, seed));
+            tokio::spawn(inject_fault(cluster.clone(), at, fault, seed));
         }
         sleep(Duration::from_secs_f64(60.0)).await;
-        let w = world.lock().unwrap();
+        let w = cluster.lock().unwrap();
         w.site.violations.clone()
     })
 }
--- a/tests/large_site.rs
+++ b/tests/large_site.rs
@@ -10,9 +10,9 @@
 use copperfield::api::Api;
 use copperfield::protocol::peer::{PeerRequest, ShardStatus, ShardUpdate};
 use copperfield::protocol::worker::{Exit, Heartbeat, TaskPhase, TaskStatus};
-use copperfield::protocol::{JobId, MAX_PEER_BODY};
+use copperfield::protocol::{JobId, MAX_PEER_BODY_BYTES};
 use copperfield::settings::{Settings, Tuning};
-use copperfield::transport::client::{Answer, CallFuture, Network};
+use copperfield::transport::client::{CallFuture, HttpResponse, Network};
 use copperfield::transport::server::ApiRequest;
 use copperfield_heartbeat_forwarder::HeartbeatForwarder;
 use copperfield_sharding::{ShardChange, ShardLease};
@@ -86,7 +86,7 @@
         Box::pin(async move {
             if to == CLOUD.parse().expect("an address") {
                 let body = self.cloud(&path).to_string().into();
-                return Ok(Answer { status: 200, body });
+                return Ok(HttpResponse { status: 200, body });
             }
             if to != STATE.parse().expect("an address") || path.starts_with("/watch") {
                 std::future::pending::<()>().await;
@@ -98,7 +98,7 @@
             let mut state = self.state.lock().expect("no panic while held");
             let (status, value) = state.handle(now, method.as_str(), &path, &body);
             let body = value.to_string().into();
-            Ok(Answer { status, body })
+            Ok(HttpResponse { status, body })
         })
     }
 }
@@ -231,8 +231,12 @@
         redirects: Vec::new(),
     };
     let check_body_size = |status: &ShardStatus| {
-        let body = borsh::to_vec(&PeerRequest::Share(status.clone())).expect("plain data");
-        assert!(body.len() as u64 <= MAX_PEER_BODY, "{} bytes", body.len());
+        let body = borsh::to_vec(&PeerRequest::ShardStatus(status.clone())).expect("plain data");
+        assert!(
+            body.len() as u64 <= MAX_PEER_BODY_BYTES,
+            "{} bytes",
+            body.len()
+        );
         body.len()
     };
     let (mut forwarded, mut statuses, mut now) = (0, 0, 1000);
