--- a/src/coordination/demand_log.rs
+++ b/src/coordination/demand_log.rs
@@ -44,9 +44,9 @@
                 "demand"
             );
         }
-        for ((kind, zone, spot), supply) in self.supply() {
+        for ((instance_type, zone, spot), supply) in self.supply() {
             tracing::debug!(
-                kind = self.types.names.name(kind),
+                kind = self.types.names.name(instance_type),
                 zone = self.zones.name(zone),
                 spot,
                 all = supply.all,
@@ -64,7 +64,11 @@
     /// Returns the demand by class.
     fn demand(&self) -> BTreeMap<&str, Demand> {
         let mut classes: BTreeMap<&str, Demand> = BTreeMap::new();
-        for (_, job) in self.jobs.iter().filter(|(_, j)| j.state == JobState::Live) {
+        for (_, job) in self
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.state == JobState::Live)
+        {
             let demand = classes.entry(&job.spec.class).or_default();
             demand.jobs += 1;
             demand.waiting += job.waiting();
@@ -77,10 +81,10 @@
     /// Returns the supply by instance type, zone and whether the workers are spot workers.
     fn supply(&self) -> BTreeMap<(u32, u32, bool), Supply> {
         let mut pools: BTreeMap<(u32, u32, bool), Supply> = BTreeMap::new();
-        for (m, worker) in self.workers.iter() {
+        for (worker_index, worker) in self.workers.iter() {
             let pool = (worker.instance_type, worker.zone, worker.spot);
             let supply = pools.entry(pool).or_default();
-            let usable = self.worker_usable(m);
+            let usable = self.worker_usable(worker_index);
             supply.all += 1;
             supply.usable += u32::from(usable);
             supply.empty += u32::from(usable && worker.used == Resources::default());
--- a/src/coordination/migration/estimates.rs
+++ b/src/coordination/migration/estimates.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::gangs::checkpoint_grace_s;
 use crate::coordination::model::*;
-use crate::coordination::state::{Core, MIN_RUN_BEFORE_MOVE_S};
+use crate::coordination::state::{Core, MIN_RUN_BEFORE_MIGRATION_S};
 use crate::protocol::worker::TaskPhase;
 
 /// The time from an order to stop until the leader has proof that the instance is gone, in addition
@@ -46,10 +46,10 @@
             };
         }
         let ran_s = instance.running_since.map_or(0.0, |since| self.now - since);
-        let saves = job.spec.checkpoint_interval_s > 0.0;
+        let saves_checkpoints = job.spec.checkpoint_interval_s > 0.0;
         InstanceEstimate {
             ends_in_s: (job.work_s() - ran_s).max(job.work_s() * MIN_LEFT_SHARE),
-            lost_s: if saves {
+            lost_s: if saves_checkpoints {
                 job.spec.checkpoint_save_s
             } else {
                 ran_s
@@ -69,10 +69,10 @@
     ) -> bool {
         let job = &self.jobs[id.job];
         let settings = &self.config.tuning.defragmentation;
-        let saves = job.spec.checkpoint_interval_s > 0.0;
+        let saves_checkpoints = job.spec.checkpoint_interval_s > 0.0;
         let running_since = instance.running_since;
         let has_run_long_enough =
-            running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
+            running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MIGRATION_S);
         let has_objective = !job.placement_deadlines_s.is_empty()
             && job.start_delay_tolerance_s < OBJECTIVE_TOLERANCE_S;
         let migrated_at = self.migrations.last_migrated_at(job.spec.id, id.task);
@@ -86,17 +86,17 @@
             && !instance.unacknowledged
             && instance.stop.is_none()
             && (draining || has_run_long_enough || !(has_objective || job.is_service()))
-            && (job.is_service() || saves || lost_s < settings.max_lost_work_s)
+            && (job.is_service() || saves_checkpoints || lost_s < settings.max_lost_work_s)
             && migrated_at.is_none_or(|time| self.now - time > settings.migration_cooldown_s)
     }
 
     /// The longest expected time from the order to stop a task of a job until it is certainly gone.
-    pub(super) fn max_stop_s(&self, ix: u32) -> f64 {
+    pub(super) fn max_stop_s(&self, job_index: u32) -> f64 {
         let workers = &self.config.cluster.workers;
-        let grace_s = if self.is_multi_task_gang(ix) {
-            checkpoint_grace_s(self.jobs[ix].spec.checkpoint_save_s) + workers.gang_peer_s
+        let grace_s = if self.is_multi_task_gang(job_index) {
+            checkpoint_grace_s(self.jobs[job_index].spec.checkpoint_save_s) + workers.gang_peer_s
         } else {
-            self.stop_grace_s(ix)
+            self.stop_grace_s(job_index)
         };
         grace_s + workers.heartbeat_interval_s * HEARTBEAT_JITTER + STOP_CONFIRMATION_S
     }
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CapacityPool {
     /// Index of the instance type.
-    kind: u32,
+    instance_type: u32,
     /// Index of the zone.
     zone: u32,
     /// Whether its workers are spot workers, which the cloud may reclaim.
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(super) struct AvailableWorker {
     /// Index of the worker's instance type.
-    pub(super) kind: u32,
+    pub(super) instance_type: u32,
     /// Whether it is a spot worker, which the cloud may reclaim.
     pub(super) spot: bool,
     /// Its free resources.
@@ -70,7 +70,7 @@
             && job
                 .types
                 .as_ref()
-                .is_none_or(|types| types.contains(&self.kind))
+                .is_none_or(|types| types.contains(&self.instance_type))
     }
 }
 
@@ -130,7 +130,7 @@
             return;
         }
         let worker = BootingWorker {
-            kind: pool.kind,
+            instance_type: pool.instance_type,
             since: self.now,
             spot: pool.spot,
         };
@@ -164,8 +164,8 @@
             plan.available
                 .extend(self.available_workers_outside(&demand.zones_unresponsive));
         }
-        for ix in self.jobs_by_weight(&demand) {
-            self.plan_workers_for(ix, &demand, &mut plan);
+        for job_index in self.jobs_by_weight(&demand) {
+            self.plan_workers_for(job_index, &demand, &mut plan);
         }
         plan.wanted
     }
@@ -195,7 +195,7 @@
         job.waiting() > 0
             && job
                 .unplaced_since
-                .is_some_and(|t| self.now - t > MIN_UNPLACED_S)
+                .is_some_and(|since| self.now - since > MIN_UNPLACED_S)
     }
 
     /// Returns the jobs that need new workers, by descending weight.
@@ -203,20 +203,20 @@
         let mut jobs: Vec<(f64, u32)> = self
             .jobs
             .iter()
-            .filter(|(ix, job)| {
+            .filter(|(job_index, job)| {
                 job.state == JobState::Live
-                    && !self.is_faulty_job(*ix)
-                    && (self.needs_workers(job) || demand.replicas_at_risk.contains_key(ix))
+                    && !self.is_faulty_job(*job_index)
+                    && (self.needs_workers(job) || demand.replicas_at_risk.contains_key(job_index))
             })
-            .map(|(ix, _)| (self.weight(ix), ix))
+            .map(|(job_index, _)| (self.weight(job_index), job_index))
             .collect();
         jobs.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        jobs.into_iter().map(|(_, ix)| ix).collect()
+        jobs.into_iter().map(|(_, job_index)| job_index).collect()
     }
 
     /// Plans new workers for the tasks of a job that do not fit on the available ones.
-    fn plan_workers_for(&self, ix: u32, demand: &ScaleOutDemand, plan: &mut ScaleOutPlan) {
-        let job = &self.jobs[ix];
+    fn plan_workers_for(&self, job_index: u32, demand: &ScaleOutDemand, plan: &mut ScaleOutPlan) {
+        let job = &self.jobs[job_index];
         let needs = job.spec.needs;
         let waiting = if self.needs_workers(job) {
             job.waiting()
@@ -225,8 +225,12 @@
         };
         let mut remaining = waiting
             .min(MAX_TASKS_PER_JOB)
-            .min(self.trial_start_limit(ix));
-        remaining += demand.replicas_at_risk.get(&ix).copied().unwrap_or(0);
+            .min(self.trial_start_limit(job_index));
+        remaining += demand
+            .replicas_at_risk
+            .get(&job_index)
+            .copied()
+            .unwrap_or(0);
         for worker in plan
             .available
             .iter_mut()
@@ -236,18 +240,18 @@
         }
         while remaining > 0 && plan.allowed > 0 {
             let zones_unresponsive = &demand.zones_unresponsive;
-            let Some(pool) = self.cheapest_pool(ix, &plan.wanted, zones_unresponsive) else {
+            let Some(pool) = self.cheapest_pool(job_index, &plan.wanted, zones_unresponsive) else {
                 break;
             };
-            let Some(kind) = self.types.get(pool.kind) else {
+            let Some(instance_type) = self.types.get(pool.instance_type) else {
                 break;
             };
             *plan.wanted.entry(pool).or_default() += 1;
             plan.allowed -= 1;
             let mut worker = AvailableWorker {
-                kind: pool.kind,
+                instance_type: pool.instance_type,
                 spot: pool.spot,
-                free: kind.capacity,
+                free: instance_type.capacity,
             };
             remaining = worker.pack_tasks(&needs, remaining);
             plan.available.push(worker);
@@ -263,7 +267,7 @@
             .insert(request.clone(), ProvisioningRequest { pool, count });
         self.effects.push(Effect::ScaleOut {
             request,
-            machine_type: self.types.names.name(pool.kind).to_string(),
+            machine_type: self.types.names.name(pool.instance_type).to_string(),
             zone: self.zones.name(pool.zone).to_string(),
             spot: pool.spot,
             count,
@@ -279,8 +283,8 @@
         if !zones_unresponsive.contains(&true) {
             return replicas;
         }
-        for (m, worker) in self.workers.iter() {
-            if !zones_unresponsive[worker.zone as usize] || !self.is_unresponsive(m) {
+        for (worker_index, worker) in self.workers.iter() {
+            if !zones_unresponsive[worker.zone as usize] || !self.is_unresponsive(worker_index) {
                 continue;
             }
             for (id, instance) in &worker.instances {
@@ -297,15 +301,15 @@
     fn available_workers_outside(&self, zones_unresponsive: &[bool]) -> Vec<AvailableWorker> {
         self.workers
             .iter()
-            .filter(|(m, worker)| {
+            .filter(|(worker_index, worker)| {
                 !zones_unresponsive[worker.zone as usize]
-                    && self.worker_usable(*m)
+                    && self.worker_usable(*worker_index)
                     && worker.reservations.is_empty()
             })
-            .map(|(m, worker)| AvailableWorker {
-                kind: worker.instance_type,
+            .map(|(worker_index, worker)| AvailableWorker {
+                instance_type: worker.instance_type,
                 spot: worker.spot,
-                free: self.free_resources(m),
+                free: self.free_resources(worker_index),
             })
             .collect()
     }
@@ -314,15 +318,18 @@
     /// with the fewest planned workers is chosen, which spreads workers over the zones.
     fn cheapest_pool(
         &self,
-        ix: u32,
+        job_index: u32,
         wanted: &BTreeMap<CapacityPool, u32>,
         zones_unresponsive: &[bool],
     ) -> Option<CapacityPool> {
-        let job = &self.jobs[ix];
+        let job = &self.jobs[job_index];
         let mut best: Option<((f64, u32), CapacityPool)> = None;
-        for (kind, described) in (0u32..).zip(&self.types.descriptions) {
+        for (instance_type, described) in (0u32..).zip(&self.types.descriptions) {
             let Some(described) = described else { continue };
-            let allowed = job.types.as_ref().is_none_or(|types| types.contains(&kind));
+            let allowed = job
+                .types
+                .as_ref()
+                .is_none_or(|types| types.contains(&instance_type));
             if !allowed || !job.spec.needs.fits_in(&described.capacity) {
                 continue;
             }
@@ -330,11 +337,15 @@
             for zone in 0..self.zones.len() as u32 {
                 let offered = described.zones.iter().any(|z| z == self.zones.name(zone));
                 let unresponsive = zones_unresponsive[zone as usize];
-                if !offered || unresponsive || !self.job_allows_zone(ix, zone) {
+                if !offered || unresponsive || !self.job_allows_zone(job_index, zone) {
                     continue;
                 }
                 for spot in [true, false] {
-                    let pool = CapacityPool { kind, zone, spot };
+                    let pool = CapacityPool {
+                        instance_type,
+                        zone,
+                        spot,
+                    };
                     if !self.may_request(job, pool) {
                         continue;
                     }
@@ -362,7 +373,10 @@
     }
 
     /// Returns whether another task of the job may run in this zone.
-    fn job_allows_zone(&self, ix: u32, zone: u32) -> bool {
-        self.jobs[ix].zone.is_none_or(|required| required == zone) && self.zone_allows(ix, zone)
+    fn job_allows_zone(&self, job_index: u32, zone: u32) -> bool {
+        self.jobs[job_index]
+            .zone
+            .is_none_or(|required| required == zone)
+            && self.zone_allows(job_index, zone)
     }
 }
