--- a/src/coordination/provisioning/scale_in.rs
+++ b/src/coordination/provisioning/scale_in.rs
@@ -7,13 +7,11 @@
 
 /// Workers per request. The cloud accepts at most 100.
 const MAX_WORKERS_PER_REQUEST: usize = 100;
-/// An empty worker is returned after this many quarantines without a successful task in
-/// between.
+/// An empty worker is returned after this many quarantines without a successful task in between.
 const QUARANTINES_BEFORE_RETURN: u32 = 2;
 
 impl Core {
-    /// Handles the result of a scale-in request. `ok` means that the cloud has taken back all of
-    /// the workers.
+    /// Handles the result of a scale-in request. `ok` means that all of the workers were scaled in.
     pub(crate) fn handle_scale_in_result(&mut self, names: Vec<String>, ok: bool) {
         self.provisioning.scale_in_pending = false;
         if !ok {
@@ -23,13 +21,13 @@
         for name in names {
             self.provisioning.booting.remove(&name);
             self.workers.record_scaled_in(&name);
-            let Some(m) = self.workers.index_of(&name) else {
+            let Some(worker_index) = self.workers.index_of(&name) else {
                 continue;
             };
-            self.clear_worker(m);
-            self.unregister_worker(m);
-            self.remove_worker_from_shards(m);
-            self.workers.remove(m);
+            self.clear_worker(worker_index);
+            self.unregister_worker(worker_index);
+            self.remove_worker_from_shards(worker_index);
+            self.workers.remove(worker_index);
             self.end_drain_of_removed_worker(&name);
             removed.push(name);
         }
