--- a/tests/migration_random.rs
+++ b/tests/migration_random.rs
@@ -103,7 +103,8 @@
             1 => worker().prop_map(Step::Crash),
             1 => worker().prop_map(Step::Disconnect),
             1 => Just(Step::Reconnect),
-            2 => (worker(), proptest::option::of(5u8..60)).prop_map(|(worker_index, deadline)| Step::Drain(worker_index, deadline)),
+            2 => (worker(), proptest::option::of(5u8..60))
+                .prop_map(|(worker_index, deadline)| Step::Drain(worker_index, deadline)),
             2 => worker().prop_map(Step::Undrain),
             1 => Just(Step::FailOver),
             1 => (1u8..15).prop_map(Step::Pause),
