--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -348,7 +348,7 @@
         if let Some(&limit) = self.cpu_limits.get(team) {
             let used = self.cpus_used_by(team);
             if used > limit + 1e-9 {
-                violated.push(("cpu_limit", format!("{task}: {used} of {limit} CPUs")));
+                violated.push(("quota", format!("{task}: {used} of {limit} CPUs")));
             }
         }
         for (rule, details) in violated {
@@ -838,7 +838,7 @@
     pub fn check_user_answer(&mut self, id: &str, asked_at: f64, status: u16, phase: Option<&str>) {
         let Some(job) = self.jobs.get_mut(id) else {
             if status == 200 {
-                self.record_violation("unknown_job", id);
+                self.record_violation("invented", id);
             }
             return;
         };
@@ -855,7 +855,7 @@
                     violated.push("not_done");
                 }
                 if reported_before == Some("withdrawn") {
-                    violated.push("phase_regressed");
+                    violated.push("went_back");
                 }
                 job.reported_phase = Some("done");
             }
@@ -866,7 +866,7 @@
                         && accepted.is_some()
                         && !job.body["asked"].as_bool().unwrap_or(false)
                 {
-                    violated.push("phase_regressed");
+                    violated.push("went_back");
                 }
                 job.reported_phase = Some("withdrawn");
                 job.cancelled_at.get_or_insert(self.now);
@@ -875,11 +875,11 @@
             // arrived. A controller cannot know of an answer that is in transit, and cannot recall
             // its own, so overtaken answers are only counted.
             (200 | 201, _) if reported_before.is_some() && asked_at >= job.reported_at => {
-                violated.push("phase_regressed");
+                violated.push("went_back");
             }
             (200 | 201, _) if reported_before.is_some() => self.overtaken_answers += 1,
-            (404, _) if accepted.is_some_and(|at| asked_at >= at) => violated.push("lost_job"),
-            (400 | 422, _) if accepted.is_some() => violated.push("lost_job"),
+            (404, _) if accepted.is_some_and(|at| asked_at >= at) => violated.push("forgotten"),
+            (400 | 422, _) if accepted.is_some() => violated.push("forgotten"),
             _ => {}
         }
         if reported_before.is_none() && job.reported_phase.is_some() {
@@ -915,7 +915,7 @@
         };
         let unanswered = self.jobs.iter().filter(|(_, j)| unanswered(j));
         for id in unanswered.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
-            self.record_violation("lost_job", &format!("{id}, unanswered for {within_s} s"));
+            self.record_violation("forgotten", &format!("{id}, unanswered for {within_s} s"));
         }
     }
 
--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -407,13 +407,13 @@
         .collect();
     assert_eq!(
         rules,
-        ["not_done:", "phase_regressed:", "lost_job:", "unknown_job:"]
+        ["not_done:", "went_back:", "forgotten:", "invented:"]
     );
     site.now = 80.0;
     site.jobs.get_mut("wk-000002").unwrap().last_answer_at = 70.0;
     site.check_jobs_answered(75.0);
     let unanswered_violations = site.violations.split_off(4);
-    let lost_job = |id: &str| format!("80.0 lost_job: {id}, unanswered for 75 s");
+    let lost_job = |id: &str| format!("80.0 forgotten: {id}, unanswered for 75 s");
     let unanswered = ["wk-000001", "wk-000003", "wk-000004", "wk-000005"];
     assert_eq!(unanswered_violations, unanswered.map(lost_job));
     // The lease of `d` is renewed while a task of the cancelled job is on it.
@@ -453,7 +453,7 @@
         start_task(&mut site, &a, "wk-000001/0", 1),
         Vec::<String>::new()
     );
-    assert_eq!(start_task(&mut site, &a, "wk-000002/0", 2), ["cpu_limit:"]);
+    assert_eq!(start_task(&mut site, &a, "wk-000002/0", 2), ["quota:"]);
 
     // After both tasks have ended, the worker has room and the team is under its limit.
     site.execute_commands(
@@ -490,7 +490,7 @@
     site.check_user_answer("wk-000004", 91.0, 422, None);
     site.jobs.get_mut("wk-000004").unwrap().body["asked"] = json!(true);
     site.check_user_answer("wk-000004", 91.0, 200, Some("withdrawn"));
-    assert_eq!(violated_rules(&mut site), ["lost_job:"]);
+    assert_eq!(violated_rules(&mut site), ["forgotten:"]);
     site.now = 92.0;
     site.check_user_answer("wk-000004", 90.9, 201, Some("pending"));
     assert_eq!(
@@ -498,5 +498,5 @@
         (0, 1)
     );
     site.check_user_answer("wk-000004", 91.1, 201, Some("pending"));
-    assert_eq!(violated_rules(&mut site), ["phase_regressed:"]);
+    assert_eq!(violated_rules(&mut site), ["went_back:"]);
 }
