--- a/crates/admin/src/cli.rs
+++ b/crates/admin/src/cli.rs
@@ -20,7 +20,7 @@
 
 use crate::client::{Client, ClientError};
 use crate::table;
-use crate::views::{DrainOrder, Node};
+use crate::views::{DrainRequest, Node};
 
 const EXIT_DONE: u8 = 0;
 const EXIT_OTHER: u8 = 1;
@@ -160,7 +160,7 @@
             Ok(()) => EXIT_DONE,
             Err(error) => {
                 eprintln!("copperfield: {error}");
-                if let ClientError::Confirm(confirm) = &error {
+                if let ClientError::ConfirmationRequired(confirm) = &error {
                     eprintln!("  protected: {}", confirm.protected.join(", "));
                     eprintln!("  nothing was changed; say --yes if it is meant");
                 }
@@ -189,7 +189,7 @@
                 yes,
                 ..
             } => {
-                let order = DrainOrder {
+                let order = DrainRequest {
                     deadline_s: *deadline,
                     yes: *yes,
                 };
@@ -201,9 +201,9 @@
 }
 
 /// Asks before it disturbs a protected class, if there is someone to ask.
-async fn drain(client: &Client, node: &str, mut order: DrainOrder) -> Result<Node, ClientError> {
+async fn drain(client: &Client, node: &str, mut order: DrainRequest) -> Result<Node, ClientError> {
     let drained = client.drain(node, &order).await;
-    let Err(ClientError::Confirm(confirm)) = &drained else {
+    let Err(ClientError::ConfirmationRequired(confirm)) = &drained else {
         return drained;
     };
     let protected = confirm.protected.join(", ");
@@ -229,7 +229,7 @@
 fn exit_code(error: &ClientError) -> u8 {
     match error {
         ClientError::NotFound(_) => EXIT_NOT_FOUND,
-        ClientError::Confirm(_) => EXIT_UNCONFIRMED,
+        ClientError::ConfirmationRequired(_) => EXIT_UNCONFIRMED,
         ClientError::Unreachable(_) | ClientError::Busy(_) => EXIT_TRY_AGAIN,
         ClientError::Unauthorized | ClientError::SwitchedOff => EXIT_UNAUTHORIZED,
         ClientError::Unexpected { .. } => EXIT_OTHER,
--- a/crates/admin/src/client.rs
+++ b/crates/admin/src/client.rs
@@ -13,7 +13,7 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-use crate::views::{Confirm, DrainOrder, Moves, Node, Nodes};
+use crate::views::{ConfirmationRequired, DrainRequest, Moves, Node, Nodes};
 
 /// One controller is given so long before the next is asked.
 const DEADLINE: Duration = Duration::from_secs(5);
@@ -43,7 +43,7 @@
     NotFound(String),
     /// A drain would disturb a protected class.
     #[error("{}", .0.error)]
-    Confirm(Confirm),
+    ConfirmationRequired(ConfirmationRequired),
     /// An answer that the protocol does not have.
     #[error("the controllers answered {status}: {problem}")]
     Unexpected {
@@ -115,8 +115,8 @@
     /// does nothing more.
     ///
     /// # Errors
-    /// [`ClientError::Confirm`] if a protected class would be disturbed.
-    pub async fn drain(&self, node: &str, order: &DrainOrder) -> Result<Node, ClientError> {
+    /// [`ClientError::ConfirmationRequired`] if a protected class would be disturbed.
+    pub async fn drain(&self, node: &str, order: &DrainRequest) -> Result<Node, ClientError> {
         let path = node_path(node, "drain")?;
         self.request(Method::POST, &path, order).await
     }
@@ -127,7 +127,7 @@
     /// See [`ClientError`].
     pub async fn undrain(&self, node: &str) -> Result<Node, ClientError> {
         let path = node_path(node, "undrain")?;
-        let order = DrainOrder::default();
+        let order = DrainRequest::default();
         self.request(Method::POST, &path, &order).await
     }
 
@@ -195,7 +195,7 @@
             404 if self.reason() == SWITCHED_OFF => Err(ClientError::SwitchedOff),
             404 => Err(ClientError::NotFound(self.reason())),
             409 => Err(match serde_json::from_slice(&self.body) {
-                Ok(confirm) => ClientError::Confirm(confirm),
+                Ok(confirm) => ClientError::ConfirmationRequired(confirm),
                 Err(_) => self.unexpected(self.reason()),
             }),
             503 => return Interpreted::Busy(self.reason()),
--- a/crates/admin/src/table.rs
+++ b/crates/admin/src/table.rs
@@ -4,7 +4,7 @@
 
 use comfy_table::{Table, presets};
 
-use crate::views::{Move, Moves, Node, NodeState, ResourceUsage, Waiting};
+use crate::views::{Move, Moves, Node, NodeState, ResourceUsage, WaitingJob};
 
 /// In place of a value that is not known.
 const UNKNOWN: &str = "-";
@@ -122,7 +122,7 @@
     ]
 }
 
-fn waiting_row(waiting: &Waiting) -> [String; 4] {
+fn waiting_row(waiting: &WaitingJob) -> [String; 4] {
     [
         waiting.job.clone(),
         waiting.tasks.to_string(),
--- a/crates/admin/src/views.rs
+++ b/crates/admin/src/views.rs
@@ -98,8 +98,8 @@
 
 /// `POST /operator/nodes/NAME/drain`
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct DrainOrder {
+#[serde(deny_unknown_fields, default, expecting = "struct DrainOrder")]
+pub struct DrainRequest {
     /// What still runs after this time is stopped in order.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
@@ -109,7 +109,7 @@
 
 /// The answer 409 to a drain that must be confirmed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Confirm {
+pub struct ConfirmationRequired {
     /// Why.
     pub error: String,
     /// Jobs of protected classes with tasks on the node.
@@ -126,7 +126,7 @@
     /// The last ones that ended, the newest first.
     pub recent: Vec<Move>,
     /// Jobs that wait for whole workers, and why nothing is moved for them.
-    pub waiting: Vec<Waiting>,
+    pub waiting: Vec<WaitingJob>,
 }
 
 /// A migration of a task.
@@ -148,7 +148,7 @@
 
 /// A job that waits for whole workers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Waiting {
+pub struct WaitingJob {
     /// Its id and class.
     pub job: String,
     /// Its tasks that wait.
--- a/crates/defrag/src/fleet.rs
+++ b/crates/defrag/src/fleet.rs
@@ -174,7 +174,7 @@
     fn value_per_s(&self, instance: &TaskInstance) -> f64 {
         let job = &self.jobs[instance.job as usize];
         let worker = &self.workers[instance.worker as usize];
-        job.weight * worker.price * job.needs.share_of(&worker.capacity)
+        job.weight * worker.price * job.needs.dominant_share_of(&worker.capacity)
     }
 
     /// The cost of a migration without what depends on its target: the fetch and preemptions.
--- a/crates/defrag/src/place.rs
+++ b/crates/defrag/src/place.rs
@@ -124,7 +124,7 @@
         if !job.suits(m, worker) {
             continue;
         }
-        let share_price = worker.price * job.needs.share_of(&worker.capacity);
+        let share_price = worker.price * job.needs.dominant_share_of(&worker.capacity);
         // The work lost during the fetch is valued at the target's price.
         let lost = preemption + job.weight * share_price * fleet.fetch_s(job, m);
         let mut room_left = worker.room;
--- a/crates/heartbeat-forwarder/src/buffer.rs
+++ b/crates/heartbeat-forwarder/src/buffer.rs
@@ -39,11 +39,11 @@
 }
 
 impl BufferedHeartbeat {
-    fn forward(&self, now: u64, waits: bool) -> ForwardedHeartbeat {
+    fn forward(&self, now: u64, awaits_reply: bool) -> ForwardedHeartbeat {
         ForwardedHeartbeat {
             heartbeat: self.heartbeat.clone(),
             age_ms: now - self.received_at,
-            waits,
+            awaits_reply,
         }
     }
 }
@@ -190,17 +190,17 @@
         budget: &mut BodyBudget,
     ) -> Vec<ForwardedHeartbeat> {
         let mut forwarded = Vec::new();
-        for waits in [true, false] {
+        for awaits_reply in [true, false] {
             let buffered = self.by_worker.values_mut();
-            for buffered in buffered.filter(|b| b.ticket.is_some() == waits) {
-                if buffered.forwarded_in.is_some() && !waits {
+            for buffered in buffered.filter(|b| b.ticket.is_some() == awaits_reply) {
+                if buffered.forwarded_in.is_some() && !awaits_reply {
                     continue;
                 }
                 if !budget.reserve_heartbeat(&buffered.heartbeat) {
                     break;
                 }
                 buffered.forwarded_in = Some(status);
-                forwarded.push(buffered.forward(now, waits));
+                forwarded.push(buffered.forward(now, awaits_reply));
             }
         }
         forwarded
--- a/crates/heartbeat-forwarder/src/lib.rs
+++ b/crates/heartbeat-forwarder/src/lib.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use copperfield_protocol::peer::{Outcome, ShardStatus, ShardUpdate};
+use copperfield_protocol::peer::{CommandOutcome, ShardStatus, ShardUpdate};
 use copperfield_protocol::worker::Heartbeat;
 use copperfield_sharding::{HeartbeatDecision, ShardOwner};
 
@@ -99,7 +99,7 @@
     }
 
     /// Records the outcome of a message that this controller relayed.
-    pub fn record_outcome(&mut self, message_id: u64, outcome: Outcome) {
+    pub fn record_outcome(&mut self, message_id: u64, outcome: CommandOutcome) {
         self.statuses.push_outcome(message_id, outcome);
     }
 
@@ -138,7 +138,7 @@
             owner_status,
             forwarded,
             outcomes,
-            all: !has_more,
+            complete: !has_more,
         })
     }
 
--- a/crates/heartbeat-forwarder/src/status.rs
+++ b/crates/heartbeat-forwarder/src/status.rs
@@ -1,7 +1,7 @@
 //! When a status is sent, how much goes into it, and what is sent again if it is lost.
 
-use copperfield_protocol::MAX_PEER_BODY;
-use copperfield_protocol::peer::Outcome;
+use copperfield_protocol::MAX_PEER_BODY_BYTES;
+use copperfield_protocol::peer::CommandOutcome;
 use copperfield_protocol::worker::Heartbeat;
 
 /// A status is sent to the leader at least so often.
@@ -13,13 +13,13 @@
 /// So many statuses may be answered late.
 pub(crate) const MAX_IN_FLIGHT: usize = 4;
 /// Well below the limit for a body between controllers.
-const MAX_STATUS_BYTES: usize = MAX_PEER_BODY as usize / 2;
+const MAX_STATUS_BYTES: usize = MAX_PEER_BODY_BYTES as usize / 2;
 const BYTES_PER_HEARTBEAT: usize = 128;
 const BYTES_PER_TASK: usize = 24;
 const BYTES_PER_OUTCOME: usize = 16;
 
 /// The end of a relayed message, by the leader's number for it.
-type MessageOutcome = (u64, Outcome);
+type MessageOutcome = (u64, CommandOutcome);
 
 /// The space that is left in a status.
 pub(crate) struct BodyBudget {
@@ -51,9 +51,9 @@
         self.reserve(heartbeat_bytes(heartbeat))
     }
 
-    fn reserve_outcome(&mut self, outcome: &Outcome) -> bool {
+    fn reserve_outcome(&mut self, outcome: &CommandOutcome) -> bool {
         self.reserve(match outcome {
-            Outcome::Executed(heartbeat) | Outcome::Rejected(Some(heartbeat)) => {
+            CommandOutcome::Executed(heartbeat) | CommandOutcome::Rejected(Some(heartbeat)) => {
                 heartbeat_bytes(heartbeat)
             }
             _ => BYTES_PER_OUTCOME,
@@ -90,7 +90,7 @@
         self.has_news = true;
     }
 
-    pub(crate) fn push_outcome(&mut self, message_id: u64, outcome: Outcome) {
+    pub(crate) fn push_outcome(&mut self, message_id: u64, outcome: CommandOutcome) {
         self.outcomes.push((message_id, outcome));
         self.has_news = true;
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -3,9 +3,9 @@
 
 mod client;
 pub mod head;
-mod meter;
+mod memory_budget;
 mod server;
 
 pub use client::{CallError, Pool, PoolConfig, Reply};
-pub use meter::{Charge, ClientClass, Meter, REQUEST_BYTES};
+pub use memory_budget::{ClientClass, MemoryBudget, REQUEST_BYTES, Reservation};
 pub use server::{ServerConfig, serve};
--- a/crates/http/src/meter.rs
+++ b/crates/http/src/memory_budget.rs
@@ -35,23 +35,23 @@
 
 /// Counts the bytes held by all servers that share it, against a limit.
 #[derive(Debug, Clone)]
-pub struct Meter {
+pub struct MemoryBudget {
     limit: usize,
-    held: Arc<AtomicUsize>,
+    used: Arc<AtomicUsize>,
 }
 
-impl Meter {
+impl MemoryBudget {
     /// `limit`: bytes that may be held at once.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
-            held: Arc::default(),
+            used: Arc::default(),
         }
     }
 
     /// Bytes held now.
-    pub fn held(&self) -> usize {
-        self.held.load(Ordering::Relaxed)
+    pub fn used(&self) -> usize {
+        self.used.load(Ordering::Relaxed)
     }
 
     /// Bytes that may be held at once.
@@ -60,31 +60,35 @@
     }
 
     /// How many idle connections there is room for beside a quarter for requests.
-    pub fn connections(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         (three_quarters(self.limit) / CONNECTION_BYTES).max(1)
     }
 
     /// Counts an idle connection. It is open already, so it is counted even beyond the limit;
-    /// how many there are is bounded by [`Meter::connections`].
-    pub fn connection(&self) -> Charge {
-        self.held.fetch_add(CONNECTION_BYTES, Ordering::Relaxed);
-        self.charge(CONNECTION_BYTES)
+    /// how many there are is bounded by [`MemoryBudget::max_connections`].
+    pub fn reserve_connection(&self) -> Reservation {
+        self.used.fetch_add(CONNECTION_BYTES, Ordering::Relaxed);
+        self.reservation(CONNECTION_BYTES)
     }
 
     /// Counts a request with a body of `body` bytes, if there is room for it.
-    pub fn request(&self, body: usize, client_class: ClientClass) -> Option<Charge> {
+    pub fn try_reserve_request(
+        &self,
+        body: usize,
+        client_class: ClientClass,
+    ) -> Option<Reservation> {
         let bytes = REQUEST_BYTES + body.saturating_mul(BODY_COPIES);
         let limit = client_class.share(self.limit);
-        let fits = |held: usize| held.checked_add(bytes).filter(|&after| after <= limit);
-        self.held
+        let fits = |used: usize| used.checked_add(bytes).filter(|&after| after <= limit);
+        self.used
             .fetch_update(Ordering::Relaxed, Ordering::Relaxed, fits)
             .ok()?;
-        Some(self.charge(bytes))
+        Some(self.reservation(bytes))
     }
 
-    fn charge(&self, bytes: usize) -> Charge {
-        Charge {
-            meter: self.clone(),
+    fn reservation(&self, bytes: usize) -> Reservation {
+        Reservation {
+            memory_budget: self.clone(),
             bytes,
         }
     }
@@ -92,13 +96,15 @@
 
 /// Bytes that are counted until this is dropped.
 #[derive(Debug)]
-pub struct Charge {
-    meter: Meter,
+pub struct Reservation {
+    memory_budget: MemoryBudget,
     bytes: usize,
 }
 
-impl Drop for Charge {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.meter.held.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.memory_budget
+            .used
+            .fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::head::{self, BodyFraming, ParseError, RequestHead};
-use crate::meter::{ClientClass, Meter};
+use crate::memory_budget::{ClientClass, MemoryBudget};
 
 /// The first read of a request; most fit.
 const FIRST_READ: usize = 1024;
@@ -42,7 +42,7 @@
     /// connection: their idle ones could keep workers out for a whole lease.
     pub reserved_fraction: usize,
     /// Counts what connections and requests hold.
-    pub meter: Meter,
+    pub memory_budget: MemoryBudget,
     /// Who asks for this path.
     pub client_class: fn(&str) -> ClientClass,
     /// The response to a request that is refused or times out.
@@ -58,7 +58,9 @@
     H: Fn(Request<Full<Bytes>>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Bytes>> + Send + 'static,
 {
-    let max_connections = config.max_connections.min(config.meter.connections());
+    let max_connections = config
+        .max_connections
+        .min(config.memory_budget.max_connections());
     let permits = Arc::new(Semaphore::new(max_connections));
     let config = Arc::new(config);
     loop {
@@ -79,7 +81,7 @@
             unparsed: Vec::new(),
         };
         tokio::spawn(async move {
-            let _charge = connection.config.meter.connection();
+            let _reservation = connection.config.memory_budget.reserve_connection();
             // A client that hangs up is no error of ours.
             let _ = connection.run().await;
             drop(permit);
@@ -170,8 +172,12 @@
             BodyFraming::Length(_) | BodyFraming::Chunked => None,
         };
         let reserved = body_length.unwrap_or(0);
-        match self.config.meter.request(reserved, client_class) {
-            Some(_charge) => self.answer(head, bytes, body_length, client_class).await,
+        match self
+            .config
+            .memory_budget
+            .try_reserve_request(reserved, client_class)
+        {
+            Some(_reservation) => self.answer(head, bytes, body_length, client_class).await,
             None => self.refuse_overload(&head, bytes, body_length).await,
         }
     }
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -20,7 +20,7 @@
     /// The cloud's name for it.
     pub name: String,
     /// The resources of a worker on which nothing runs.
-    pub whole: Resources,
+    pub capacity: Resources,
     /// Room for images in GB.
     pub cache_gb: f64,
     /// How fast images are fetched, in GB per second.
@@ -65,7 +65,7 @@
     fn from(wire: WireMachineType) -> Self {
         let fetch_gb_per_s = wire.fetch_gb_per_s.unwrap_or(DEFAULT_FETCH_GB_PER_S);
         Self {
-            whole: Resources::new(wire.cpus, wire.gpus.unwrap_or(0.0), wire.memory_gb),
+            capacity: Resources::new(wire.cpus, wire.gpus.unwrap_or(0.0), wire.memory_gb),
             cache_gb: wire.cache_gb.unwrap_or(0.0),
             fetch_gb_per_s: fetch_gb_per_s.max(MIN_FETCH_GB_PER_S),
             price: wire.price.max(MIN_PRICE),
--- a/crates/protocol/src/job/mod.rs
+++ b/crates/protocol/src/job/mod.rs
@@ -23,7 +23,7 @@
 
 impl Kind {
     /// The value of a submission's `shape`.
-    pub fn spelling(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Array => "sweep",
             Self::Gang => "group",
@@ -33,7 +33,7 @@
 
     fn parse(text: &str) -> Option<Self> {
         let all = [Self::Array, Self::Gang, Self::Service];
-        all.into_iter().find(|kind| kind.spelling() == text)
+        all.into_iter().find(|kind| kind.as_str() == text)
     }
 }
 
@@ -52,7 +52,7 @@
 
 impl Priority {
     /// The value of a submission's `rank`.
-    pub fn spelling(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Low => "best_effort",
             Self::Normal => "normal",
@@ -63,7 +63,7 @@
 
     fn parse(text: &str) -> Option<Self> {
         let all = [Self::Low, Self::Normal, Self::High, Self::Production];
-        all.into_iter().find(|priority| priority.spelling() == text)
+        all.into_iter().find(|priority| priority.as_str() == text)
     }
 }
 
@@ -87,7 +87,7 @@
     }
 
     /// The value of `phase` in answers and in stored records.
-    pub fn spelling(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Pending => "pending",
             Self::Running => "running",
--- a/crates/protocol/src/job/resources.rs
+++ b/crates/protocol/src/job/resources.rs
@@ -45,7 +45,7 @@
     }
 
     /// The largest share, of any resource, that `self` takes of `whole`.
-    pub fn share_of(&self, whole: &Self) -> f64 {
+    pub fn dominant_share_of(&self, whole: &Self) -> f64 {
         let share = |a: i64, b: i64| if b > 0 { a as f64 / b as f64 } else { 0.0 };
         share(self.cpus, whole.cpus)
             .max(share(self.gpus, whole.gpus))
--- a/crates/protocol/src/job/spec.rs
+++ b/crates/protocol/src/job/spec.rs
@@ -45,11 +45,11 @@
     /// The tasks may run on spot workers.
     pub spot: bool,
     /// How long a task is estimated to run, in seconds.
-    pub estimate_s: f64,
+    pub estimated_runtime_s: f64,
     /// Time between a task's checkpoints in seconds; 0: it makes none.
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// How long a task takes to save a checkpoint, in seconds.
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     /// When the job should be done, in seconds from its submission.
     pub deadline_s: Option<f64>,
     /// Whether its tasks may be migrated while they run. An addition of ours (`movable`) that other
@@ -115,9 +115,9 @@
             one_zone: fields.flag_or_false("one_zone")?,
             spread: fields.flag_or_false("spread")?,
             spot: fields.flag_or_false("preemptibles")?,
-            estimate_s: fields.number_or_zero("runtime_s", MAX_DURATION_S)?,
-            checkpoint_s: fields.number_or_zero("snapshot_every_s", MAX_DURATION_S)?,
-            save_s: fields.number_or_zero("snapshot_s", MAX_DURATION_S)?,
+            estimated_runtime_s: fields.number_or_zero("runtime_s", MAX_DURATION_S)?,
+            checkpoint_interval_s: fields.number_or_zero("snapshot_every_s", MAX_DURATION_S)?,
+            checkpoint_save_s: fields.number_or_zero("snapshot_s", MAX_DURATION_S)?,
             deadline_s: fields.optional_number("due_s", MAX_DURATION_S)?,
             movable: fields.optional_flag("movable")?,
         };
@@ -133,8 +133,8 @@
             "uid": self.id.to_string(),
             "jobclass": self.class,
             "owner": self.team,
-            "shape": self.kind.spelling(),
-            "rank": self.priority.spelling(),
+            "shape": self.kind.as_str(),
+            "rank": self.priority.as_str(),
             "shards": self.tasks,
             "cpus": self.needs.whole_cpus(),
             "gpus": self.needs.whole_gpus(),
@@ -146,9 +146,9 @@
             "preemptibles": self.spot,
             "bundle": self.image,
             "pull_gb": self.image_gb,
-            "runtime_s": self.estimate_s,
-            "snapshot_every_s": self.checkpoint_s,
-            "snapshot_s": self.save_s,
+            "runtime_s": self.estimated_runtime_s,
+            "snapshot_every_s": self.checkpoint_interval_s,
+            "snapshot_s": self.checkpoint_save_s,
             "due_s": self.deadline_s,
         });
         if let Some(movable) = self.movable {
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -16,8 +16,8 @@
 pub use id::{JobId, parse_task};
 
 /// Largest body that any public interface accepts, in bytes.
-pub const MAX_BODY: u64 = 64 * 1024;
+pub const MAX_BODY_BYTES: u64 = 64 * 1024;
 
 /// Largest body between controllers, in bytes. Heartbeats beyond half of it are split among
 /// messages.
-pub const MAX_PEER_BODY: u64 = 512 * 1024;
+pub const MAX_PEER_BODY_BYTES: u64 = 512 * 1024;
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -41,8 +41,8 @@
     /// Asks the receiver to confirm that it leads no term. Then it acts on no vote that was
     /// granted until now.
     ConfirmNoLeader,
-    /// To the leader: the status of a shard owner. Answered by [`PeerReply::Granted`].
-    Share(ShardStatus),
+    /// To the leader: the status of a shard owner. Answered by [`PeerReply::ShardUpdate`].
+    ShardStatus(ShardStatus),
     /// From the leader: commands for workers that the receiver is to relay. Answered by
     /// [`PeerReply::Relaying`].
     RelayCommands {
@@ -74,9 +74,9 @@
     /// Heartbeats that the leader has not received, or whose workers wait for an answer.
     pub forwarded: Vec<ForwardedHeartbeat>,
     /// The outcomes of messages that it relayed, by the leader's number for each.
-    pub outcomes: Vec<(u64, Outcome)>,
+    pub outcomes: Vec<(u64, CommandOutcome)>,
     /// Everything that it had to send is in this status.
-    pub all: bool,
+    pub complete: bool,
 }
 
 /// A heartbeat that a shard owner received.
@@ -87,7 +87,7 @@
     /// How long ago it came in, in ms.
     pub age_ms: u64,
     /// Its worker waits for an answer, which the shard owner may not give.
-    pub waits: bool,
+    pub awaits_reply: bool,
 }
 
 /// The leader's answer to a [`ShardStatus`].
@@ -116,7 +116,7 @@
 
 /// The outcome of a message to a worker.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub enum Outcome {
+pub enum CommandOutcome {
     /// Surely not delivered.
     Unsent,
     /// Executed, with the heartbeat that followed.
@@ -172,7 +172,7 @@
     /// The vote that a leader asked for to extend its lease.
     VoteGranted,
     /// The controller cannot answer now.
-    Unable,
+    Unavailable,
     /// The leader's answer to an operator, as HTTP has it.
     AdminResponse {
         /// The HTTP status.
@@ -186,7 +186,7 @@
         up_ms: u64,
     },
     /// The leader's answer to a shard owner.
-    Granted(ShardUpdate),
+    ShardUpdate(ShardUpdate),
     /// The messages are on their way; their outcomes come with the shard owner's statuses.
     Relaying,
     /// No vote is granted, as the receiver can reach the state service and has read the leader
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -102,7 +102,7 @@
     /// Other tasks of its gang were lost while it ran.
     PeersGone,
     /// The other tasks of its gang did not become ready in time.
-    Alone,
+    GangTimeout,
     /// It ended without a result, for any reason not listed here.
     Error,
     /// The worker has too few resources left.
@@ -206,7 +206,7 @@
                 saved: self.saved.unwrap_or(false),
             },
             "mates_gone" => Exit::PeersGone,
-            "alone" => Exit::Alone,
+            "alone" => Exit::GangTimeout,
             "no_room" => Exit::NoRoom,
             "busy" => Exit::Busy,
             "unknown" => Exit::Unknown,
--- a/crates/simulation/src/loopback.rs
+++ b/crates/simulation/src/loopback.rs
@@ -9,10 +9,10 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use copperfield::protocol::MAX_BODY;
+use copperfield::protocol::MAX_BODY_BYTES;
 use copperfield::transport::client::{Answer, HttpClient, Network};
 use copperfield::transport::server::{ApiRequest, ApiResponse, bind, serve};
-use copperfield_http::Meter;
+use copperfield_http::MemoryBudget;
 use hyper::Method;
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -114,8 +114,8 @@
         let (for_state, for_cloud) = (self.clone(), self.clone());
         let (state, cloud) = (bind(self.state).await?, bind(self.cloud).await?);
         tokio::select! {
-            result = serve(state, MOST, MAX_BODY, Meter::new(MAX_BYTES), move |r| for_state.clone().answer_state(r)) => result,
-            result = serve(cloud, MOST, MAX_BODY, Meter::new(MAX_BYTES), move |r| for_cloud.clone().answer_cloud(r)) => result,
+            result = serve(state, MOST, MAX_BODY_BYTES, MemoryBudget::new(MAX_BYTES), move |r| for_state.clone().answer_state(r)) => result,
+            result = serve(cloud, MOST, MAX_BODY_BYTES, MemoryBudget::new(MAX_BYTES), move |r| for_cloud.clone().answer_cloud(r)) => result,
             () = self.live() => Ok(()),
         }
     }
@@ -306,8 +306,8 @@
                     serve(
                         bind(address).await?,
                         MOST,
-                        MAX_BODY,
-                        Meter::new(MAX_BYTES),
+                        MAX_BODY_BYTES,
+                        MemoryBudget::new(MAX_BYTES),
                         answer,
                     )
                     .await
--- a/src/api/admin.rs
+++ b/src/api/admin.rs
@@ -1,6 +1,6 @@
 //! Operators' requests, which the leader answers.
 
-use copperfield_admin::views::DrainOrder;
+use copperfield_admin::views::DrainRequest;
 use subtle::ConstantTimeEq;
 use warp::http::Method;
 
@@ -88,7 +88,7 @@
 
 fn parse_drain(node: &str, body: &[u8]) -> Result<AdminRequest, ApiError> {
     let drain = match body {
-        b"" => DrainOrder::default(),
+        b"" => DrainRequest::default(),
         body => serde_json::from_slice(body).map_err(ApiError::InvalidDrain)?,
     };
     if let Some(deadline_s) = drain.deadline_s
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -154,7 +154,7 @@
 fn phase_answer(id: JobId, phase: Phase, done: u32, running: u32) -> ApiResponse {
     let body = json!({
         "uid": id.to_string(),
-        "phase": phase.spelling(),
+        "phase": phase.as_str(),
         "done": done,
         "running": running,
     });
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -61,8 +61,8 @@
                     up_ms: (self.context.now_s() * 1000.0) as u64,
                 }
             }
-            PeerRequest::ConfirmNoLeader => PeerReply::Unable,
-            PeerRequest::Share(status) => self.shard_status(status).await,
+            PeerRequest::ConfirmNoLeader => PeerReply::Unavailable,
+            PeerRequest::ShardStatus(status) => self.shard_status(status).await,
             PeerRequest::RelayCommands { token, messages } => self.relay(token, messages),
             PeerRequest::TransferLeadership { token } => {
                 self.context.transfer_leadership(token);
@@ -86,8 +86,8 @@
             .handle
             .ask(|reply| Command::ShardStatus { status, reply });
         match update.await.flatten() {
-            Some(update) => PeerReply::Granted(update),
-            None => PeerReply::Unable,
+            Some(update) => PeerReply::ShardUpdate(update),
+            None => PeerReply::Unavailable,
         }
     }
 
@@ -95,7 +95,7 @@
         if relay_commands(&self.context, &self.handle, token, messages) {
             PeerReply::Relaying
         } else {
-            PeerReply::Unable
+            PeerReply::Unavailable
         }
     }
 
@@ -103,7 +103,7 @@
         let response = timeout(CANCEL_DEADLINE, self.admin_as_leader(request)).await;
         match response.ok().flatten() {
             Some(ApiResponse { status, body, .. }) => PeerReply::AdminResponse { status, body },
-            None => PeerReply::Unable,
+            None => PeerReply::Unavailable,
         }
     }
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -159,10 +159,10 @@
     let zone = spec.zone.as_ref();
     types.is_none_or(|types| types.contains(&machine_type.name))
         && zone.is_none_or(|zone| machine_type.zones.contains(zone))
-        && spec.needs.fits_in(&machine_type.whole)
+        && spec.needs.fits_in(&machine_type.capacity)
 }
 
 fn accepted(id: JobId) -> ApiResponse {
-    let body = json!({"uid": id.to_string(), "phase": Phase::Pending.spelling()});
+    let body = json!({"uid": id.to_string(), "phase": Phase::Pending.as_str()});
     ApiResponse::json(201, &body)
 }
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -11,7 +11,7 @@
 use crate::protocol::JobId;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobOutcome;
-use crate::protocol::peer::{AdminRequest, Lookup, Outcome, ShardStatus, ShardUpdate};
+use crate::protocol::peer::{AdminRequest, CommandOutcome, Lookup, ShardStatus, ShardUpdate};
 use crate::protocol::worker::Heartbeat;
 use crate::storage::Snapshot;
 use crate::transport::server::ApiResponse;
@@ -75,7 +75,7 @@
         /// The leader's number of the message.
         message_id: u64,
         /// What came of the message.
-        outcome: Outcome,
+        outcome: CommandOutcome,
     },
     /// Look up what is known of these jobs.
     LookUpJobs {
--- a/src/controller/effects/peers.rs
+++ b/src/controller/effects/peers.rs
@@ -9,7 +9,7 @@
 use super::workers;
 use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
-use crate::coordination::core::{Input, Outcome};
+use crate::coordination::core::{CommandOutcome, Input};
 use crate::protocol::peer::{PeerReply, PeerRequest, RelayedCommand};
 use crate::storage::store::call_peer;
 use crate::transport::client::{Answer, CallError};
@@ -37,8 +37,8 @@
         .expect("serializing to memory does not fail");
     let outcome = match call_relay(context, token, to, body).await {
         RelayResult::Accepted => return None,
-        RelayResult::Rejected => Outcome::Unsent,
-        RelayResult::Unknown => Outcome::Unknown,
+        RelayResult::Rejected => CommandOutcome::Unsent,
+        RelayResult::Unknown => CommandOutcome::Unknown,
     };
     Some(Input::RelayFailed {
         controller,
--- a/src/controller/effects/workers.rs
+++ b/src/controller/effects/workers.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 
 use crate::controller::context::ControllerContext;
-use crate::coordination::core::{Input, Outcome};
+use crate::coordination::core::{CommandOutcome, Input};
 use crate::protocol::peer::RelayedCommand;
 use crate::protocol::worker::{Heartbeat, commands_body};
 use crate::transport::client::{Answer, CallError};
@@ -40,21 +40,25 @@
     context: &ControllerContext,
     token: u64,
     message: &RelayedCommand,
-) -> Outcome {
+) -> CommandOutcome {
     let exchange = exchange(context, token, message);
     if !message.commands.is_empty() {
         return exchange.await;
     }
     match tokio::time::timeout(INSPECT_DEADLINE, exchange).await {
-        Ok(Outcome::Unknown) | Err(_) => Outcome::Unsent,
+        Ok(CommandOutcome::Unknown) | Err(_) => CommandOutcome::Unsent,
         Ok(outcome) => outcome,
     }
 }
 
-async fn exchange(context: &ControllerContext, token: u64, message: &RelayedCommand) -> Outcome {
+async fn exchange(
+    context: &ControllerContext,
+    token: u64,
+    message: &RelayedCommand,
+) -> CommandOutcome {
     let to: SocketAddr = match message.address.parse() {
         Ok(to) if context.may_command(token) => to,
-        _ => return Outcome::Unsent,
+        _ => return CommandOutcome::Unsent,
     };
     let body = commands_body(token, Some(message.incarnation), &message.commands);
     let response = context
@@ -62,16 +66,16 @@
         .call(Method::POST, to, "/orders", body, COMMAND_DEADLINE);
     match response.await {
         Ok(response) => outcome_of(&response),
-        Err(CallError::Unsent) => Outcome::Unsent,
-        Err(CallError::Unknown(_) | CallError::TooLarge) => Outcome::Unknown,
+        Err(CallError::Unsent) => CommandOutcome::Unsent,
+        Err(CallError::Unknown(_) | CallError::TooLarge) => CommandOutcome::Unknown,
     }
 }
 
-fn outcome_of(response: &Answer) -> Outcome {
+fn outcome_of(response: &Answer) -> CommandOutcome {
     match (response.status, Heartbeat::parse(&response.body)) {
-        (STATUS_OK, Ok(heartbeat)) => Outcome::Executed(heartbeat),
-        (STATUS_CONFLICT, heartbeat) => Outcome::Rejected(heartbeat.ok()),
-        (STATUS_BAD_REQUEST, _) => Outcome::Rejected(None),
-        _ => Outcome::Unknown,
+        (STATUS_OK, Ok(heartbeat)) => CommandOutcome::Executed(heartbeat),
+        (STATUS_CONFLICT, heartbeat) => CommandOutcome::Rejected(heartbeat.ok()),
+        (STATUS_BAD_REQUEST, _) => CommandOutcome::Rejected(None),
+        _ => CommandOutcome::Unknown,
     }
 }
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -36,7 +36,7 @@
 const BATCH_SIZE: usize = 128;
 const TICK_PERIOD: Duration = Duration::from_millis(50);
 /// Heartbeats that wait while a new leader reads the stored state: one of each worker of a site
-/// of 6,000. The memory that they hold is bounded by the meter of requests under way.
+/// of 6,000. The memory that they hold is bounded by the memory budget of requests under way.
 const MAX_WAITING_HEARTBEATS: usize = 6144;
 /// Users wait at least 2 s. After a longer pause the requests in the sockets are stale.
 const STALE_REQUESTS_AFTER: Duration = Duration::from_secs(2);
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -11,7 +11,9 @@
 use crate::controller::commands::{Command, ControllerHandle};
 use crate::controller::context::ControllerContext;
 use crate::controller::pending_replies::{PendingReplies, PendingReply};
-use crate::protocol::peer::{ForwardedHeartbeat, Outcome, PeerReply, PeerRequest, ShardUpdate};
+use crate::protocol::peer::{
+    CommandOutcome, ForwardedHeartbeat, PeerReply, PeerRequest, ShardUpdate,
+};
 use crate::protocol::worker::{Heartbeat, commands_body};
 use crate::settings::Switch;
 use crate::storage::store::call_peer;
@@ -102,7 +104,7 @@
     }
 
     /// Records the outcome of a command that was relayed for the leader of this token.
-    pub fn record_relay_outcome(&mut self, token: u64, message_id: u64, outcome: Outcome) {
+    pub fn record_relay_outcome(&mut self, token: u64, message_id: u64, outcome: CommandOutcome) {
         if self.forwarder.lease().token == token {
             self.forwarder.record_outcome(message_id, outcome);
         }
@@ -123,10 +125,10 @@
         let (context, handle) = (self.context.clone(), self.handle.clone());
         tokio::spawn(async move {
             let number = status.owner_status.number;
-            let request = PeerRequest::Share(status);
+            let request = PeerRequest::ShardStatus(status);
             let reply = call_peer(context.http.as_ref(), to, &request, STATUS_DEADLINE).await;
             let update = match reply {
-                Some(PeerReply::Granted(update)) => Some(update),
+                Some(PeerReply::ShardUpdate(update)) => Some(update),
                 _ => None,
             };
             if update.is_some() {
--- a/src/coordination/drains/admin.rs
+++ b/src/coordination/drains/admin.rs
@@ -97,7 +97,10 @@
             let listed = worker.instances.iter();
             listed.filter(|(_, instance)| instance.may_exist())
         };
-        let capacity = self.types.get(worker.instance_type).map(|kind| kind.whole);
+        let capacity = self
+            .types
+            .get(worker.instance_type)
+            .map(|kind| kind.capacity);
         let capacity = display_units(&capacity.unwrap_or_default());
         let used = display_units(&worker.used);
         let usage = |resource: usize| views::ResourceUsage {
@@ -182,9 +185,9 @@
     }
 
     /// Returns the view of a job that waits, or `None` if none of its tasks waits any longer.
-    fn waiting_view(&self, id: JobId, reason: String) -> Option<views::Waiting> {
+    fn waiting_view(&self, id: JobId, reason: String) -> Option<views::WaitingJob> {
         let job = &self.jobs[self.jobs.index_of(id)?];
-        (job.waiting() > 0).then(|| views::Waiting {
+        (job.waiting() > 0).then(|| views::WaitingJob {
             job: format!("{id} ({})", job.spec.class),
             tasks: job.waiting(),
             waited_s: self.now - job.accepted_at,
--- a/src/coordination/drains/mod.rs
+++ b/src/coordination/drains/mod.rs
@@ -62,7 +62,11 @@
         if !protected.is_empty() && !confirmed {
             let error = format!("{name} holds tasks of a protected class");
             let protected = protected.into_iter().take(PAGE_SIZE).collect();
-            return self.answer_admin(ticket, 409, &views::Confirm { error, protected });
+            return self.answer_admin(
+                ticket,
+                409,
+                &views::ConfirmationRequired { error, protected },
+            );
         }
         tracing::info!(node = name, ?deadline_s, "drain");
         let now = self.now;
--- a/src/coordination/election/lease_extension.rs
+++ b/src/coordination/election/lease_extension.rs
@@ -66,7 +66,7 @@
     if context.vote_to_extend_lease(token).is_granted() {
         PeerReply::VoteGranted
     } else {
-        PeerReply::Unable
+        PeerReply::Unavailable
     }
 }
 
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -30,8 +30,8 @@
             .enumerate()
             .filter(|(k, _)| job.types.as_ref().is_none_or(|l| l.contains(&(*k as u32))))
             .filter_map(|(_, t)| t.as_ref())
-            .filter(|t| job.spec.needs.fits_in(&t.whole))
-            .map(|t| job.spec.needs.share_of(&t.whole))
+            .filter(|t| job.spec.needs.fits_in(&t.capacity))
+            .map(|t| job.spec.needs.dominant_share_of(&t.capacity))
             .reduce(f64::min)?;
         if smallest_share <= LARGE_TASK_SHARE || job.is_service() {
             return None;
@@ -75,7 +75,7 @@
             && self
                 .types
                 .get(worker.instance_type)
-                .is_some_and(|t| profile.needs.fits_in(&t.whole))
+                .is_some_and(|t| profile.needs.fits_in(&t.capacity))
     }
 
     /// Returns whether a worker lists a task of a profile.
@@ -179,15 +179,15 @@
                 .descriptions
                 .iter()
                 .flatten()
-                .map(|t| t.whole.gpus)
+                .map(|t| t.capacity.gpus)
                 .max();
             return job.is_service()
                 && job.spec.needs.gpus == 0
-                && kind.whole.gpus > 0
-                && Some(kind.whole.gpus) == max_gpus;
+                && kind.capacity.gpus > 0
+                && Some(kind.capacity.gpus) == max_gpus;
         }
         // Only replicas of services are subtracted, as they do not end by themselves.
-        let mut available = kind.whole;
+        let mut available = kind.capacity;
         for key in self.workers[m].instances.keys() {
             if self.jobs[key.job].is_service() {
                 available.sub(&self.jobs[key.job].spec.needs);
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -60,7 +60,7 @@
 
     /// Stops all tasks of a gang in the same step, with a grace period to save a checkpoint.
     pub(super) fn stop_gang(&mut self, ix: u32) {
-        let grace = checkpoint_grace_s(self.jobs[ix].spec.save_s);
+        let grace = checkpoint_grace_s(self.jobs[ix].spec.checkpoint_save_s);
         for m in self.workers.indices() {
             for key in self.instances_of(m, ix) {
                 self.stop_instance(m, key, grace);
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -122,7 +122,7 @@
         for (chunk, version) in chunks {
             self.remove_chunk(id, chunk, version);
         }
-        tracing::info!(job = %id, phase = outcome.phase.spelling(), "job finished");
+        tracing::info!(job = %id, phase = outcome.phase.as_str(), "job finished");
         if self.jobs[ix].listed_instances == 0 {
             self.remove_if_ended(ix);
             return;
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -7,7 +7,7 @@
 use crate::protocol::JobId;
 use crate::protocol::cloud::{ListedWorker, MachineType};
 use crate::protocol::job::JobOutcome;
-pub use crate::protocol::peer::Outcome;
+pub use crate::protocol::peer::CommandOutcome;
 use crate::protocol::peer::{AdminRequest, ForwardedHeartbeat, ShardStatus, ShardUpdate};
 use crate::protocol::worker::{Command, Heartbeat};
 use crate::storage::StoredJob;
@@ -22,7 +22,7 @@
     DirectMessageEnded {
         worker: String,
         message_id: u64,
-        outcome: Outcome,
+        outcome: CommandOutcome,
     },
     /// A shard owner reports the heartbeats of its workers and the outcomes of relayed messages.
     ShardStatus { ticket: u64, status: ShardStatus },
@@ -33,7 +33,7 @@
         controller: u32,
         message_ids: Vec<u64>,
         /// The outcome of each message: unsent or unknown.
-        outcome: Outcome,
+        outcome: CommandOutcome,
     },
     /// The watch on the stored jobs reported a job.
     Job(StoredJob),
--- a/src/coordination/migration/estimates.rs
+++ b/src/coordination/migration/estimates.rs
@@ -46,10 +46,14 @@
             };
         }
         let ran_s = instance.running_since.map_or(0.0, |since| self.now - since);
-        let saves = job.spec.checkpoint_s > 0.0;
+        let saves = job.spec.checkpoint_interval_s > 0.0;
         InstanceEstimate {
             ends_in_s: (job.work_s() - ran_s).max(job.work_s() * MIN_LEFT_SHARE),
-            lost_s: if saves { job.spec.save_s } else { ran_s },
+            lost_s: if saves {
+                job.spec.checkpoint_save_s
+            } else {
+                ran_s
+            },
         }
     }
 
@@ -65,7 +69,7 @@
     ) -> bool {
         let job = &self.jobs[id.job];
         let settings = &self.config.tuning.defragmentation;
-        let saves = job.spec.checkpoint_s > 0.0;
+        let saves = job.spec.checkpoint_interval_s > 0.0;
         let running_since = instance.running_since;
         let has_run_long_enough =
             running_since.is_some_and(|since| self.now - since > MIN_RUN_BEFORE_MOVE_S);
@@ -90,7 +94,7 @@
     pub(super) fn max_stop_s(&self, ix: u32) -> f64 {
         let workers = &self.config.cluster.workers;
         let grace_s = if self.is_multi_task_gang(ix) {
-            checkpoint_grace_s(self.jobs[ix].spec.save_s) + workers.gang_peer_s
+            checkpoint_grace_s(self.jobs[ix].spec.checkpoint_save_s) + workers.gang_peer_s
         } else {
             self.stop_grace_s(ix)
         };
--- a/src/coordination/migration/planner.rs
+++ b/src/coordination/migration/planner.rs
@@ -130,11 +130,11 @@
             .zip(&self.types.descriptions)
             .filter(|(kind, _)| is_allowed(kind))
             .filter_map(|(_, instance_type)| instance_type.as_ref())
-            .filter(|instance_type| needs.fits_in(&instance_type.whole))
+            .filter(|instance_type| needs.fits_in(&instance_type.capacity))
             .map(|instance_type| {
                 instance_type.price / SECONDS_PER_HOUR
                     * running_price_factor
-                    * needs.share_of(&instance_type.whole)
+                    * needs.dominant_share_of(&instance_type.capacity)
             })
             .reduce(f64::min)
     }
@@ -223,7 +223,7 @@
             spot: worker.spot,
             usable,
             freeable: usable && available && (reserved_for_job || reserved_for.is_none()),
-            capacity: kind.whole,
+            capacity: kind.capacity,
             room: match waiting_job.filter(|_| available) {
                 Some(ix) => self.available_resources(m, ix),
                 None => self.available_resources(m, u32::MAX),
@@ -246,7 +246,7 @@
             .map(|(id, instance)| {
                 let spec = &self.jobs[id.job].spec;
                 let lost_s = self.estimate_instance(id, instance).lost_s;
-                let share = spec.needs.share_of(&kind.whole);
+                let share = spec.needs.dominant_share_of(&kind.capacity);
                 defrag::Preemptible {
                     priority: spec.priority as u8,
                     needs: spec.needs,
--- a/src/coordination/model/job.rs
+++ b/src/coordination/model/job.rs
@@ -208,7 +208,7 @@
         if self.is_service() {
             SERVICE_WORK_S
         } else {
-            self.spec.estimate_s.max(1.0)
+            self.spec.estimated_runtime_s.max(1.0)
         }
     }
 
--- a/src/coordination/placement/value.rs
+++ b/src/coordination/placement/value.rs
@@ -62,7 +62,10 @@
             // The task keeps a whole-worker task off this worker, so it is charged for all of it.
             1.0
         } else {
-            self.jobs[ix].spec.needs.share_of(&instance_type.whole)
+            self.jobs[ix]
+                .spec
+                .needs
+                .dominant_share_of(&instance_type.capacity)
         };
         let empty = if worker.used == Resources::default() {
             1.0
@@ -77,7 +80,7 @@
     fn headroom_gate(&self, m: u32, instance_type: &MachineType) -> f64 {
         let tuning = &self.config.tuning;
         let room = self.free_resources(m);
-        let whole = &instance_type.whole;
+        let whole = &instance_type.capacity;
         let headroom = free_share(room.cpus, whole.cpus)
             .min(free_share(room.memory, whole.memory))
             .min(free_share(room.gpus, whole.gpus).max(MIN_GPU_HEADROOM));
--- a/src/coordination/preemption/single_tasks.rs
+++ b/src/coordination/preemption/single_tasks.rs
@@ -138,7 +138,8 @@
             .filter(|&m| self.workers[m].reservations.is_empty())
             .filter(|&m| {
                 let instance_type = self.types.get(self.workers[m].instance_type);
-                instance_type.is_some_and(|t| needs.share_of(&t.whole) > DRAIN_MIN_SHARE)
+                instance_type
+                    .is_some_and(|t| needs.dominant_share_of(&t.capacity) > DRAIN_MIN_SHARE)
             })
             .filter_map(|m| self.seconds_until_room(&needs, m).map(|in_s| (m, in_s)))
             .min_by(|a, b| a.1.total_cmp(&b.1).then(a.0.cmp(&b.0)));
--- a/src/coordination/preemption/victims.rs
+++ b/src/coordination/preemption/victims.rs
@@ -134,8 +134,8 @@
     fn lost_work(&self, key: &InstanceId, instance: &TaskInstance) -> f64 {
         let job = &self.jobs[key.job];
         let ran_s = instance.running_since.map_or(0.0, |at| self.now - at);
-        let lost_s = if job.spec.checkpoint_s > 0.0 {
-            job.spec.save_s
+        let lost_s = if job.spec.checkpoint_interval_s > 0.0 {
+            job.spec.checkpoint_save_s
         } else {
             ran_s
         };
@@ -148,8 +148,8 @@
     /// the job takes none.
     pub(in crate::coordination) fn stop_grace_s(&self, ix: u32) -> f64 {
         let spec = &self.jobs[ix].spec;
-        if spec.checkpoint_s > 0.0 {
-            checkpoint_grace_s(spec.save_s)
+        if spec.checkpoint_interval_s > 0.0 {
+            checkpoint_grace_s(spec.checkpoint_save_s)
         } else {
             0.0
         }
--- a/src/coordination/provisioning/boots.rs
+++ b/src/coordination/provisioning/boots.rs
@@ -75,7 +75,7 @@
                 Some(AvailableWorker {
                     kind: worker.kind,
                     spot: worker.spot,
-                    free: kind.whole,
+                    free: kind.capacity,
                 })
             })
             .collect()
--- a/src/coordination/provisioning/scale_out.rs
+++ b/src/coordination/provisioning/scale_out.rs
@@ -247,7 +247,7 @@
             let mut worker = AvailableWorker {
                 kind: pool.kind,
                 spot: pool.spot,
-                free: kind.whole,
+                free: kind.capacity,
             };
             remaining = worker.pack_tasks(&needs, remaining);
             plan.available.push(worker);
@@ -323,10 +323,10 @@
         for (kind, described) in (0u32..).zip(&self.types.descriptions) {
             let Some(described) = described else { continue };
             let allowed = job.types.as_ref().is_none_or(|types| types.contains(&kind));
-            if !allowed || !job.spec.needs.fits_in(&described.whole) {
+            if !allowed || !job.spec.needs.fits_in(&described.capacity) {
                 continue;
             }
-            let share = job.spec.needs.share_of(&described.whole);
+            let share = job.spec.needs.dominant_share_of(&described.capacity);
             for zone in 0..self.zones.len() as u32 {
                 let offered = described.zones.iter().any(|z| z == self.zones.name(zone));
                 let unresponsive = zones_unresponsive[zone as usize];
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -109,7 +109,7 @@
         {
             return None;
         }
-        let mut available = self.types.get(worker.instance_type)?.whole;
+        let mut available = self.types.get(worker.instance_type)?.capacity;
         let mut replicas = Vec::new();
         let instances = worker.instances.iter();
         for (id, instance) in instances.filter(|(_, instance)| instance.may_exist()) {
--- a/src/coordination/reconciliation/command_outcomes.rs
+++ b/src/coordination/reconciliation/command_outcomes.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::worker::Heartbeat;
 
-use crate::coordination::messages::{Effect, HeartbeatSource, Outcome};
+use crate::coordination::messages::{CommandOutcome, Effect, HeartbeatSource};
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 
@@ -11,7 +11,12 @@
 
 impl Core {
     /// Handles the outcome of a direct message to a worker.
-    pub(crate) fn handle_command_outcome(&mut self, name: &str, message_id: u64, outcome: Outcome) {
+    pub(crate) fn handle_command_outcome(
+        &mut self,
+        name: &str,
+        message_id: u64,
+        outcome: CommandOutcome,
+    ) {
         let Some(m) = self.workers.index_of(name) else {
             return;
         };
@@ -19,22 +24,22 @@
         let Some(message) = in_flight.take_if(|message| message.id == message_id) else {
             return;
         };
-        let answered = !matches!(outcome, Outcome::Unsent | Outcome::Unknown);
+        let answered = !matches!(outcome, CommandOutcome::Unsent | CommandOutcome::Unknown);
         self.record_command_result(m, answered);
         let worker = &mut self.workers[m];
         worker.commands_unanswered =
             !answered && (message.has_commands || worker.commands_unanswered);
         match outcome {
-            Outcome::Unsent => {
+            CommandOutcome::Unsent => {
                 self.record_unanswered_message(m, &message);
                 self.remove_unexecuted_starts(m, &message);
             }
-            Outcome::Executed(heartbeat) => {
+            CommandOutcome::Executed(heartbeat) => {
                 self.workers[m].next_message_at = self.now;
                 self.apply_direct_answer(m, &message, heartbeat, true);
             }
-            Outcome::Rejected(heartbeat) => self.handle_rejection(m, &message, heartbeat),
-            Outcome::Unknown => self.handle_unknown_outcome(m, &message),
+            CommandOutcome::Rejected(heartbeat) => self.handle_rejection(m, &message, heartbeat),
+            CommandOutcome::Unknown => self.handle_unknown_outcome(m, &message),
         }
     }
 
--- a/src/coordination/reconciliation/task_status.rs
+++ b/src/coordination/reconciliation/task_status.rs
@@ -126,7 +126,7 @@
                 self.workers[m].failed_jobs.insert(id.job, avoid_until);
             }
             Exit::Busy | Exit::Unknown => self.delay_retry(id, BUSY_RETRY_S),
-            Exit::Stopped { .. } | Exit::PeersGone | Exit::Alone => {}
+            Exit::Stopped { .. } | Exit::PeersGone | Exit::GangTimeout => {}
         }
         if exit != Exit::Done {
             self.abort_gang_attempt(id);
--- a/src/coordination/sharding/relays.rs
+++ b/src/coordination/sharding/relays.rs
@@ -5,7 +5,7 @@
 use crate::coordination::model::*;
 use crate::coordination::state::Core;
 use crate::coordination::time::ceil_ms;
-use crate::protocol::peer::Outcome;
+use crate::protocol::peer::CommandOutcome;
 
 use super::Sharding;
 
@@ -116,7 +116,7 @@
         &mut self,
         controller: u32,
         message_ids: Vec<u64>,
-        outcome: &Outcome,
+        outcome: &CommandOutcome,
     ) {
         if let Some(sharding) = &mut self.sharding {
             let now = ceil_ms(self.now);
@@ -133,12 +133,12 @@
             return;
         };
         for message_id in sharding.relayed.overdue(self.now) {
-            self.end_relayed_message(message_id, Outcome::Unknown);
+            self.end_relayed_message(message_id, CommandOutcome::Unknown);
         }
     }
 
     /// Ends a message that a relay lost. The worker does not count as having failed to answer.
-    fn end_relayed_message(&mut self, message_id: u64, outcome: Outcome) {
+    fn end_relayed_message(&mut self, message_id: u64, outcome: CommandOutcome) {
         let sharding = self.sharding.as_mut();
         let Some(name) = sharding.and_then(|s| s.relayed.remove(message_id)) else {
             return;
--- a/src/coordination/sharding/status.rs
+++ b/src/coordination/sharding/status.rs
@@ -38,7 +38,7 @@
         sharding.traffic.record_status(status.forwarded.len());
         // The owner status is applied first, because heartbeats of workers that the owner has
         // released are routed by it.
-        let (owner_status, has_forwarded_all) = (&status.owner_status, status.all);
+        let (owner_status, has_forwarded_all) = (&status.owner_status, status.complete);
         let lease = sharding.coordinator.handle_status(
             now,
             from,
@@ -98,7 +98,7 @@
         let ForwardedHeartbeat {
             heartbeat,
             age_ms,
-            waits,
+            awaits_reply,
         } = forwarded;
         let m = self.worker_of(&heartbeat).ok()?;
         if self.is_duplicate_heartbeat(m, &heartbeat, from) {
@@ -106,7 +106,7 @@
         }
         let received_at = self.now - age_ms as f64 / 1000.0;
         let is_newer = self.is_newer(m, &heartbeat);
-        if is_newer || waits {
+        if is_newer || awaits_reply {
             let worker = &mut self.workers[m];
             worker.last_heartbeat_at = worker.last_heartbeat_at.or_later(received_at);
             worker.reported_at = worker.reported_at.or_later(received_at);
@@ -115,11 +115,11 @@
         if is_newer {
             self.apply_forwarded_heartbeat(m, heartbeat, received_at);
         }
-        if is_outdated || !(is_newer || waits) {
+        if is_outdated || !(is_newer || awaits_reply) {
             return None;
         }
-        match self.route_heartbeat(m, from, waits) {
-            Route::Redirect(to) if waits => Some(to),
+        match self.route_heartbeat(m, from, awaits_reply) {
+            Route::Redirect(to) if awaits_reply => Some(to),
             _ => None,
         }
     }
--- a/src/coordination/start_conditions.rs
+++ b/src/coordination/start_conditions.rs
@@ -129,7 +129,7 @@
         let Some(instance_type) = self.types.get(worker.instance_type) else {
             return Resources::default();
         };
-        let mut free = instance_type.whole;
+        let mut free = instance_type.capacity;
         free.sub(&worker.used);
         free
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,13 +6,13 @@
 
 use clap::{Parser, Subcommand};
 use copperfield::api::Api;
-use copperfield::protocol::{MAX_BODY, MAX_PEER_BODY};
+use copperfield::protocol::{MAX_BODY_BYTES, MAX_PEER_BODY_BYTES};
 use copperfield::settings::{
     LeaderTtlTooLong, Limits, Log, LogFormat, Settings, SettingsError, Tuning, default_tuning_path,
 };
 use copperfield::transport::client::HttpClient;
 use copperfield::transport::server::{bind, serve};
-use copperfield_http::Meter;
+use copperfield_http::MemoryBudget;
 use thiserror::Error;
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::filter::Targets;
@@ -215,7 +215,7 @@
     // The rest of the sockets is for the controller's own calls, above all to workers.
     let max_public_connections = limits.max_sockets * 6 / 10;
     let max_peer_connections = limits.max_sockets / 20;
-    let meter = Meter::new(connection_memory_bytes(limits));
+    let memory_budget = MemoryBudget::new(connection_memory_bytes(limits));
     // Before anything else: while an earlier process of this member has its addresses, this one
     // does nothing in the member's name. As its successor it may remove its leader key.
     let public_listener = bind(settings.public_addr).await?;
@@ -226,15 +226,15 @@
     let public_server = serve(
         public_listener,
         max_public_connections,
-        MAX_BODY,
-        meter.clone(),
+        MAX_BODY_BYTES,
+        memory_budget.clone(),
         move |request| public_api.clone().public(request),
     );
     let peer_server = serve(
         peer_listener,
         max_peer_connections,
-        MAX_PEER_BODY,
-        meter,
+        MAX_PEER_BODY_BYTES,
+        memory_budget,
         move |request| api.clone().peer(request),
     );
     // Whichever of these ends, the process is of no use any more.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -108,7 +108,7 @@
 
 /// The value stored for a job that has ended.
 pub fn terminal_record(outcome: JobOutcome) -> Value {
-    json!({"phase": outcome.phase.spelling(), "done": outcome.done})
+    json!({"phase": outcome.phase.as_str(), "done": outcome.done})
 }
 
 /// Reads what [`terminal_record`] wrote. Records of earlier versions lack the number of tasks.
--- a/src/storage/store/relay.rs
+++ b/src/storage/store/relay.rs
@@ -24,7 +24,7 @@
     /// circles.
     pub async fn relay(&self, method: &str, path: &str, body: Vec<u8>) -> PeerReply {
         let Ok(method) = Method::from_bytes(method.as_bytes()) else {
-            return PeerReply::Unable;
+            return PeerReply::Unavailable;
         };
         self.requests.acquire(1.0, Urgency::Normal).await;
         if method == Method::POST {
@@ -38,7 +38,7 @@
             Err(StoreError::Refused(status)) => refusal(status),
             Err(StoreError::NotReached) => refusal(UNAVAILABLE),
             // A peer cannot distinguish "unknown" from "unable": it gets the worse of the two.
-            Err(_) => PeerReply::Unable,
+            Err(_) => PeerReply::Unavailable,
         }
     }
 
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use copperfield_http::{ClientClass, Meter, ServerConfig};
+use copperfield_http::{ClientClass, MemoryBudget, ServerConfig};
 use http_body_util::BodyExt;
 use serde_json::json;
 use tokio::net::TcpListener;
@@ -101,7 +101,7 @@
 /// Serves `handler` on a bound address until the process ends, on at most `max_connections`
 /// connections. The next is left in the queue of the system, where a load balancer
 /// soon finds another controller for it; without a limit, clients that stall took the
-/// sockets with which the leader reaches everyone else. `meter` limits what the requests in
+/// sockets with which the leader reaches everyone else. `memory_budget` limits what the requests in
 /// flight hold together.
 ///
 /// # Errors
@@ -110,7 +110,7 @@
     listener: TcpListener,
     max_connections: usize,
     max_body: u64,
-    meter: Meter,
+    memory_budget: MemoryBudget,
     handler: H,
 ) -> std::io::Result<()>
 where
@@ -124,7 +124,7 @@
         request_timeout: REQUEST_TIMEOUT,
         max_body,
         reserved_fraction: RESERVED_FRACTION,
-        meter,
+        memory_budget,
         client_class,
         error_response,
     };
