--- a/src/api/admin.rs
+++ b/src/api/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' requests, which the leader answers.
+//! Operators' requests, which only the leader can answer.
 
 use copperfield_admin::views::DrainOrder;
 use subtle::ConstantTimeEq;
@@ -12,7 +12,7 @@
 use crate::protocol::peer::{AdminRequest, PeerReply, PeerRequest};
 use crate::transport::server::{Incoming, Outgoing};
 
-/// Longest time to a drain's deadline, in seconds.
+/// The longest allowed time until a drain's deadline, in seconds.
 const MAX_DRAIN_DEADLINE_S: f64 = 1e6;
 
 impl Api {
@@ -21,38 +21,38 @@
         let operators = self.context.tuning.operators.as_ref();
         let key = &operators.ok_or(ApiError::NoSuchPath)?.key;
         let authorization = request.authorization.as_deref().unwrap_or_default();
-        let given = authorization.strip_prefix("Bearer ").unwrap_or_default();
-        if !bool::from(given.as_bytes().ct_eq(key.as_bytes())) {
+        let given_key = authorization.strip_prefix("Bearer ").unwrap_or_default();
+        if !bool::from(given_key.as_bytes().ct_eq(key.as_bytes())) {
             return Err(ApiError::Unauthorized);
         }
         Ok(())
     }
 
-    /// Answers an operator, here or through the leader.
+    /// Answers an operator's request as the leader, or forwards it to the leader.
     pub(super) async fn admin(&self, request: AdminRequest) -> Result<Outgoing, ApiError> {
-        if let Some(answer) = self.admin_as_leader(request.clone()).await {
-            return Ok(answer);
+        if let Some(response) = self.admin_as_leader(request.clone()).await {
+            return Ok(response);
         }
         let LocalLookups { leader, .. } = self.look_up_all_locally(Vec::new()).await;
         let request = PeerRequest::Admin(request);
         match call_leader(&self.context, leader.as_deref(), request, CANCEL_DEADLINE).await {
-            Some(PeerReply::AdminResponse { status, body }) => Ok(answer(status, body)),
+            Some(PeerReply::AdminResponse { status, body }) => Ok(response(status, body)),
             _ => Err(ApiError::NoLeader),
         }
     }
 
-    /// `None` if this controller does not lead.
+    /// Answers an operator's request as the leader; `None` if this controller does not lead.
     pub(super) async fn admin_as_leader(&self, request: AdminRequest) -> Option<Outgoing> {
-        let response = self
+        let reply = self
             .handle
             .ask(|reply| Command::Admin { request, reply })
             .await;
-        let AdminResponse { status, body } = response.flatten()?;
-        Some(answer(status, body))
+        let AdminResponse { status, body } = reply.flatten()?;
+        Some(response(status, body))
     }
 }
 
-fn answer(status: u16, body: Vec<u8>) -> Outgoing {
+fn response(status: u16, body: Vec<u8>) -> Outgoing {
     Outgoing {
         status,
         body,
@@ -60,15 +60,15 @@
     }
 }
 
-/// What an operator asks by HTTP, at `page` below the operators' path.
+/// Parses an operator's HTTP request. `page` is its path without the operators' prefix.
 pub(super) fn parse_request(request: &Incoming, page: &str) -> Result<AdminRequest, ApiError> {
     if request.method == Method::GET {
         return parse_get(request, page);
     }
-    let named = page
+    let node_and_action = page
         .strip_prefix("nodes/")
         .and_then(|rest| rest.split_once('/'));
-    match named {
+    match node_and_action {
         Some((node, "drain")) => parse_drain(node, &request.body),
         Some((node, "undrain")) => Ok(AdminRequest::Undrain { node: node.into() }),
         _ => Err(ApiError::NoSuchAdminPage),
@@ -94,7 +94,7 @@
     if let Some(deadline_s) = drain.deadline_s
         && !(0.0..=MAX_DRAIN_DEADLINE_S).contains(&deadline_s)
     {
-        return Err(ApiError::DrainDeadline(deadline_s));
+        return Err(ApiError::InvalidDrainDeadline(deadline_s));
     }
     Ok(AdminRequest::Drain {
         node: node.into(),
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -1,11 +1,11 @@
-//! Cancellations of jobs: by the leader, or by any controller while nobody leads.
+//! Cancellation of jobs, by the leader or, while there is no leader, by any controller.
 
 use std::time::Duration;
 
 use tokio::time::sleep;
 
 use super::error::ApiError;
-use super::lookup::{LocalLookup, remember};
+use super::lookup::{LocalLookup, cache_outcome};
 use super::peers::call_leader;
 use super::{Api, CANCEL_DEADLINE, outcome_answer};
 use crate::controller::commands::{BegunCancellation, Command};
@@ -19,30 +19,32 @@
 use crate::transport::rate_limiter::Urgency;
 use crate::transport::server::Outgoing;
 
-/// Before the leader is asked again to begin while another outcome of the job is being stored.
-const BEGIN_RETRY: Duration = Duration::from_millis(30);
-/// Before the leader tries again to store a cancellation.
-const STORE_RETRY: Duration = Duration::from_millis(200);
+/// The delay before the leader is asked again to begin a cancellation, after it refused because
+/// another outcome of the job is being stored.
+const BEGIN_RETRY_DELAY: Duration = Duration::from_millis(30);
+/// The delay before the leader tries again to store a cancellation.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A cancellation for which the leader starts nothing of the job any more.
+/// A cancellation that the leader has begun: it no longer starts tasks of the job.
 struct CancellationInProgress {
-    /// Tasks of the job that are known to be completed.
+    /// The number of the job's tasks that are known to be completed.
     done: u32,
     /// The fencing token of the leader.
     token: u64,
 }
 
 impl Api {
-    /// Cancels a job, as its user asks.
+    /// Answers a user's request to cancel a job.
     pub(super) async fn cancel(&self, id: JobId) -> Result<Outgoing, ApiError> {
-        match self.cancel_anywhere(id).await {
+        match self.cancel_job(id).await {
             Lookup::Terminal(outcome) => Ok(outcome_answer(id, outcome)),
             Lookup::NotFound => Err(ApiError::NoSuchJob),
             _ => Err(ApiError::NotStored),
         }
     }
 
-    async fn cancel_anywhere(&self, id: JobId) -> Lookup {
+    /// Cancels a job as the leader, through the leader, or without a leader if none answers.
+    async fn cancel_job(&self, id: JobId) -> Lookup {
         let LocalLookup { result, leader } = self.look_up_locally(id).await;
         match result {
             Lookup::Terminal(_) => return result,
@@ -51,29 +53,31 @@
         }
         let request = PeerRequest::CancelJob(id);
         match call_leader(&self.context, leader.as_deref(), request, CANCEL_DEADLINE).await {
-            Some(PeerReply::Cancelled(found @ (Lookup::Terminal(_) | Lookup::NotFound))) => {
-                remember(&self.handle, id, found).await;
-                found
+            Some(PeerReply::Cancelled(result @ (Lookup::Terminal(_) | Lookup::NotFound))) => {
+                cache_outcome(&self.handle, id, result).await;
+                result
             }
             _ => self.cancel_without_leader(id).await,
         }
     }
 
-    /// The leader first stops starting anything of the job, then stores the cancellation, and goes
-    /// on trying when the user no longer waits.
+    /// Cancels a job as the leader: stops starting its tasks, then stores the cancellation. Storing
+    /// is tried again even after the user's request has timed out.
     pub(super) async fn cancel_as_leader(&self, id: JobId) -> Lookup {
-        let started = match self.begin_cancellation(id).await {
-            Ok(started) => started,
-            Err(known) => return known,
+        let cancellation = match self.begin_cancellation(id).await {
+            Ok(cancellation) => cancellation,
+            Err(result) => return result,
         };
-        let this = self.clone();
-        // Deliberately not ended with this future: once started, a cancellation must be settled.
-        let settled = tokio::spawn(async move { this.settle_cancellation(id, started).await });
+        let api = self.clone();
+        // Spawned so that it outlives this future: a cancellation that has begun must be settled.
+        let settled = tokio::spawn(async move { api.settle_cancellation(id, cancellation).await });
         settled.await.unwrap_or(Lookup::NotLeader)
     }
 
+    /// Makes the core stop starting tasks of the job.
+    ///
     /// # Errors
-    /// What is known of the job, if there is nothing to cancel here.
+    /// The result of the cancellation, if the job has ended or this controller does not lead.
     async fn begin_cancellation(&self, id: JobId) -> Result<CancellationInProgress, Lookup> {
         loop {
             let begun = self
@@ -85,7 +89,7 @@
             };
             match decision {
                 CancelDecision::Terminal(outcome) => return Err(Lookup::Terminal(outcome)),
-                CancelDecision::Busy => sleep(BEGIN_RETRY).await,
+                CancelDecision::Busy => sleep(BEGIN_RETRY_DELAY).await,
                 CancelDecision::Go { done } => {
                     return Ok(CancellationInProgress { done, token });
                 }
@@ -93,55 +97,57 @@
         }
     }
 
-    /// Stores a cancellation, however long it takes, while this controller leads.
-    async fn settle_cancellation(&self, id: JobId, started: CancellationInProgress) -> Lookup {
-        let CancellationInProgress { done, token } = started;
+    /// Tries to store a cancellation until that succeeds or this controller no longer leads.
+    async fn settle_cancellation(&self, id: JobId, cancellation: CancellationInProgress) -> Lookup {
+        let CancellationInProgress { done, token } = cancellation;
         let guards = [Condition::at_version(LEADER, token)];
         while self.context.leadership.leads(token) {
-            if let Ok(found) = self.store_cancelled(id, done, &guards).await {
-                let end = match found {
+            if let Ok(result) = self.store_cancelled(id, done, &guards).await {
+                let outcome = match result {
                     Lookup::Terminal(outcome) => Some(outcome),
                     _ => None,
                 };
                 self.handle
-                    .send(Command::FinishCancellation {
-                        job: id,
-                        outcome: end,
-                    })
+                    .send(Command::FinishCancellation { job: id, outcome })
                     .await;
-                return found;
+                return result;
             }
-            sleep(STORE_RETRY).await;
+            sleep(STORE_RETRY_DELAY).await;
         }
         Lookup::NotLeader
     }
 
-    /// Without a leader nobody starts anything or answers from memory, and the next one reads what
-    /// is stored here. With one, it must be the leader: else it might still answer users that the job
-    /// is running.
+    /// Cancels a job while there is no leader.
+    ///
+    /// Without a leader, no controller starts tasks or answers lookups from memory, and the next
+    /// leader reads the stored cancellation. While there is a leader, only the leader may cancel,
+    /// because it could otherwise still answer users that the job is running.
     async fn cancel_without_leader(&self, id: JobId) -> Lookup {
         if !self.context.leadership.begin_leaderless_cancellation() {
             return Lookup::NotLeader;
         }
-        let this = self.clone();
-        // Deliberately not ended with this future: its end must always be recorded.
+        let api = self.clone();
+        // Spawned so that it outlives this future: the end of the cancellation must be recorded in
+        // any case.
         let stored = tokio::spawn(async move {
-            let found = this.store_leaderless(id).await;
-            this.context.leadership.end_leaderless_cancellation();
-            remember(&this.handle, id, found).await;
-            found
+            let result = api.store_leaderless(id).await;
+            api.context.leadership.end_leaderless_cancellation();
+            cache_outcome(&api.handle, id, result).await;
+            result
         });
         stored.await.unwrap_or(Lookup::NotLeader)
     }
 
-    /// The transaction may be carried out minutes later, when this process is gone and its
-    /// successor has voted for a leader. So it is guarded by the term marker, which every election
-    /// changes, read before the leader key is seen to be missing; a vote withheld by this process
-    /// would not bind its successor.
+    /// Stores a cancellation on the condition that no leader has been elected since.
+    ///
+    /// The state service may apply the transaction minutes later, when this process has ended and
+    /// its successor has voted for a leader. Withholding this process's vote would not bind the
+    /// successor. The transaction is therefore guarded by the term marker, which every election
+    /// changes and which is read before the leader key is found to be missing.
     async fn store_leaderless(&self, id: JobId) -> Lookup {
         let store = &self.context.store;
-        let marker = store.get(FOUNDED, Urgency::High, true).await;
-        let Ok(term) = marker.map(|item| item.map_or(0, |item| item.version)) else {
+        let term_marker = store.get(FOUNDED, Urgency::High, true).await;
+        let Ok(marker_version) = term_marker.map(|item| item.map_or(0, |item| item.version)) else {
             return Lookup::NotLeader;
         };
         let Ok(None) = store.get(LEADER, Urgency::High, true).await else {
@@ -149,7 +155,7 @@
         };
         let guards = [
             Condition::absent(LEADER),
-            Condition::at_version(FOUNDED, term),
+            Condition::at_version(FOUNDED, marker_version),
         ];
         let stored = self.store_cancelled(id, 0, &guards).await;
         stored.unwrap_or(Lookup::NotLeader)
@@ -158,8 +164,9 @@
     /// Stores the cancellation of a job, unless it has ended or does not exist.
     ///
     /// # Errors
-    /// The state service does not answer, refuses, or a guard failed. The job is to be read again:
-    /// the transaction may have been carried out, or the job may have ended.
+    /// The state service does not answer or refuses, or a condition is not met. The job must be
+    /// read again before a retry, because the transaction may have been applied or the job may have
+    /// ended.
     async fn store_cancelled(
         &self,
         id: JobId,
@@ -167,15 +174,15 @@
         guards: &[Condition],
     ) -> Result<Lookup, StoreError> {
         let store = &self.context.store;
-        let live = store.get(&job_key(id), Urgency::High, true).await?;
+        let job_item = store.get(&job_key(id), Urgency::High, true).await?;
         if let Some(outcome) = store.terminal(id, Urgency::High).await? {
             return Ok(Lookup::Terminal(outcome));
         }
-        let Some(live) = live else {
+        let Some(job_item) = job_item else {
             return Ok(Lookup::NotFound);
         };
         let mut conditions = vec![
-            Condition::at_version(job_key(id), live.version),
+            Condition::at_version(job_key(id), job_item.version),
             Condition::absent(terminal_key(id)),
         ];
         conditions.extend_from_slice(guards);
--- a/src/api/error.rs
+++ b/src/api/error.rs
@@ -1,18 +1,18 @@
-//! Every refusal of the HTTP interfaces, with its status and its text.
+//! The errors that the HTTP interfaces return, with their status codes and texts.
 
 use std::time::Duration;
 
 use warp::http::StatusCode;
 
-use super::submission::CannotRun;
+use super::submission::Unschedulable;
 use crate::protocol::job::InvalidField;
 use crate::protocol::worker::InvalidHeartbeat;
 use crate::transport::server::Outgoing;
 
-/// Why a request is refused. The text is what the client reads as `error` in the body.
+/// Why a request is refused. The client receives the text as `error` in the body.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ApiError {
-    /// The process was paused: the client may no longer wait, or can ask again at once.
+    /// The process was paused, so that the client may have timed out. It can retry at once.
     #[error("this node stood still")]
     ProcessPaused,
     #[error("no such path")]
@@ -35,7 +35,7 @@
     #[error(transparent)]
     InvalidSubmission(#[from] InvalidField),
     #[error(transparent)]
-    CannotRun(#[from] CannotRun),
+    Unschedulable(#[from] Unschedulable),
     #[error("description: too large to be stored")]
     SubmissionTooLarge,
     #[error("the machine types are not known yet")]
@@ -48,7 +48,7 @@
     #[error(transparent)]
     InvalidHeartbeat(#[from] InvalidHeartbeat),
     #[error("address: not an IP address and port")]
-    WorkerAddress,
+    InvalidWorkerAddress,
 
     #[error("the key is missing or wrong")]
     Unauthorized,
@@ -57,7 +57,7 @@
     #[error("drain: {0}")]
     InvalidDrain(serde_json::Error),
     #[error("deadline_s: found {0}, allowed is 0 to 1000000")]
-    DrainDeadline(f64),
+    InvalidDrainDeadline(f64),
     #[error("no leader answers")]
     NoLeader,
 
@@ -74,14 +74,14 @@
             | Self::InvalidSubmission(_)
             | Self::SubmissionTooLarge
             | Self::InvalidHeartbeat(_)
-            | Self::WorkerAddress
+            | Self::InvalidWorkerAddress
             | Self::InvalidDrain(_)
-            | Self::DrainDeadline(_)
+            | Self::InvalidDrainDeadline(_)
             | Self::UnknownPeerMessage { .. } => StatusCode::BAD_REQUEST,
             Self::Unauthorized => StatusCode::UNAUTHORIZED,
             Self::NoSuchPath | Self::NoSuchJob | Self::NoSuchAdminPage => StatusCode::NOT_FOUND,
             Self::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
-            Self::CannotRun(_) => StatusCode::UNPROCESSABLE_ENTITY,
+            Self::Unschedulable(_) => StatusCode::UNPROCESSABLE_ENTITY,
             Self::ProcessPaused
             | Self::NotStoredInTime
             | Self::NoAnswerInTime
@@ -95,7 +95,8 @@
         }
     }
 
-    /// When the client should try again, in seconds; `None` where it should not, or elsewhere.
+    /// After how many seconds the client should retry; `None` if it should not retry, or only with
+    /// another controller.
     fn retry_after_s(&self) -> Option<u32> {
         match self {
             Self::WriteBacklog { backlog } => Some(backlog.as_secs() as u32 + 1),
@@ -114,10 +115,10 @@
 
 impl From<ApiError> for Outgoing {
     fn from(error: ApiError) -> Self {
-        let answer = Self::error(error.status().as_u16(), &error.to_string());
+        let response = Self::error(error.status().as_u16(), &error.to_string());
         Self {
             retry_after_s: error.retry_after_s(),
-            ..answer
+            ..response
         }
     }
 }
--- a/src/api/health.rs
+++ b/src/api/health.rs
@@ -1,4 +1,4 @@
-//! Whether a load balancer should send requests to this controller.
+//! The health check, which tells a load balancer whether to send requests to this controller.
 
 use serde_json::json;
 
@@ -6,16 +6,17 @@
 use super::error::ApiError;
 use crate::transport::server::Outgoing;
 
-/// A controller that neither the state service nor a peer answers for so long cannot take
-/// requests.
-const CUT_OFF_S: f64 = 6.0;
+/// A controller is unhealthy if neither the state service nor any peer has answered it for this
+/// long.
+const CUT_OFF_AFTER_S: f64 = 6.0;
 
 impl Api {
+    /// Answers a health check.
     pub(super) fn health(&self) -> Result<Outgoing, ApiError> {
         let context = &self.context;
-        let cut_off = context.store.unanswered_s() > CUT_OFF_S
+        let cut_off = context.store.unanswered_s() > CUT_OFF_AFTER_S
             && !context.settings.peers.is_empty()
-            && context.seconds_since_peer_contact() > CUT_OFF_S;
+            && context.seconds_since_peer_contact() > CUT_OFF_AFTER_S;
         if cut_off {
             return Err(ApiError::CutOff);
         }
--- a/src/api/heartbeat.rs
+++ b/src/api/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers.
+//! Heartbeats from workers.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::protocol::worker::Heartbeat;
 use crate::transport::server::Outgoing;
 
-/// The worker is to report to another controller.
+/// The status that tells a worker to report to another controller.
 const REDIRECT: u16 = StatusCode::MISDIRECTED_REQUEST.as_u16();
 
 impl Api {
@@ -19,15 +19,18 @@
     pub(super) async fn heartbeat(&self, body: &[u8]) -> Result<Outgoing, ApiError> {
         let heartbeat = Heartbeat::parse(body)?;
         if heartbeat.address.parse::<SocketAddr>().is_err() {
-            return Err(ApiError::WorkerAddress);
+            return Err(ApiError::InvalidWorkerAddress);
         }
         let answer = self
             .handle
             .ask(|reply| Command::Heartbeat { heartbeat, reply })
             .await;
         match answer {
-            // Checked again as the answer leaves: the process may have been paused since.
-            Some(answer) if answer.status == REDIRECT || self.context.may_answer() => Ok(answer),
+            // Checked again before the answer is sent: the process may have been paused since the
+            // event loop answered.
+            Some(answer) if answer.status == REDIRECT || self.context.may_answer_workers() => {
+                Ok(answer)
+            }
             _ => Ok(Outgoing::json(REDIRECT, &json!({}))),
         }
     }
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -1,4 +1,4 @@
-//! How a job stands: from this controller's memory, from the leader's, or from the state service.
+//! Lookups of a job's state: in this controller's memory, in the leader's, or in the state service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,29 +17,31 @@
 use crate::storage::store::StoreError;
 use crate::transport::server::Outgoing;
 
-/// Lookups that wait to be sent to the leader, at most.
+/// The maximum number of lookups that wait to be sent to the leader.
 const MAX_PENDING_LOOKUPS: usize = 1024;
 const MAX_LOOKUPS_PER_MESSAGE: usize = 256;
-/// Messages with lookups that the leader has not answered, at most.
+/// The maximum number of messages with lookups that the leader has not answered yet.
 const MAX_MESSAGES_IN_FLIGHT: usize = 4;
-/// Reads may be queued for so long before users get none of them.
-const READ_BACKLOG: Duration = Duration::from_millis(500);
+/// The longest backlog of reads at which a lookup still reads from the state service.
+const MAX_READ_BACKLOG: Duration = Duration::from_millis(500);
 
-/// What this controller knows of some jobs, and who leads as far as it knows.
+/// What this controller knows about a list of jobs, and the leader if it knows one.
 pub(super) struct LocalLookups {
-    /// One for each job, in the same order; empty if the event loop has ended.
+    /// One result for each job, in the same order. Empty if the event loop has ended.
     pub results: Vec<Lookup>,
+    /// The member name of the leader.
     pub leader: Option<String>,
 }
 
-/// What this controller knows of one job, and who leads as far as it knows.
+/// What this controller knows about one job, and the leader if it knows one.
 pub(super) struct LocalLookup {
     pub result: Lookup,
+    /// The member name of the leader.
     pub leader: Option<String>,
 }
 
 impl Api {
-    /// Answers a user who asks how a job stands.
+    /// Answers a user's request for the state of a job.
     pub(super) async fn answer_lookup(&self, id: JobId) -> Result<Outgoing, ApiError> {
         match self.look_up(id).await {
             Lookup::Terminal(outcome) => Ok(outcome_answer(id, outcome)),
@@ -48,8 +50,8 @@
                 done,
                 running,
             } => Ok(phase_answer(id, phase, done, running)),
-            // Nobody waits in a queue: what cannot be read soon is to be asked again.
-            _ if self.context.store.read_backlog() > READ_BACKLOG => Err(ApiError::ReadBacklog),
+            // Refused rather than queued: the user is asked to retry if the read would be late.
+            _ if self.context.store.read_backlog() > MAX_READ_BACKLOG => Err(ApiError::ReadBacklog),
             _ => match self.stored_outcome(id).await {
                 Ok(Some(outcome)) => Ok(outcome_answer(id, outcome)),
                 Ok(None) => Err(ApiError::NoSuchJob),
@@ -63,12 +65,12 @@
         if let Some(outcome) = stored
             && outcome.phase.is_terminal()
         {
-            remember(&self.handle, id, Lookup::Terminal(outcome)).await;
+            cache_outcome(&self.handle, id, Lookup::Terminal(outcome)).await;
         }
         Ok(stored)
     }
 
-    /// What this controller or the leader knows of a job.
+    /// Looks up a job in the memory of this controller or of the leader.
     async fn look_up(&self, job: JobId) -> Lookup {
         let LocalLookup { result, leader } = self.look_up_locally(job).await;
         match (result, leader) {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// What this controller may say of a job now.
+    /// Looks up a job in this controller's memory.
     pub(super) async fn look_up_locally(&self, job: JobId) -> LocalLookup {
         let LocalLookups { results, leader } = self.look_up_all_locally(vec![job]).await;
         LocalLookup {
@@ -86,17 +88,17 @@
         }
     }
 
-    /// What this controller may say of these jobs now.
+    /// Looks up jobs in this controller's memory.
     pub(super) async fn look_up_all_locally(&self, jobs: Vec<JobId>) -> LocalLookups {
-        let asked = self
+        let reply = self
             .handle
             .ask(|reply| Command::LookUpJobs { jobs, reply })
             .await;
         let JobLookups {
             lookups: mut results,
             leader,
-        } = asked.unwrap_or_default();
-        // Its lease may have expired since the event loop answered.
+        } = reply.unwrap_or_default();
+        // The leader lease may have expired since the event loop answered.
         if !self.context.leadership.is_valid() {
             for result in &mut results {
                 if let Lookup::Live { .. } = result {
@@ -108,12 +110,10 @@
     }
 }
 
-/// Keeps the outcome of a job that has ended, so that it is not asked for again.
-pub(super) async fn remember(handle: &ControllerHandle, job: JobId, found: Lookup) {
-    if let Lookup::Terminal(end) = found {
-        handle
-            .send(Command::JobFinished { job, outcome: end })
-            .await;
+/// Caches the outcome of a job that has ended, so that it does not have to be looked up again.
+pub(super) async fn cache_outcome(handle: &ControllerHandle, job: JobId, result: Lookup) {
+    if let Lookup::Terminal(outcome) = result {
+        handle.send(Command::JobFinished { job, outcome }).await;
     }
 }
 
@@ -124,14 +124,14 @@
     reply: oneshot::Sender<Lookup>,
 }
 
-/// Lookups that wait to be sent to the leader.
+/// The sending end of the queue of lookups for the leader.
 #[derive(Clone)]
 pub(super) struct LookupQueue {
     pending: mpsc::Sender<PendingLookup>,
 }
 
-/// The queue of lookups for the leader, and what sends them.
-pub(super) fn queue(
+/// Creates the queue of lookups for the leader, and the forwarder that sends them.
+pub(super) fn lookup_queue(
     context: Arc<ControllerContext>,
     handle: ControllerHandle,
 ) -> (LookupQueue, LookupForwarder) {
@@ -145,11 +145,11 @@
 }
 
 impl LookupQueue {
-    /// The leader's answer, or [`Lookup::NotLeader`] if there is none.
+    /// Sends a lookup to the leader. Returns [`Lookup::NotLeader`] if the leader does not answer.
     async fn send(&self, job: JobId, leader: String) -> Lookup {
         let (reply, answer) = oneshot::channel();
         let lookup = PendingLookup { job, leader, reply };
-        // If the queue is full, the state service may still have time.
+        // If the queue is full, the caller reads from the state service instead.
         if self.pending.try_send(lookup).is_err() {
             return Lookup::NotLeader;
         }
@@ -157,9 +157,9 @@
     }
 }
 
-/// Sends lookups to the leader, many in one message: in a storm of them a message for each cost
-/// the leader more than its answer. Those that come while enough messages are in flight wait for
-/// the next.
+/// Sends lookups to the leader in batches. Under a high load of lookups, handling a message for
+/// each one cost the leader more than the lookup itself. Lookups that arrive while the maximum
+/// number of messages is in flight wait for the next message.
 pub(super) struct LookupForwarder {
     context: Arc<ControllerContext>,
     handle: ControllerHandle,
@@ -167,7 +167,7 @@
 }
 
 impl LookupForwarder {
-    /// Runs until every queue is dropped.
+    /// Runs until every [`LookupQueue`] is dropped.
     pub(super) async fn run(mut self) {
         let in_flight = Arc::new(Semaphore::new(MAX_MESSAGES_IN_FLIGHT));
         let mut messages = JoinSet::new();
@@ -185,16 +185,17 @@
             messages.spawn(async move {
                 let results = ask_leader(&context, &batch).await;
                 drop(permit);
-                deliver(&handle, batch, results).await;
+                deliver_results(&handle, batch, results).await;
             });
         }
         while messages.join_next().await.is_some() {}
     }
 }
 
-/// The leader's results in the order of the batch; empty if it does not answer.
+/// Sends a batch of lookups to the leader and returns the results in the order of the batch, or
+/// none if the leader does not answer.
 async fn ask_leader(context: &ControllerContext, batch: &[PendingLookup]) -> Vec<Lookup> {
-    // The last lookup knows best who leads.
+    // The most recent lookup has the most recent leader.
     let leader = batch.last().map(|lookup| lookup.leader.as_str());
     let request = PeerRequest::LookUpJobs(batch.iter().map(|lookup| lookup.job).collect());
     match call_leader(context, leader, request, PEER_DEADLINE).await {
@@ -203,11 +204,16 @@
     }
 }
 
-async fn deliver(handle: &ControllerHandle, batch: Vec<PendingLookup>, results: Vec<Lookup>) {
+/// Answers a batch of lookups. Those without a result are answered with [`Lookup::NotLeader`].
+async fn deliver_results(
+    handle: &ControllerHandle,
+    batch: Vec<PendingLookup>,
+    results: Vec<Lookup>,
+) {
     let missing = std::iter::repeat(Lookup::NotLeader);
     for (lookup, result) in batch.into_iter().zip(results.into_iter().chain(missing)) {
-        remember(handle, lookup.job, result).await;
-        // Its user may no longer wait.
+        cache_outcome(handle, lookup.job, result).await;
+        // Fails if the user's request has timed out.
         let _ = lookup.reply.send(result);
     }
 }
--- a/src/api/machine_types.rs
+++ b/src/api/machine_types.rs
@@ -1,4 +1,4 @@
-//! Every controller needs the machine types to validate submissions.
+//! Periodic reading of the machine types, which every controller needs to validate submissions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,24 +9,26 @@
 use crate::controller::context::ControllerContext;
 use crate::controller::effects::read_machine_types;
 
-/// Before the second attempt; each later one waits twice as long, up to [`MAX_RETRY`].
-const FIRST_RETRY: Duration = Duration::from_millis(250);
-const MAX_RETRY: Duration = Duration::from_secs(2);
-/// Types may be added; prices matter to the leader alone, which reads them more often.
-const REFRESH: Duration = Duration::from_secs(120);
+/// The initial retry delay. It is doubled at each failed attempt, before the wait, up to
+/// [`MAX_RETRY_DELAY`].
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(250);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// How often the machine types are read again, because the cloud may add types. Prices matter only
+/// to the leader, which reads the types more often.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(120);
 
-/// Reads the machine types again and again, for ever.
+/// Reads the machine types periodically. Never returns.
 pub(super) async fn refresh(context: Arc<ControllerContext>, handle: ControllerHandle) {
-    let mut pause = FIRST_RETRY;
-    let began = Instant::now();
+    let mut delay = INITIAL_RETRY_DELAY;
+    let started = Instant::now();
     loop {
         if let Some(types) = read_machine_types(&context).await {
-            tracing::debug!(after = ?began.elapsed(), "machine types known");
+            tracing::debug!(after = ?started.elapsed(), "machine types known");
             handle.send(Command::SetMachineTypes(types)).await;
-            pause = REFRESH;
-        } else if pause < MAX_RETRY {
-            pause *= 2;
+            delay = REFRESH_INTERVAL;
+        } else if delay < MAX_RETRY_DELAY {
+            delay *= 2;
         }
-        sleep(pause).await;
+        sleep(delay).await;
     }
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! The HTTP interfaces of a controller: the public one for users, workers and operators, and the
-//! one between controllers.
+//! peer interface for other controllers.
 //!
-//! Each kind of request has its own module. None of them keeps state: what a controller knows is
-//! asked of its event loop, and what is stored is read from the state service.
+//! Each kind of request has its own module. The handlers keep no state of their own: they query the
+//! controller's event loop and the state service.
 
 #![warn(missing_docs)]
 
@@ -38,16 +38,17 @@
 use lookup::LookupQueue;
 use routes::Route;
 
-/// Users wait 5 s for the answer to a submission.
+/// The deadline for answering a submission. Users wait 5 s.
 const SUBMIT_DEADLINE: Duration = Duration::from_millis(3500);
-/// Users wait 2 s for the answer to a lookup.
+/// The deadline for answering a lookup. Users wait 2 s.
 const LOOKUP_DEADLINE: Duration = Duration::from_millis(1700);
-/// Also what a controller waits for the leader's answer to a cancellation.
+/// The deadline for answering a cancellation, and for the leader's answer to a cancellation or an
+/// operator's request that another controller forwards to it.
 const CANCEL_DEADLINE: Duration = Duration::from_millis(2500);
-/// An operator is answered once the request is stored.
+/// The deadline for answering an operator, who is answered only once the request is stored.
 const ADMIN_DEADLINE: Duration = Duration::from_millis(4000);
 
-/// The request handlers of one controller. Clones share it.
+/// The request handlers of one controller. All clones belong to the same controller.
 #[derive(Clone)]
 pub struct Api {
     context: Arc<ControllerContext>,
@@ -55,16 +56,17 @@
     lookups: LookupQueue,
 }
 
-/// The tasks of a controller that do not belong to one request. Dropping this lets them run on.
+/// The long-running tasks of a controller. Dropping this does not end them.
 pub struct ControllerTasks {
     event_loop: JoinHandle<()>,
     background: Vec<JoinHandle<()>>,
 }
 
 impl ControllerTasks {
-    /// Returns when the event loop has ended, which it does only by a fault, and ends the rest.
+    /// Waits until the event loop has ended, which happens only after a fault, and ends the other
+    /// tasks.
     pub async fn event_loop_ended(self) {
-        // Whether it returned or panicked, the process is of no use any more.
+        // Whether the event loop returned or panicked, the process cannot continue without it.
         let _ = self.event_loop.await;
         for task in self.background {
             task.abort();
@@ -73,7 +75,7 @@
 }
 
 impl Api {
-    /// Creates a controller and starts its tasks. `seed` decides its few random choices.
+    /// Creates a controller and starts its tasks. `seed` determines its random choices.
     pub fn start(
         settings: Settings,
         tuning: Tuning,
@@ -82,7 +84,7 @@
     ) -> (Self, ControllerTasks) {
         let context = Arc::new(ControllerContext::new(settings, tuning, network, seed));
         let (controller, handle) = Controller::new(context.clone());
-        let (lookups, lookup_forwarder) = lookup::queue(context.clone(), handle.clone());
+        let (lookups, lookup_forwarder) = lookup::lookup_queue(context.clone(), handle.clone());
         let background = vec![
             tokio::spawn(lookup_forwarder.run()),
             tokio::spawn(machine_types::refresh(context.clone(), handle.clone())),
@@ -108,49 +110,51 @@
     }
 
     async fn answer_public(&self, request: &Incoming) -> Result<Outgoing, ApiError> {
-        if request.path.starts_with("/work") && self.context.may_be_stale() {
+        if request.path.starts_with("/work") && self.context.requests_may_be_stale() {
             return Err(ApiError::ProcessPaused);
         }
         let admin_enabled = self.context.tuning.operators.is_some();
-        match Route::of(&request.method, &request.path, admin_enabled)? {
+        match Route::parse(&request.method, &request.path, admin_enabled)? {
             Route::Admin { page } => {
                 self.authorize(request)?;
                 let admin = self.admin(admin::parse_request(request, page)?);
-                within(ADMIN_DEADLINE, admin, ApiError::NotStoredInTime).await
+                with_deadline(ADMIN_DEADLINE, admin, ApiError::NotStoredInTime).await
             }
             Route::Heartbeat => self.heartbeat(&request.body).await,
             Route::Submit => {
                 let submission = self.submit(&request.body);
-                within(SUBMIT_DEADLINE, submission, ApiError::NotStoredInTime).await
+                with_deadline(SUBMIT_DEADLINE, submission, ApiError::NotStoredInTime).await
             }
             Route::Health => self.health(),
             Route::Cancel(id) => {
                 let cancellation = self.cancel(id);
-                within(CANCEL_DEADLINE, cancellation, ApiError::NotStoredInTime).await
+                with_deadline(CANCEL_DEADLINE, cancellation, ApiError::NotStoredInTime).await
             }
             Route::Lookup(id) => {
                 let lookup = self.answer_lookup(id);
-                within(LOOKUP_DEADLINE, lookup, ApiError::NoAnswerInTime).await
+                with_deadline(LOOKUP_DEADLINE, lookup, ApiError::NoAnswerInTime).await
             }
         }
     }
 }
 
-/// The answer, or `late` if it does not come in time.
-async fn within(
+/// Waits for the answer until the deadline, and returns `timeout_error` if there is none by then.
+async fn with_deadline(
     deadline: Duration,
     answer: impl Future<Output = Result<Outgoing, ApiError>>,
-    late: ApiError,
+    timeout_error: ApiError,
 ) -> Result<Outgoing, ApiError> {
-    timeout(deadline, answer).await.unwrap_or(Err(late))
+    timeout(deadline, answer)
+        .await
+        .unwrap_or(Err(timeout_error))
 }
 
-/// The answer about a job of which nothing runs.
+/// The response for a job of which no task is running.
 fn outcome_answer(id: JobId, outcome: JobOutcome) -> Outgoing {
     phase_answer(id, outcome.phase, outcome.done, 0)
 }
 
-/// The answer about a job: its phase, and how many of its tasks are completed and run.
+/// The response for a job: its phase, and how many of its tasks are done and running.
 fn phase_answer(id: JobId, phase: Phase, done: u32, running: u32) -> Outgoing {
     let body = json!({
         "uid": id.to_string(),
--- a/src/api/peers.rs
+++ b/src/api/peers.rs
@@ -1,4 +1,4 @@
-//! Requests of other controllers, and requests to them.
+//! Requests from and to other controllers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,15 +18,15 @@
 use crate::storage::store::call_peer;
 use crate::transport::server::{Incoming, Outgoing};
 
-/// For the answer of another controller to a request that it answers at once.
+/// The deadline for a peer's answer to a request that it answers at once.
 pub(super) const PEER_DEADLINE: Duration = Duration::from_millis(700);
-/// How often it is checked whether peers have to be pinged.
+/// How often the controller checks whether it must ping its peers.
 const MONITOR_INTERVAL: Duration = Duration::from_secs(2);
-/// Peers are pinged once the state service has not answered for so long.
-const PING_AFTER_UNSERVED_S: f64 = 1.5;
+/// Peers are pinged once the state service has not answered for this long.
+const PING_AFTER_UNANSWERED_S: f64 = 1.5;
 
 impl Api {
-    /// Answers a request of another controller.
+    /// Answers a request from another controller.
     pub async fn peer(self, request: Incoming) -> Outgoing {
         self.context.record_peer_contact();
         let request = match decode(&request.body) {
@@ -65,7 +65,7 @@
             PeerRequest::Share(status) => self.shard_status(status).await,
             PeerRequest::RelayCommands { token, messages } => self.relay(token, messages),
             PeerRequest::TransferLeadership { token } => {
-                self.context.transfer_leadership(token);
+                self.context.receive_leadership_transfer(token);
                 PeerReply::Pong
             }
             PeerRequest::LeaderAnnouncement { member } => {
@@ -108,8 +108,10 @@
     }
 }
 
+/// Decodes a request from another controller.
+///
 /// # Errors
-/// The request is perhaps of another version.
+/// The request does not decode, for example because the peer runs another version.
 fn decode(body: &[u8]) -> Result<PeerRequest, ApiError> {
     borsh::from_slice(body).map_err(|error| {
         let (kind, bytes) = (body.first(), body.len());
@@ -122,7 +124,8 @@
     })
 }
 
-/// The leader's reply; `None` if no leader is known or it does not answer in time.
+/// Sends a request to the leader. Returns `None` if no leader is known or it does not answer in
+/// time.
 pub(super) async fn call_leader(
     context: &ControllerContext,
     leader: Option<&str>,
@@ -137,12 +140,12 @@
     reply
 }
 
-/// Pings peers, for ever, while the state service does not answer this controller: their answers
-/// show whether the controller is cut off or the service is down.
+/// Pings peers while the state service does not answer this controller. Their answers show whether
+/// the controller is cut off or the service is down. Never returns.
 pub(super) async fn monitor(context: Arc<ControllerContext>) {
     loop {
         sleep(MONITOR_INTERVAL).await;
-        if context.store.unanswered_s() < PING_AFTER_UNSERVED_S {
+        if context.store.unanswered_s() < PING_AFTER_UNANSWERED_S {
             continue;
         }
         for peer in &context.settings.peers {
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -1,11 +1,11 @@
-//! The paths of the public interface.
+//! The routes of the public interface.
 
 use warp::http::Method;
 
 use super::error::ApiError;
 use crate::protocol::JobId;
 
-/// What a request to the public interface is for.
+/// The route of a request to the public interface.
 #[derive(Debug, PartialEq)]
 pub(super) enum Route<'a> {
     /// An operator's request; `page` is the rest of the path.
@@ -14,17 +14,17 @@
     Heartbeat,
     /// A user's submission of a job.
     Submit,
-    /// Whether the process should get requests.
+    /// The health check.
     Health,
     /// The cancellation of a job.
     Cancel(JobId),
-    /// The question how a job stands.
+    /// A lookup of a job's state.
     Lookup(JobId),
 }
 
 impl<'a> Route<'a> {
-    /// Without `admin_enabled` operators' paths do not exist.
-    pub(super) fn of(
+    /// Parses the route of a request. The operators' paths exist only if `admin_enabled` is set.
+    pub(super) fn parse(
         method: &Method,
         path: &'a str,
         admin_enabled: bool,
@@ -37,17 +37,17 @@
             (&Method::POST, "/work") => Ok(Self::Submit),
             (&Method::GET, "/healthz") => Ok(Self::Health),
             (method, path) => match path.strip_prefix("/work/") {
-                Some(job) => Self::of_job(method, job),
+                Some(job_path) => Self::parse_job_path(method, job_path),
                 None => Err(ApiError::NoSuchPath),
             },
         }
     }
 
-    fn of_job(method: &Method, rest: &str) -> Result<Self, ApiError> {
-        let parse = |id: &str| JobId::parse(id).ok_or(ApiError::NoSuchJob);
-        match (method, rest.strip_suffix("/withdraw")) {
-            (&Method::POST, Some(id)) => parse(id).map(Self::Cancel),
-            (&Method::GET, None) => parse(rest).map(Self::Lookup),
+    fn parse_job_path(method: &Method, job_path: &str) -> Result<Self, ApiError> {
+        let parse_id = |id: &str| JobId::parse(id).ok_or(ApiError::NoSuchJob);
+        match (method, job_path.strip_suffix("/withdraw")) {
+            (&Method::POST, Some(id)) => parse_id(id).map(Self::Cancel),
+            (&Method::GET, None) => parse_id(job_path).map(Self::Lookup),
             _ => Err(ApiError::MethodNotAllowed),
         }
     }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs.
+//! Submission of jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,34 +17,35 @@
 use crate::transport::rate_limiter::Urgency;
 use crate::transport::server::Outgoing;
 
-/// Writes may be queued for so long before a low-priority submission is refused.
-const LOW_PRIORITY_BACKLOG: Duration = Duration::from_millis(500);
-/// The same for any other submission. Half of its deadline: else the wait would be in vain.
-const BACKLOG: Duration = Duration::from_millis(SUBMIT_DEADLINE.as_millis() as u64 / 2);
-/// How often a transaction is sent whose outcome is unknown.
+/// The longest backlog of writes at which a low-priority submission is accepted.
+const MAX_LOW_PRIORITY_BACKLOG: Duration = Duration::from_millis(500);
+/// The longest backlog of writes at which any other submission is accepted. It is half of the
+/// submission's deadline: after a longer wait it would probably not be stored in time.
+const MAX_BACKLOG: Duration = Duration::from_millis(SUBMIT_DEADLINE.as_millis() as u64 / 2);
+/// How many times a transaction is sent if its outcome is unknown.
 const STORE_ATTEMPTS: usize = 2;
-/// A limit of 0.3 CPUs allows three tasks of 0.1.
+/// The tolerance of limits for rounding errors: a limit of 0.3 CPUs allows three tasks of 0.1.
 const LIMIT_TOLERANCE: f64 = 1e-9;
 
-/// Why a job could never run, by the settings and the machine types of now.
+/// Why a job could never run with the current settings and machine types.
 #[derive(Debug, PartialEq, thiserror::Error)]
-pub(super) enum CannotRun {
+pub(super) enum Unschedulable {
     #[error("owner: unknown team {0:?}")]
     UnknownTeam(String),
     #[error("a task fits no allowed machine type")]
-    NoMachineType,
+    NoFittingMachineType,
     #[error("{resource}: more than the team's limit of {limit}")]
     OverTeamLimit { resource: &'static str, limit: f64 },
 }
 
 impl Api {
-    /// Stores a submission, unless it is invalid, could never run, or is known already.
+    /// Stores a submission, unless it is invalid, could never run, or has been stored already.
     pub(super) async fn submit(&self, body: &[u8]) -> Result<Outgoing, ApiError> {
         let value: Value = serde_json::from_slice(body)?;
         let spec = JobSpec::submitted(&value)?;
         let machine_types = self.machine_types().await?;
-        if let Err(reason) = self.check_runnable(&spec, &machine_types) {
-            return self.answer_unrunnable(spec.id, reason).await;
+        if let Err(reason) = self.check_schedulable(&spec, &machine_types) {
+            return self.answer_unschedulable(spec.id, reason).await;
         }
         let record = job_record(&spec, self.context.unix_ms());
         if record.to_string().len() > self.max_value_bytes() {
@@ -62,21 +63,21 @@
         types.flatten().ok_or(ApiError::MachineTypesUnknown)
     }
 
-    fn check_runnable(
+    fn check_schedulable(
         &self,
         spec: &JobSpec,
         machine_types: &[MachineType],
-    ) -> Result<(), CannotRun> {
+    ) -> Result<(), Unschedulable> {
         let teams = &self.context.settings.cluster.teams;
         let team = teams
             .iter()
             .find(|team| team.name == spec.team)
-            .ok_or_else(|| CannotRun::UnknownTeam(spec.team.clone()))?;
+            .ok_or_else(|| Unschedulable::UnknownTeam(spec.team.clone()))?;
         if !machine_types.iter().any(|t| is_allowed(spec, t)) {
-            return Err(CannotRun::NoMachineType);
+            return Err(Unschedulable::NoFittingMachineType);
         }
-        // The tasks of an array may run one after another.
-        let at_once = match spec.kind {
+        // The tasks of an array may run one after another, so only one has to fit the limit.
+        let concurrent_tasks = match spec.kind {
             Kind::Array => 1.0,
             Kind::Gang | Kind::Service => f64::from(spec.tasks),
         };
@@ -84,15 +85,20 @@
             ("cpus", spec.needs.whole_cpus(), team.cpus_max),
             ("gpus", spec.needs.whole_gpus(), team.gpus_max),
         ] {
-            if limit > 0.0 && need * at_once > limit + LIMIT_TOLERANCE {
-                return Err(CannotRun::OverTeamLimit { resource, limit });
+            if limit > 0.0 && need * concurrent_tasks > limit + LIMIT_TOLERANCE {
+                return Err(Unschedulable::OverTeamLimit { resource, limit });
             }
         }
         Ok(())
     }
 
-    /// A job that was accepted once is known, whatever has changed since.
-    async fn answer_unrunnable(&self, id: JobId, reason: CannotRun) -> Result<Outgoing, ApiError> {
+    /// Answers the submission of a job that could never run. If the job was accepted before, the
+    /// answer is its state, even if the settings or machine types have changed since.
+    async fn answer_unschedulable(
+        &self,
+        id: JobId,
+        reason: Unschedulable,
+    ) -> Result<Outgoing, ApiError> {
         match self.context.store.outcome(id).await {
             Ok(None) => Err(reason.into()),
             Ok(Some(outcome)) => Ok(outcome_answer(id, outcome)),
@@ -105,15 +111,15 @@
         (self.context.settings.cluster.state.value_kb * 1024.0) as usize
     }
 
-    /// Where writes are scarce, low-priority submissions are refused at once, and the others
-    /// before their wait would be in vain.
+    /// Refuses a submission if the backlog of writes is too long. Submissions of low priority are
+    /// refused at a shorter backlog than others.
     fn check_write_backlog(&self, priority: Priority) -> Result<(), ApiError> {
         let backlog = self.context.store.write_backlog();
-        let allowed = match priority {
-            Priority::Low => LOW_PRIORITY_BACKLOG,
-            _ => BACKLOG,
+        let max_backlog = match priority {
+            Priority::Low => MAX_LOW_PRIORITY_BACKLOG,
+            _ => MAX_BACKLOG,
         };
-        if backlog > allowed {
+        if backlog > max_backlog {
             return Err(ApiError::WriteBacklog { backlog });
         }
         Ok(())
@@ -135,7 +141,7 @@
         for _ in 0..STORE_ATTEMPTS {
             match self.context.store.commit(&transaction, urgency, true).await {
                 Ok(_) => return Ok(accepted(id)),
-                // Known already, perhaps from an attempt of ours whose answer was lost.
+                // The job is stored already, possibly by an earlier attempt whose answer was lost.
                 Err(StoreError::Conflict(_)) => return self.answer_lookup(id).await,
                 Err(StoreError::Unknown(_)) => {}
                 Err(_) => break,
@@ -145,7 +151,7 @@
     }
 }
 
-/// Whether a task of the job may run on a worker of this type on which nothing else runs.
+/// Whether a task of the job may run on an otherwise empty worker of this type.
 fn is_allowed(spec: &JobSpec, machine_type: &MachineType) -> bool {
     let types = spec.machine_types.as_ref();
     let zone = spec.zone.as_ref();
--- a/src/controller/commands.rs
+++ b/src/controller/commands.rs
@@ -1,6 +1,6 @@
 //! The commands that a controller's event loop accepts, and the handle that sends them.
 //!
-//! This module depends on neither the event loop nor its callers, so that they need not
+//! This module depends on neither the event loop nor its callers, so that they do not have to
 //! depend on each other.
 
 use std::sync::Arc;
@@ -16,90 +16,90 @@
 use crate::storage::Snapshot;
 use crate::transport::server::Outgoing;
 
-/// The leader's answer to an operator, as HTTP has it.
+/// The leader's HTTP response to an operator's request.
 #[derive(Debug)]
 pub struct AdminResponse {
     /// The HTTP status.
     pub status: u16,
-    /// JSON.
+    /// The body, in JSON.
     pub body: Vec<u8>,
 }
 
-/// What this controller knows of some jobs.
+/// What this controller knows about a list of jobs.
 #[derive(Debug, Default)]
 pub struct JobLookups {
-    /// One for each job, in the order of the request.
+    /// One result for each job, in the order of the request.
     pub lookups: Vec<Lookup>,
-    /// The member name of the leader, as far as this controller knows.
+    /// The member name of the leader, if this controller knows one.
     pub leader: Option<String>,
 }
 
-/// The leader's first step in cancelling a job.
+/// The leader's answer to a request to begin cancelling a job.
 #[derive(Debug)]
 pub struct BegunCancellation {
-    /// What the core answered.
+    /// The core's decision.
     pub decision: CancelDecision,
-    /// The fencing token under which the cancellation is to be stored.
+    /// The fencing token of the term in which the cancellation must be stored.
     pub token: u64,
 }
 
 /// A message to the event loop.
 #[derive(Debug)]
 pub enum Command {
-    /// A worker's heartbeat; the reply is the HTTP response to it.
+    /// A worker's heartbeat. The reply is the HTTP response to it.
     Heartbeat {
         /// The heartbeat.
         heartbeat: Heartbeat,
         /// Receives the reply.
         reply: oneshot::Sender<Outgoing>,
     },
-    /// The status of a shard owner, sent to the leader. The reply is `None` if this controller
-    /// does not lead, or if a newer status of the same owner has been processed.
+    /// A shard owner's status, sent to the leader. The reply is `None` if this controller does not
+    /// lead, or if a newer status from the same owner has already been processed.
     ShardStatus {
         /// The owner's status.
         status: ShardStatus,
         /// Receives the reply.
         reply: oneshot::Sender<Option<ShardUpdate>>,
     },
-    /// The leader's answer to the status of this number, if one came.
+    /// The leader's answer to this shard owner's status, or the lack of one.
     ShardUpdate {
-        /// The number of the status.
+        /// The sequence number of the status.
         number: u64,
-        /// The leader's answer.
+        /// The leader's answer; `None` if none was received.
         update: Option<ShardUpdate>,
     },
-    /// The outcome of a command that this controller relayed for the leader of this token.
+    /// The outcome of a message that this controller relayed to a worker for the leader.
     RelayCompleted {
         /// The leader's fencing token.
         token: u64,
-        /// The leader's number of the message.
+        /// The ID that the leader gave the message.
         message_id: u64,
-        /// What came of the message.
+        /// The outcome of the message.
         outcome: Outcome,
     },
-    /// Look up what is known of these jobs.
+    /// Look up what this controller knows about these jobs.
     LookUpJobs {
         /// The jobs to look up.
         jobs: Vec<JobId>,
         /// Receives the reply.
         reply: oneshot::Sender<JobLookups>,
     },
-    /// Stop starting tasks of a job, so that its cancellation can be stored. The reply is `None`
-    /// if this controller does not lead.
+    /// Stop starting tasks of a job, so that its cancellation can be stored. The reply is `None` if
+    /// this controller does not lead.
     BeginCancellation {
         /// The job to cancel.
         job: JobId,
         /// Receives the reply.
         reply: oneshot::Sender<Option<BegunCancellation>>,
     },
-    /// The end of a begun cancellation: the stored outcome of the job, or `None` if it has none.
+    /// A cancellation that was begun has ended.
     FinishCancellation {
         /// The job.
         job: JobId,
-        /// Its stored outcome.
+        /// Its stored outcome; `None` if no outcome is stored.
         outcome: Option<JobOutcome>,
     },
-    /// The outcome of a job has been stored; it is cached to answer polls.
+    /// The outcome of a job has been stored. It is cached to answer polls of the job.
     JobFinished {
         /// The job.
         job: JobId,
@@ -113,34 +113,34 @@
         /// Receives the reply.
         reply: oneshot::Sender<Option<AdminResponse>>,
     },
-    /// The machine types of the cloud, if they are known already.
+    /// Get the cloud's machine types. The reply is `None` until they have been read.
     GetMachineTypes {
         /// Receives the reply.
         reply: oneshot::Sender<Option<Arc<Vec<MachineType>>>>,
     },
     /// The machine types have been read from the cloud.
     SetMachineTypes(Vec<MachineType>),
-    /// The leader key names this member, or is missing.
+    /// The member that the leader key names, or `None` if the key is missing.
     LeaderSeen(Option<String>),
-    /// This controller has won the election under this token.
+    /// This controller has won the election.
     Elected {
         /// The fencing token of the new term.
         token: u64,
     },
-    /// The stored state has been read for the term of this token.
+    /// The stored state has been read at the start of a term.
     Recovered {
         /// The fencing token of the term.
         token: u64,
         /// The stored state.
         snapshot: Snapshot,
     },
-    /// This controller leads no longer.
+    /// This controller no longer leads.
     LeadershipLost,
-    /// The result of an effect that the core of this token asked for, or a newly stored job.
+    /// An input to the core: the result of an effect that it requested, or a newly stored job.
     Input {
-        /// The fencing token of the core that asked.
+        /// The fencing token of the term. The input is dropped if the term has ended.
         token: u64,
-        /// What the core is to process.
+        /// The input to process.
         input: Input,
     },
 }
@@ -152,18 +152,18 @@
 }
 
 impl ControllerHandle {
-    /// A handle that sends to this queue.
+    /// Creates a handle that sends to this queue.
     pub fn new(queue: mpsc::Sender<Command>) -> Self {
         Self { queue }
     }
 
-    /// Waits for a place in the queue.
+    /// Sends a command, after waiting for space in the queue if it is full.
     pub async fn send(&self, command: Command) {
-        // Fails only when the event loop has ended, and then the process ends.
+        // Fails only after the event loop has ended, and then the process ends too.
         let _ = self.queue.send(command).await;
     }
 
-    /// Sends a command and waits for its reply; `None` if the event loop drops the request.
+    /// Sends a command and waits for its reply. Returns `None` if the event loop drops the request.
     pub async fn ask<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> Command) -> Option<T> {
         let (reply, answer) = oneshot::channel();
         self.queue.send(command(reply)).await.ok()?;
--- a/src/controller/context/leadership_state.rs
+++ b/src/controller/context/leadership_state.rs
@@ -1,4 +1,4 @@
-//! The right of this controller to lead, as its tasks share it.
+//! The state of this controller's leadership, which its tasks share.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 use super::clock::ControllerClock;
 
-/// A [`Leadership`] on the clock of the process, behind a lock.
+/// A [`Leadership`] behind a lock, driven by the clock of the process.
 #[derive(Debug)]
 pub struct LeadershipState {
     clock: ControllerClock,
@@ -25,17 +25,17 @@
         }
     }
 
-    /// Applies one step at the time now.
+    /// Applies a state change at the current time.
     fn apply<T>(&self, step: impl FnOnce(&mut Leadership, u64) -> T) -> T {
         let mut leadership = self.leadership.lock().expect("no panic while held");
-        // Read under the lock: no step is taken at a time before the one that came first.
+        // The clock is read under the lock, so that each step is at or after the previous one.
         let now_ms = self.clock.now_ms();
         step(&mut leadership, now_ms)
     }
 
-    /// Reads what holds at the time now.
-    fn read<T>(&self, question: impl FnOnce(&Leadership, u64) -> T) -> T {
-        self.apply(|leadership, now_ms| question(leadership, now_ms))
+    /// Evaluates a read-only query at the current time.
+    fn read<T>(&self, query: impl FnOnce(&Leadership, u64) -> T) -> T {
+        self.apply(|leadership, now_ms| query(leadership, now_ms))
     }
 
     /// See [`Leadership::begin_leading`].
--- a/src/controller/context/leadership_transfer.rs
+++ b/src/controller/context/leadership_transfer.rs
@@ -1,8 +1,9 @@
-//! A leadership transfer to this controller that its election loop has not taken up yet.
+//! A leadership transfer to this controller that its election loop has not processed yet.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Stands for no transfer; a leader key's version is never 0.
+/// Means that there is no transfer. No fencing token is 0, because a token is the version of the
+/// leader key, which is never 0.
 const NO_TOKEN: u64 = 0;
 
 /// The fencing token of a leader that has stepped down in favour of this controller.
--- a/src/controller/context/mod.rs
+++ b/src/controller/context/mod.rs
@@ -1,13 +1,14 @@
-//! What the tasks of a controller share without asking its event loop: its clock, how long it
-//! may lead, what it may do as a shard owner, and when it was last in contact with a peer.
+//! State that the tasks of a controller access without going through its event loop: the clock,
+//! the state of its leadership, its permission as a shard owner, and the time of its last contact
+//! with a peer.
 
 mod clock;
-mod deadline;
 mod leadership_state;
 mod leadership_transfer;
 mod peer_contact;
 mod random;
 mod shard_permission;
+mod timer;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,61 +25,63 @@
 pub use clock::ControllerClock;
 pub use leadership_state::LeadershipState;
 
-use deadline::Deadline;
 use leadership_transfer::PendingTransfer;
 use peer_contact::PeerContact;
 use random::SharedRandom;
 use shard_permission::ShardPermission;
+use timer::Timer;
 
-/// How long a leader that resigned because no worker reached it leaves the election to others.
+/// How long a leader that resigned because no worker could reach it does not campaign, so that
+/// another controller is elected.
 const ELECTION_BACKOFF_MS: u64 = 8000;
-/// After a pause of the process, requests that came in meanwhile are worked off within this.
-const STALE_REQUESTS_MS: u64 = 100;
-/// The part of the state service's published limits that the controllers use together.
-const STORE_LIMIT_PART: f64 = 0.95;
-/// What a follower needs of the state service, as a part of what the leader needs.
-const FOLLOWER_LOAD: f64 = 0.5;
-/// The part of the cloud's published request rate that this controller uses.
-const CLOUD_LIMIT_PART: f64 = 0.8;
-/// Requests to the cloud that may go out at once.
-const CLOUD_BURST: f64 = 1.0;
-/// HTTP status for a request that belongs to another controller.
+/// How long after a process pause the controller may still read requests that arrived during the
+/// pause.
+const STALE_REQUEST_PERIOD_MS: u64 = 100;
+/// The share of the state service's published limits that all controllers together use.
+const STORE_LIMIT_SHARE: f64 = 0.95;
+/// A follower's load on the state service, as a share of the leader's load.
+const FOLLOWER_LOAD_SHARE: f64 = 0.5;
+/// The share of the cloud's published request rate that this controller uses.
+const CLOUD_LIMIT_SHARE: f64 = 0.8;
+/// How many seconds' worth of requests to the cloud may be sent at once.
+const CLOUD_BURST_S: f64 = 1.0;
+/// The HTTP status of the answer to a worker that reports to the wrong controller.
 const MISDIRECTED_REQUEST: u16 = 421;
 
 /// The shared state of a controller's tasks.
 pub struct ControllerContext {
-    /// What this controller was started with.
+    /// The platform's settings.
     pub settings: Settings,
-    /// Intervals and limits that tests may change.
+    /// The operators' settings, and intervals and limits that tests may change.
     pub tuning: Tuning,
-    /// The connections to peers, workers and services.
+    /// The client for requests to peers, workers and services.
     pub http: Arc<dyn Network>,
     /// The client of the state service.
     pub store: Arc<Store>,
-    /// The limit on requests to the cloud.
+    /// The rate limiter for requests to the cloud.
     pub cloud_budget: RateLimiter,
-    /// Wakes the election loop before its next regular look at the leader key.
+    /// Wakes the election loop before its next scheduled read of the leader key.
     pub election_wakeup: Notify,
-    /// The right of this controller to lead, and its votes for other leaders.
+    /// The state of this controller's leadership, and its votes on the leases of other leaders.
     pub leadership: LeadershipState,
     clock: ControllerClock,
     random: SharedRandom,
     shard_permission: ShardPermission,
-    election_backoff: Deadline,
+    election_backoff: Timer,
     peer_contact: PeerContact,
-    /// While it runs, requests may have lain in a socket during a pause of the process.
-    stale_requests: Deadline,
+    /// While this runs, requests that are read may have waited in a socket during a process pause.
+    stale_request_period: Timer,
     pending_transfer: PendingTransfer,
 }
 
 impl ControllerContext {
-    /// `seed` decides the few random choices, so that tests repeat.
+    /// Creates the context. `seed` determines the random choices, so that tests are reproducible.
     pub fn new(settings: Settings, tuning: Tuning, http: Arc<dyn Network>, seed: u64) -> Self {
         let clock = ControllerClock::start_now();
         Self {
             cloud_budget: RateLimiter::new(
-                settings.cluster.cloud.rps * CLOUD_LIMIT_PART,
-                CLOUD_BURST,
+                settings.cluster.cloud.rps * CLOUD_LIMIT_SHARE,
+                CLOUD_BURST_S,
             ),
             store: Arc::new(new_store(&settings, http.clone())),
             http,
@@ -87,26 +90,26 @@
             clock,
             random: SharedRandom::seeded(seed),
             shard_permission: ShardPermission::none(clock),
-            election_backoff: Deadline::expired(clock),
+            election_backoff: Timer::stopped(clock),
             peer_contact: PeerContact::new(clock),
-            stale_requests: Deadline::expired(clock),
+            stale_request_period: Timer::stopped(clock),
             pending_transfer: PendingTransfer::none(),
             settings,
             tuning,
         }
     }
 
-    /// The time of day. Only ages are taken from it, never an order of events.
+    /// The wall-clock time. It is used only to compute ages, never to order events.
     pub fn unix_ms(&self) -> u64 {
         self.http.unix_ms()
     }
 
-    /// The time on the controller's steady clock, in milliseconds.
+    /// The time on the controller's monotonic clock, in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.clock.now_ms()
     }
 
-    /// The time on the controller's steady clock, in seconds.
+    /// The time on the controller's monotonic clock, in seconds.
     pub fn now_s(&self) -> f64 {
         self.clock.now_s()
     }
@@ -116,7 +119,7 @@
         self.random.below(bound)
     }
 
-    /// The address at which a peer listens for other controllers.
+    /// The address at which a peer listens for requests from other controllers.
     pub fn peer_address(&self, member: &str) -> Option<SocketAddr> {
         self.settings
             .peers
@@ -135,12 +138,13 @@
         self.leadership.step_down(token);
     }
 
-    /// Whether this controller resigned a moment ago and does not campaign.
+    /// Whether this controller resigned recently and does not campaign.
     pub fn is_backing_off(&self) -> bool {
         self.election_backoff.is_running()
     }
 
-    /// Votes on the lease of the leader of this token, by what is known of the state service.
+    /// Votes on the lease extension of the leader with this token, depending on whether the state
+    /// service is reachable.
     pub fn vote_to_extend_lease(&self, token: u64) -> Vote {
         let store = if self.store.is_unreachable() {
             StoreReachability::Unreachable
@@ -150,13 +154,13 @@
         self.leadership.vote_to_extend_lease(store, token)
     }
 
-    /// The leader of this token has stepped down, and wants this controller to lead.
-    pub fn transfer_leadership(&self, token: u64) {
+    /// Records that the leader with this token has stepped down in favour of this controller.
+    pub fn receive_leadership_transfer(&self, token: u64) {
         self.pending_transfer.set(token);
         self.election_wakeup.notify_one();
     }
 
-    /// The token of a leader that has stepped down for this controller, once.
+    /// Takes the token of a leader that has stepped down in favour of this controller.
     pub fn take_leadership_transfer(&self) -> Option<u64> {
         self.pending_transfer.take()
     }
@@ -164,24 +168,25 @@
 
 /// Workers.
 impl ControllerContext {
-    /// As a shard owner this controller may act for its workers under this token until then, by
-    /// [`Self::now_ms`].
+    /// Permits this controller, as a shard owner, to answer and command its workers under this
+    /// token until a time on the clock of [`Self::now_ms`].
     pub fn set_shard_permission(&self, token: u64, until_ms: u64) {
         self.shard_permission.set(token, until_ms);
     }
 
-    /// Whether a worker may be answered now, by this controller as leader or as shard owner.
-    pub fn may_answer(&self) -> bool {
+    /// Whether this controller, as leader or as shard owner, may answer workers now.
+    pub fn may_answer_workers(&self) -> bool {
         self.leadership.is_valid() || self.shard_permission.token().is_some()
     }
 
-    /// Whether commands under this token may leave from here.
-    pub fn may_command(&self, token: u64) -> bool {
+    /// Whether this controller may send commands under this token now.
+    pub fn may_send_commands(&self, token: u64) -> bool {
         let as_leader = self.leadership.is_valid() && self.leadership.leads(token);
         as_leader || self.shard_permission.token() == Some(token)
     }
 
-    /// Answers a worker that reports to the wrong controller with the right one, if it is known.
+    /// The response to a worker that reports to the wrong controller. It names the right one if
+    /// that is known.
     pub fn redirect_worker(&self, controller: Option<&str>) -> Outgoing {
         match controller.filter(|name| *name != self.settings.member) {
             Some(controller) => Outgoing::json(
@@ -193,19 +198,20 @@
     }
 }
 
-/// Pauses and cuts.
+/// Process pauses and contact with peers.
 impl ControllerContext {
-    /// This process was paused: the users of requests that came in meanwhile may have timed out.
+    /// Records a pause of this process. Users whose requests arrived during the pause may have
+    /// timed out.
     pub fn record_process_pause(&self) {
-        self.stale_requests.restart(STALE_REQUESTS_MS);
+        self.stale_request_period.restart(STALE_REQUEST_PERIOD_MS);
     }
 
-    /// Whether a request read now may have waited for longer than its user does.
-    pub fn may_be_stale(&self) -> bool {
-        self.stale_requests.is_running()
+    /// Whether a request that is read now may have waited longer than its user's timeout.
+    pub fn requests_may_be_stale(&self) -> bool {
+        self.stale_request_period.is_running()
     }
 
-    /// A peer contacted this controller or answered it.
+    /// Records that a peer contacted this controller or answered it.
     pub fn record_peer_contact(&self) {
         self.peer_contact.record();
     }
@@ -216,11 +222,12 @@
     }
 }
 
-/// Any controller may lead, and the leader needs the most: one leader and the others as
-/// followers stay under the published limits together.
+/// Creates a client of the state service whose rate limit is sized for the leader, since any
+/// controller may lead. One leader and all other controllers as followers stay below the
+/// published limits together.
 fn new_store(settings: &Settings, http: Arc<dyn Network>) -> Store {
     let limits = &settings.cluster.state;
-    let share = STORE_LIMIT_PART / (1.0 + FOLLOWER_LOAD * settings.peers.len() as f64);
+    let share = STORE_LIMIT_SHARE / (1.0 + FOLLOWER_LOAD_SHARE * settings.peers.len() as f64);
     Store::new(
         http,
         settings.external.state,
--- a/src/controller/context/peer_contact.rs
+++ b/src/controller/context/peer_contact.rs
@@ -1,10 +1,10 @@
-//! When a peer last contacted this controller or answered it.
+//! The time at which a peer last contacted this controller or answered it.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use super::clock::ControllerClock;
 
-/// The last contact with any peer; the start of the process counts as one.
+/// The time of the last contact with any peer. The start of the process counts as a contact.
 #[derive(Debug)]
 pub struct PeerContact {
     clock: ControllerClock,
--- a/src/controller/context/random.rs
+++ b/src/controller/context/random.rs
@@ -1,11 +1,11 @@
-//! The random choices of a process.
+//! The random number generator of a controller process.
 
 use std::sync::Mutex;
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// A seeded random number generator that tasks share.
+/// A seeded random number generator that the controller's tasks share.
 #[derive(Debug)]
 pub struct SharedRandom {
     generator: Mutex<StdRng>,
--- a/src/controller/context/shard_permission.rs
+++ b/src/controller/context/shard_permission.rs
@@ -1,18 +1,18 @@
-//! The leader's permission for this controller, as a shard owner, to act for some workers.
+//! The leader's permission for this controller, as a shard owner, to answer and command workers.
 
 use std::sync::Mutex;
 
 use super::clock::ControllerClock;
 
-/// The fencing token under which this shard owner may answer and command its workers, and until
-/// when.
+/// The fencing token under which this shard owner may answer and command its workers, and the
+/// time at which the permission expires.
 #[derive(Debug, Clone, Copy)]
 struct Permission {
     token: u64,
     until_ms: u64,
 }
 
-/// The current permission, as the controller's tasks share it.
+/// The current permission, which the controller's tasks share.
 #[derive(Debug)]
 pub struct ShardPermission {
     clock: ControllerClock,
@@ -35,7 +35,7 @@
         *self.permission.lock().expect("no panic while held") = Permission { token, until_ms };
     }
 
-    /// The token of a permission that has not expired.
+    /// The fencing token of the permission, unless it has expired.
     pub(super) fn token(&self) -> Option<u64> {
         let permission = *self.permission.lock().expect("no panic while held");
         (self.clock.now_ms() < permission.until_ms).then_some(permission.token)
--- a/src/controller/context/deadline.rs
+++ b/src/controller/context/timer.rs
@@ -1,18 +1,18 @@
-//! A moment that several tasks set and read.
+//! A countdown timer that several tasks restart and read.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use super::clock::ControllerClock;
 
-/// A period that ends at a moment of the controller's clock; over at first.
+/// A countdown on the controller's clock. It is not running until it is first restarted.
 #[derive(Debug)]
-pub struct Deadline {
+pub struct Timer {
     clock: ControllerClock,
     ends_at_ms: AtomicU64,
 }
 
-impl Deadline {
-    pub(super) fn expired(clock: ControllerClock) -> Self {
+impl Timer {
+    pub(super) fn stopped(clock: ControllerClock) -> Self {
         Self {
             clock,
             ends_at_ms: AtomicU64::new(0),
--- a/src/controller/effects/cloud.rs
+++ b/src/controller/effects/cloud.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud: scale out, scale in, the list of workers and the machine types.
+//! Requests to the cloud: scaling out and in, the list of workers, and the machine types.
 
 use std::time::Duration;
 
@@ -13,29 +13,30 @@
 
 const CLOUD_DEADLINE: Duration = Duration::from_secs(3);
 const SCALE_OUT_ATTEMPTS: usize = 3;
-/// What one call takes from the budget of cloud requests.
+/// What one request costs in the rate limiter for the cloud.
 const CALL_COST: f64 = 1.0;
 
 const STATUS_OK: u16 = 200;
 const STATUS_UNAVAILABLE: u16 = 503;
-/// In the body of a 503 that means that the cloud has no such workers left.
+/// A 503 whose body contains this text means that the cloud has no such workers left.
 const NO_CAPACITY: &[u8] = b"no capacity";
 
 /// A request for new workers.
 pub struct ScaleOutRequest {
-    /// The name of the request. The cloud provisions nothing twice under one name.
+    /// The name of the request, which makes it idempotent: the cloud provisions workers only once
+    /// for each name.
     pub request: String,
     /// The machine type of the workers.
     pub machine_type: String,
     /// The zone to provision them in.
     pub zone: String,
-    /// Whether they are spot workers, which the cloud may reclaim.
+    /// Whether to provision spot workers, which the cloud may reclaim.
     pub spot: bool,
-    /// How many workers.
+    /// How many workers to provision.
     pub count: u32,
 }
 
-/// Requests workers from the cloud.
+/// Requests new workers from the cloud.
 pub(super) async fn scale_out(context: &ControllerContext, request: ScaleOutRequest) -> Input {
     let ScaleOutRequest {
         request,
@@ -45,12 +46,13 @@
         count,
     } = request;
     let body = cloud::scale_out_body(&request, &machine_type, &zone, spot, count).to_string();
-    let outcome = call_scale_out(context, body.into_bytes()).await;
+    let outcome = send_scale_out(context, body.into_bytes()).await;
     Input::ScaledOut { request, outcome }
 }
 
-/// Repeats the request if the response is lost: the same name gives the same response.
-async fn call_scale_out(context: &ControllerContext, body: Vec<u8>) -> ScaleOutOutcome {
+/// Sends the request, and repeats it if the response is lost. A repetition is safe, because the
+/// cloud gives the same response to the same request name.
+async fn send_scale_out(context: &ControllerContext, body: Vec<u8>) -> ScaleOutOutcome {
     for _ in 0..SCALE_OUT_ATTEMPTS {
         context.cloud_budget.spend(CALL_COST, Urgency::Normal).await;
         if !context.leadership.is_valid() {
@@ -93,7 +95,8 @@
 pub(super) async fn scale_in(context: &ControllerContext, workers: Vec<String>) -> Input {
     let body = cloud::scale_in_body(&workers).to_string().into_bytes();
     context.cloud_budget.spend(CALL_COST, Urgency::High).await;
-    // The wait may have outlived the lease, and the next leader may use these workers.
+    // The leader lease may have expired during the wait for the rate limiter, and the next leader
+    // may use these workers.
     let ok = context.leadership.is_valid()
         && matches!(
             call(context, Method::POST, "/rentals/return", body).await,
@@ -102,7 +105,7 @@
     Input::ScaledIn { workers, ok }
 }
 
-/// Reads all pages of the cloud's worker list; `None` if one of them cannot be read.
+/// Reads all pages of the cloud's worker list. Returns `None` if a page cannot be read.
 pub(super) async fn list_workers(context: &ControllerContext) -> Option<Vec<ListedWorker>> {
     let mut all: Vec<ListedWorker> = Vec::new();
     loop {
@@ -123,9 +126,9 @@
     }
 }
 
-/// Reads the machine types; `None` if the cloud does not answer or they do not parse.
+/// Reads the machine types. Returns `None` if the cloud does not answer or they do not parse.
 pub async fn read_machine_types(context: &ControllerContext) -> Option<Vec<MachineType>> {
-    // Without the machine types no submission can be validated.
+    // High urgency, because no submission can be validated without the machine types.
     context.cloud_budget.spend(CALL_COST, Urgency::High).await;
     let body = get(context, "/machine_types").await?;
     cloud::parse_machine_types(&body)
--- a/src/controller/effects/mod.rs
+++ b/src/controller/effects/mod.rs
@@ -1,7 +1,7 @@
-//! Carries out what the core asks for outside the process: commands to workers, calls to the
-//! cloud, and writes to the state service.
+//! Executes the effects that the core requests: commands to workers, requests to the cloud, and
+//! writes to the state service.
 //!
-//! Each effect runs in a task of its own and reports back through the event loop's queue.
+//! Each effect runs in its own task and reports its result through the event loop's queue.
 
 mod cloud;
 mod peers;
@@ -20,7 +20,7 @@
 pub use cloud::{ScaleOutRequest, read_machine_types};
 pub use peers::{announce_leadership, relay_commands};
 
-/// Starts the effects of one term.
+/// Starts the effects of one leadership term.
 pub struct EffectExecutor<'a> {
     context: &'a Arc<ControllerContext>,
     handle: &'a ControllerHandle,
@@ -29,7 +29,7 @@
 }
 
 impl<'a> EffectExecutor<'a> {
-    /// An executor for the term of this token.
+    /// Creates an executor for the term with this token.
     pub fn new(
         context: &'a Arc<ControllerContext>,
         handle: &'a ControllerHandle,
@@ -42,25 +42,25 @@
         }
     }
 
-    /// What the tasks of this process share.
+    /// The shared state of this controller's tasks.
     pub fn context(&self) -> &ControllerContext {
         self.context
     }
 
-    /// Ends the term: a worker has seen a newer token than that of this term.
+    /// Ends the term because a worker has seen a newer fencing token.
     pub fn step_down(&self) {
         let token = self.token;
         tracing::warn!(token, "worker reports a newer fencing token: stepping down");
         self.context.leadership.step_down(token);
     }
 
-    /// Sends commands to a worker, or inspects it if there are none.
+    /// Sends commands to a worker. A message without commands requests a heartbeat.
     pub fn send_to_worker(&self, worker: String, message: RelayedCommand) {
         let (context, token) = (self.context.clone(), self.token);
         self.spawn(async move { Some(workers::send(&context, token, worker, message).await) });
     }
 
-    /// Sends commands to workers by way of the controller that owns their shard.
+    /// Sends commands to workers through the controller that owns their shard.
     pub fn send_to_relay(&self, controller: u32, messages: Vec<RelayedCommand>) {
         let member = self.context.settings.controller(controller);
         let Some(to) = self.context.peer_address(member) else {
@@ -72,13 +72,13 @@
         );
     }
 
-    /// Writes to the state service.
+    /// Writes a batch to the state service.
     pub fn write(&self, batch: Vec<Write>) {
         let (context, handle, token) = (self.context.clone(), self.handle.clone(), self.token);
         self.spawn(async move { state::write(&context, &handle, token, batch).await });
     }
 
-    /// Requests workers from the cloud.
+    /// Requests new workers from the cloud.
     pub fn scale_out(&self, request: ScaleOutRequest) {
         let context = self.context.clone();
         self.spawn(async move { Some(cloud::scale_out(&context, request).await) });
--- a/src/controller/effects/peers.rs
+++ b/src/controller/effects/peers.rs
@@ -1,4 +1,5 @@
-//! Messages to other controllers: commands relayed to workers, and the announcement of a leader.
+//! Messages to other controllers: commands to be relayed to workers, and the announcement of a
+//! new leader.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,15 +17,17 @@
 
 const PEER_DEADLINE: Duration = Duration::from_millis(1000);
 
-/// Whether a relay has taken a batch of commands.
+/// Whether a relay has accepted a message with commands.
 enum RelayResult {
     Accepted,
-    /// It relays none of them: it was not reached, or it refused.
+    /// The relay sends none of the commands, because it was not reached or it refused.
     Rejected,
+    /// The relay may have accepted the commands, because its answer was lost.
     Unknown,
 }
 
-/// Hands commands to the controller that is to relay them; their outcomes come with its status.
+/// Sends commands to the controller that relays them to workers. Returns an input for the core only
+/// if the relay did not accept them; otherwise their outcomes arrive with the relay's status.
 pub(super) async fn send_to_relay(
     context: &ControllerContext,
     token: u64,
@@ -53,7 +56,7 @@
     to: SocketAddr,
     body: Vec<u8>,
 ) -> RelayResult {
-    if !context.may_command(token) {
+    if !context.may_send_commands(token) {
         return RelayResult::Rejected;
     }
     let response = context
@@ -61,7 +64,7 @@
         .call(Method::POST, to, "/peer", body, PEER_DEADLINE);
     match response.await {
         Ok(response) if is_accepted(&response) => RelayResult::Accepted,
-        // It may not relay under this token, or is of a version without shard owners.
+        // The relay may not send commands under this token, or runs a version without shard owners.
         Ok(_) | Err(CallError::Unsent) => RelayResult::Rejected,
         Err(CallError::Unknown(_) | CallError::TooLarge) => RelayResult::Unknown,
     }
@@ -71,7 +74,7 @@
     matches!(borsh::from_slice(&response.body), Ok(PeerReply::Relaying))
 }
 
-/// Relays commands to workers for the leader of this token. Returns false, and relays none, if
+/// Relays commands to workers for the leader with this token. Returns false and relays nothing if
 /// this controller may not send commands under that token.
 pub fn relay_commands(
     context: &Arc<ControllerContext>,
@@ -79,7 +82,7 @@
     token: u64,
     messages: Vec<RelayedCommand>,
 ) -> bool {
-    if !context.may_command(token) {
+    if !context.may_send_commands(token) {
         return false;
     }
     for message in messages {
@@ -97,7 +100,8 @@
     true
 }
 
-/// Announces this controller as leader, so that no peer waits until it reads the leader key.
+/// Announces this controller as leader to all peers, so that they learn of it before they next read
+/// the leader key.
 pub async fn announce_leadership(context: Arc<ControllerContext>) {
     for peer in &context.settings.peers {
         let (context, to) = (context.clone(), peer.peer_addr);
--- a/src/controller/effects/state.rs
+++ b/src/controller/effects/state.rs
@@ -9,8 +9,8 @@
 use crate::protocol::job::JobOutcome;
 use crate::storage::writer::{self, Write, WriteError, Written};
 
-/// Writes a batch under the guard of the leader key, and has the outcomes of finished jobs
-/// cached. Steps down if the leader key is no longer that of this token.
+/// Writes a batch on the condition that the leader key still has this token as its version, and
+/// caches the outcomes of finished jobs. Steps down if the leader key has changed.
 pub(super) async fn write(
     context: &Arc<ControllerContext>,
     handle: &ControllerHandle,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The job whose outcome is stored now, if the write was about that.
+/// The job and its stored outcome, if the write was meant to finish a job and an outcome is stored.
 fn finished_job((write, written): &(Write, Written)) -> Option<(JobId, JobOutcome)> {
     let Write::Finish { job, done, .. } = write else {
         return None;
--- a/src/controller/effects/workers.rs
+++ b/src/controller/effects/workers.rs
@@ -1,4 +1,4 @@
-//! Commands sent to workers, and inspections of workers.
+//! Commands to workers, and requests for their heartbeats.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,13 +12,14 @@
 use crate::transport::client::{Answer, CallError};
 
 const COMMAND_DEADLINE: Duration = Duration::from_millis(1500);
-const INSPECT_DEADLINE: Duration = Duration::from_millis(500);
+/// The deadline of a message without commands, which requests a heartbeat.
+const HEARTBEAT_REQUEST_DEADLINE: Duration = Duration::from_millis(500);
 
 const STATUS_OK: u16 = 200;
 const STATUS_BAD_REQUEST: u16 = 400;
 const STATUS_CONFLICT: u16 = 409;
 
-/// Sends a message to a worker and returns its outcome as an input to the core.
+/// Sends a message to a worker and returns its outcome as an input for the core.
 pub(super) async fn send(
     context: &ControllerContext,
     token: u64,
@@ -33,9 +34,11 @@
     }
 }
 
-/// Sends commands to a worker, or inspects it: a message without commands is answered with a
-/// heartbeat as `/inspect` is, and if the incarnation is right, the worker has also learned the
-/// token. With `/inspect`, a new leader would need two exchanges before it could use a worker.
+/// Sends commands to a worker, or requests a heartbeat with a message without commands.
+///
+/// A worker answers a message without commands with a heartbeat, as it answers `/inspect`, and if
+/// the incarnation matches it also records the fencing token. With `/inspect`, a new leader would
+/// need two exchanges before it could use a worker.
 pub(super) async fn send_message(
     context: &ControllerContext,
     token: u64,
@@ -45,7 +48,7 @@
     if !message.commands.is_empty() {
         return exchange.await;
     }
-    match tokio::time::timeout(INSPECT_DEADLINE, exchange).await {
+    match tokio::time::timeout(HEARTBEAT_REQUEST_DEADLINE, exchange).await {
         Ok(Outcome::Unknown) | Err(_) => Outcome::Unsent,
         Ok(outcome) => outcome,
     }
@@ -53,7 +56,7 @@
 
 async fn exchange(context: &ControllerContext, token: u64, message: &RelayedCommand) -> Outcome {
     let to: SocketAddr = match message.address.parse() {
-        Ok(to) if context.may_command(token) => to,
+        Ok(to) if context.may_send_commands(token) => to,
         _ => return Outcome::Unsent,
     };
     let body = commands_body(token, Some(message.incarnation), &message.commands);
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -1,7 +1,7 @@
-//! The event loop, the only owner of a controller's state.
+//! The event loop, which is the only owner of a controller's state.
 //!
 //! Every event arrives as a command in one bounded queue, and commands are processed in batches.
-//! Effects outside the process are carried out by spawned tasks, which report back through the
+//! Spawned tasks execute the effects outside the process, and report their results through the
 //! same queue.
 
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 };
 use crate::controller::context::ControllerContext;
 use crate::controller::effects::{EffectExecutor, announce_leadership};
-use crate::controller::follower::{BufferedHeartbeats, Follower, WaitingHeartbeat};
-use crate::controller::leading::Leading;
+use crate::controller::follower::{BufferedHeartbeats, Follower, PendingHeartbeat};
+use crate::controller::leader::Leader;
 use crate::controller::outcome_cache::OutcomeCache;
 use crate::controller::pause_detector::PauseDetector;
 use crate::controller::pending_replies::PendingReply;
@@ -35,22 +35,25 @@
 const QUEUE_CAPACITY: usize = 2048;
 const BATCH_SIZE: usize = 128;
 const TICK_PERIOD: Duration = Duration::from_millis(50);
-/// Heartbeats that wait while a new leader reads the stored state: one of each worker of a site
-/// of 6,000. The memory that they hold is bounded by the meter of requests under way.
-const MAX_WAITING_HEARTBEATS: usize = 6144;
-/// Users wait at least 2 s. After a longer pause the requests in the sockets are stale.
+/// The maximum number of heartbeats that wait while a new leader reads the stored state: one for
+/// each worker of a site with 6,000 workers. The meter for requests in progress bounds the memory
+/// that they hold.
+const MAX_PENDING_HEARTBEATS: usize = 6144;
+/// After a process pause longer than this, the requests in the sockets may be stale. Users wait at
+/// least 2 s for an answer.
 const STALE_REQUESTS_AFTER: Duration = Duration::from_secs(2);
 
-/// The part that a controller plays, with the state that belongs to it.
+/// The role of a controller, with the state that belongs to it.
 enum Role {
-    /// `None` where the workers are not shared among the controllers.
+    /// Not the leader. `None` if sharding is off or there are no other controllers.
     Follower(Option<Box<Follower>>),
-    /// Elected, and reading the stored state. Heartbeats wait until it has been read.
+    /// Elected and reading the stored state. Heartbeats wait until it has been read.
     Recovering {
         token: u64,
         heartbeats: BufferedHeartbeats,
     },
-    Leading(Box<Leading>),
+    /// Leading, with the state of the term.
+    Leader(Box<Leader>),
 }
 
 /// A controller's state and its queue of commands.
@@ -59,19 +62,19 @@
     handle: ControllerHandle,
     queue: mpsc::Receiver<Command>,
     role: Role,
-    /// The member name of the leader, as far as it is known.
+    /// The member name of the leader, if it is known.
     leader: Option<String>,
-    /// When a leader key was last seen; at first, when this process started.
-    leader_seen: Instant,
-    /// When this controller was last elected.
-    elected: Instant,
+    /// When a leader key was last seen. Initially the start of this process.
+    leader_seen_at: Instant,
+    /// When this controller was last elected. Initially the start of this process.
+    elected_at: Instant,
     machine_types: Option<Arc<Vec<MachineType>>>,
     outcomes: OutcomeCache,
     step_stats: StepStats,
 }
 
 impl Controller {
-    /// A controller that follows, and the handle to send it commands.
+    /// Creates a controller that follows, and the handle that sends commands to it.
     pub fn new(context: Arc<ControllerContext>) -> (Self, ControllerHandle) {
         let (sender, queue) = mpsc::channel(QUEUE_CAPACITY);
         let handle = ControllerHandle::new(sender);
@@ -81,8 +84,8 @@
             handle: handle.clone(),
             queue,
             leader: None,
-            leader_seen: Instant::now(),
-            elected: Instant::now(),
+            leader_seen_at: Instant::now(),
+            elected_at: Instant::now(),
             machine_types: None,
             outcomes: OutcomeCache::default(),
             step_stats: StepStats::default(),
@@ -119,18 +122,19 @@
         }
     }
 
-    /// The clocks ran on while nothing was read; no worker was unresponsive because of that.
+    /// Handles a process pause. The clock advanced while no heartbeat was read, so workers must not
+    /// be regarded as unresponsive because of the pause.
     fn handle_pause(&mut self, pause: Duration) {
         tracing::warn!(?pause, "process pause detected");
         if pause > STALE_REQUESTS_AFTER {
             self.context.record_process_pause();
         }
-        if let Role::Leading(leading) = &mut self.role {
-            leading.record_pause(pause);
+        if let Role::Leader(leader) = &mut self.role {
+            leader.record_pause(pause);
         }
     }
 
-    /// Processes a command; what the core is to know of it is added to `inputs`.
+    /// Processes a command, and adds the resulting inputs for the core to `inputs`.
     fn handle_command(&mut self, command: Command, inputs: &mut Vec<Input>) {
         match command {
             Command::Heartbeat { heartbeat, reply } => {
@@ -173,8 +177,8 @@
             Command::Recovered { token, snapshot } => self.start_leading(token, snapshot, inputs),
             Command::LeadershipLost => self.start_following(),
             Command::Input { token, input } => {
-                if let Role::Leading(leading) = &self.role
-                    && leading.token() == token
+                if let Role::Leader(leader) = &self.role
+                    && leader.token() == token
                 {
                     inputs.push(input);
                 }
@@ -187,21 +191,21 @@
     fn follower(&mut self) -> Option<&mut Follower> {
         match &mut self.role {
             Role::Follower(follower) => follower.as_deref_mut(),
-            Role::Recovering { .. } | Role::Leading(_) => None,
+            Role::Recovering { .. } | Role::Leader(_) => None,
         }
     }
 
-    /// The state as leader, if this controller leads and its lease is valid.
-    fn valid_leading(&mut self) -> Option<&mut Leading> {
+    /// The leader's state, if this controller leads and its lease is valid.
+    fn valid_leader(&mut self) -> Option<&mut Leader> {
         match &mut self.role {
-            Role::Leading(leading) if self.context.leadership.is_valid() => Some(leading),
+            Role::Leader(leader) if self.context.leadership.is_valid() => Some(leader),
             _ => None,
         }
     }
 
     fn handle_leader_seen(&mut self, leader: Option<String>) {
         if leader.is_some() {
-            self.leader_seen = Instant::now();
+            self.leader_seen_at = Instant::now();
         }
         if let Some(follower) = self.follower() {
             follower.set_leader(leader.clone());
@@ -210,7 +214,7 @@
     }
 
     fn start_recovery(&mut self, token: u64) {
-        self.elected = Instant::now();
+        self.elected_at = Instant::now();
         self.leader = Some(self.context.settings.member.clone());
         let heartbeats = match std::mem::replace(&mut self.role, Role::Follower(None)) {
             Role::Follower(Some(follower)) => follower.into_buffered_heartbeats(),
@@ -221,17 +225,17 @@
     }
 
     fn start_leading(&mut self, token: u64, snapshot: Snapshot, inputs: &mut Vec<Input>) {
-        let BufferedHeartbeats { forwarded, waiting } = match &mut self.role {
+        let BufferedHeartbeats { forwarded, pending } = match &mut self.role {
             Role::Recovering {
-                token: recovering,
+                token: recovery_token,
                 heartbeats,
-            } if *recovering == token => std::mem::take(heartbeats),
+            } if *recovery_token == token => std::mem::take(heartbeats),
             _ => return,
         };
         tracing::info!(
             token,
-            leaderless = ?self.elected - self.leader_seen,
-            recovery = ?self.elected.elapsed(),
+            leaderless = ?self.elected_at - self.leader_seen_at,
+            recovery = ?self.elected_at.elapsed(),
             jobs = snapshot.jobs.len(),
             workers = snapshot.workers(),
             "recovered"
@@ -242,9 +246,9 @@
             core.enable_sharding(settings.own_index(), &settings.controllers());
             tokio::spawn(announce_leadership(self.context.clone()));
         }
-        self.role = Role::Leading(Box::new(Leading::new(core)));
+        self.role = Role::Leader(Box::new(Leader::new(core)));
         inputs.push(Input::BufferedHeartbeats(forwarded));
-        for WaitingHeartbeat { heartbeat, reply } in waiting {
+        for PendingHeartbeat { heartbeat, reply } in pending {
             self.handle_heartbeat(heartbeat, reply, inputs);
         }
     }
@@ -260,8 +264,8 @@
 
     fn start_following(&mut self) {
         self.leader = None;
-        // The pending replies are dropped with the role: workers are redirected, and look for
-        // the next leader.
+        // Dropping the previous role drops its pending replies. Their workers are redirected and
+        // look for the next leader.
         self.role = Role::Follower(None);
         self.role = Role::Follower(start_follower(&self.context, &self.handle));
     }
@@ -275,15 +279,15 @@
         inputs: &mut Vec<Input>,
     ) {
         match &mut self.role {
-            Role::Leading(leading) if self.context.leadership.is_valid() => {
-                let ticket = leading.register(PendingReply::Heartbeat(reply));
+            Role::Leader(leader) if self.context.leadership.is_valid() => {
+                let ticket = leader.register(PendingReply::Heartbeat(reply));
                 inputs.push(Input::Heartbeat { ticket, heartbeat });
             }
             Role::Recovering { heartbeats, .. }
-                if heartbeats.waiting.len() < MAX_WAITING_HEARTBEATS =>
+                if heartbeats.pending.len() < MAX_PENDING_HEARTBEATS =>
             {
-                let waiting = WaitingHeartbeat { heartbeat, reply };
-                heartbeats.waiting.push(waiting);
+                let pending = PendingHeartbeat { heartbeat, reply };
+                heartbeats.pending.push(pending);
             }
             Role::Follower(Some(follower)) => follower.handle_heartbeat(heartbeat, reply),
             _ => {
@@ -298,11 +302,11 @@
         reply: oneshot::Sender<Option<ShardUpdate>>,
         inputs: &mut Vec<Input>,
     ) {
-        let Some(leading) = self.valid_leading() else {
+        let Some(leader) = self.valid_leader() else {
             let _ = reply.send(None);
             return;
         };
-        let ticket = leading.register(PendingReply::ShardStatus(reply));
+        let ticket = leader.register(PendingReply::ShardStatus(reply));
         inputs.push(Input::ShardStatus { ticket, status });
     }
 
@@ -312,11 +316,11 @@
         reply: oneshot::Sender<Option<AdminResponse>>,
         inputs: &mut Vec<Input>,
     ) {
-        let Some(leading) = self.valid_leading() else {
+        let Some(leader) = self.valid_leader() else {
             let _ = reply.send(None);
             return;
         };
-        let ticket = leading.register(PendingReply::Admin(reply));
+        let ticket = leader.register(PendingReply::Admin(reply));
         inputs.push(Input::Admin {
             ticket,
             request,
@@ -330,11 +334,11 @@
         reply: oneshot::Sender<Option<BegunCancellation>>,
         inputs: &mut Vec<Input>,
     ) {
-        let Some(leading) = self.valid_leading() else {
+        let Some(leader) = self.valid_leader() else {
             let _ = reply.send(None);
             return;
         };
-        let ticket = leading.register(PendingReply::Cancellation(reply));
+        let ticket = leader.register(PendingReply::Cancellation(reply));
         inputs.push(Input::CancelRequested { ticket, job });
     }
 
@@ -347,13 +351,13 @@
         if let Some(outcome) = outcome {
             self.outcomes.insert(job, outcome);
         }
-        if let Role::Leading(_) = self.role {
+        if let Role::Leader(_) = self.role {
             inputs.push(Input::CancelSettled { job, outcome });
         }
     }
 
     fn set_machine_types(&mut self, types: Vec<MachineType>, inputs: &mut Vec<Input>) {
-        if let Role::Leading(_) = self.role {
+        if let Role::Leader(_) = self.role {
             inputs.push(Input::MachineTypes(types.clone()));
         }
         self.machine_types = Some(Arc::new(types));
@@ -371,7 +375,7 @@
             return Lookup::Terminal(outcome);
         }
         match &self.role {
-            Role::Leading(leading) if self.context.leadership.is_valid() => leading.lookup(job),
+            Role::Leader(leader) if self.context.leadership.is_valid() => leader.lookup(job),
             _ => Lookup::NotLeader,
         }
     }
@@ -380,24 +384,24 @@
 
     /// Runs one step of the core with these inputs, if this controller leads.
     fn step_core(&mut self, inputs: Vec<Input>) {
-        let Role::Leading(leading) = &mut self.role else {
+        let Role::Leader(leader) = &mut self.role else {
             return;
         };
         if !self.context.leadership.is_valid() {
-            leading.defer(inputs);
+            leader.defer(inputs);
             return;
         }
-        let token = leading.token();
-        if leading.has_lost_all_workers() {
+        let token = leader.token();
+        if leader.has_lost_all_workers() {
             tracing::warn!(token, "all workers unresponsive: resigning leadership");
             self.context.resign(token);
             return;
         }
         let started = std::time::Instant::now();
-        let effects = leading.step(&self.context, inputs);
+        let effects = leader.step(&self.context, inputs);
         self.step_stats.record(started.elapsed());
         let executor = EffectExecutor::new(&self.context, &self.handle, token);
-        leading.execute(effects, &executor);
+        leader.execute(effects, &executor);
         self.step_stats.log_if_due(self.context.now_s());
     }
 }
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -1,6 +1,6 @@
-//! A controller that does not lead, as a shard owner: it answers the workers of its shard under
-//! the leader's shard lease, and forwards their heartbeats to the leader. The decisions are made
-//! in `copperfield-heartbeat-forwarder`.
+//! The shard owner role of a controller that does not lead: it answers the workers of its shard
+//! under a shard lease from the leader, and forwards their heartbeats to the leader. The decision
+//! logic is in `copperfield-heartbeat-forwarder`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,20 +18,21 @@
 use crate::transport::server::Outgoing;
 
 const STATUS_DEADLINE: Duration = Duration::from_millis(700);
-/// Process numbers are drawn below this, so that a restarted process has another one.
-const PROCESS_NUMBERS: u64 = 1 << 52;
+/// Process numbers are drawn at random from 1 to this, so that a restarted process gets a different
+/// number.
+const MAX_PROCESS_NUMBER: u64 = 1 << 52;
 
-/// The heartbeats that a shard owner has received and the next leader needs.
+/// The heartbeats that a shard owner holds when it is elected, and needs as the next leader.
 #[derive(Default)]
 pub struct BufferedHeartbeats {
-    /// Answered already.
+    /// Heartbeats that have been answered, in the form in which the leader receives them.
     pub forwarded: Vec<ForwardedHeartbeat>,
-    /// Not answered yet.
-    pub waiting: Vec<WaitingHeartbeat>,
+    /// Heartbeats that have not been answered yet.
+    pub pending: Vec<PendingHeartbeat>,
 }
 
-/// A heartbeat whose worker waits for the response.
-pub struct WaitingHeartbeat {
+/// A heartbeat whose worker is waiting for the response.
+pub struct PendingHeartbeat {
     /// The heartbeat.
     pub heartbeat: Heartbeat,
     /// Receives the response.
@@ -46,32 +47,37 @@
     replies: PendingReplies,
     /// The member name of the leader; `None` while there is none.
     leader: Option<String>,
-    /// The last leader that was seen: the one that the forwarder has sent its status to.
+    /// The last known leader. It is kept while there is no leader, to detect that a new one differs.
     last_leader: Option<String>,
 }
 
 impl Follower {
-    /// Starts without a shard; `None` where the workers are not shared among the controllers.
+    /// Starts a follower without a shard. Returns `None` if sharding is off or there are no other
+    /// controllers.
     pub fn start(context: &Arc<ControllerContext>, handle: &ControllerHandle) -> Option<Self> {
         let settings = &context.settings;
         if context.tuning.sharding == Switch::Off || settings.peers.is_empty() {
             return None;
         }
-        // Distinguishes the shard of this process from that of an earlier one.
-        let process = 1 + context.random(PROCESS_NUMBERS);
-        let report_s = settings.cluster.workers.heartbeat_interval_s;
+        // Distinguishes this process from earlier processes of the same controller.
+        let process_number = 1 + context.random(MAX_PROCESS_NUMBER);
+        let heartbeat_interval_s = settings.cluster.workers.heartbeat_interval_s;
         context.set_shard_permission(0, 0);
         Some(Self {
             context: context.clone(),
             handle: handle.clone(),
-            forwarder: HeartbeatForwarder::new(settings.own_index(), process, report_s),
+            forwarder: HeartbeatForwarder::new(
+                settings.own_index(),
+                process_number,
+                heartbeat_interval_s,
+            ),
             replies: PendingReplies::default(),
             leader: None,
             last_leader: None,
         })
     }
 
-    /// Sets the leader; `None` if there is no leader now.
+    /// Sets the current leader; `None` if there is none.
     pub fn set_leader(&mut self, leader: Option<String>) {
         if leader.is_some() && leader != self.last_leader {
             self.last_leader = leader.clone();
@@ -80,7 +86,7 @@
         self.leader = leader;
     }
 
-    /// Answers a worker's heartbeat, now or once the leader has answered.
+    /// Answers a worker's heartbeat at once, or after the leader's next answer.
     pub fn handle_heartbeat(&mut self, heartbeat: Heartbeat, reply: oneshot::Sender<Outgoing>) {
         let ticket = self.replies.register(PendingReply::Heartbeat(reply));
         let now_ms = self.context.now_ms();
@@ -88,7 +94,7 @@
         self.execute(actions);
     }
 
-    /// Processes the leader's answer to the status of this number, if one came.
+    /// Processes the leader's answer to the status with this number; `None` if none was received.
     pub fn handle_shard_update(&mut self, number: u64, update: Option<ShardUpdate>) {
         let Some(update) = update else {
             self.forwarder.handle_lost_status(number);
@@ -101,7 +107,7 @@
         self.execute(actions);
     }
 
-    /// Records the outcome of a command that was relayed for the leader of this token.
+    /// Records the outcome of a message that was relayed for the leader with this token.
     pub fn record_relay_outcome(&mut self, token: u64, message_id: u64, outcome: Outcome) {
         if self.forwarder.lease().token == token {
             self.forwarder.record_outcome(message_id, outcome);
@@ -136,20 +142,21 @@
         });
     }
 
-    /// Ends the shard lease, because this controller leads now.
+    /// Ends the shard lease because this controller has been elected, and returns the heartbeats
+    /// that it needs as leader.
     pub fn into_buffered_heartbeats(mut self) -> BufferedHeartbeats {
         self.context.set_shard_permission(0, 0);
         let mut buffered = BufferedHeartbeats::default();
-        for drained in self.forwarder.into_buffered(self.context.now_ms()) {
-            let reply = drained
+        for entry in self.forwarder.into_buffered(self.context.now_ms()) {
+            let reply = entry
                 .ticket
                 .and_then(|ticket| self.replies.take_heartbeat(ticket));
             match reply {
-                Some(reply) => buffered.waiting.push(WaitingHeartbeat {
-                    heartbeat: drained.forwarded.heartbeat,
+                Some(reply) => buffered.pending.push(PendingHeartbeat {
+                    heartbeat: entry.forwarded.heartbeat,
                     reply,
                 }),
-                None => buffered.forwarded.push(drained.forwarded),
+                None => buffered.forwarded.push(entry.forwarded),
             }
         }
         buffered
--- a/src/controller/leading.rs
+++ b/src/controller/leader.rs
@@ -1,4 +1,5 @@
-//! The state of a controller while it leads: the core, and the requests that wait for it.
+//! The state of a controller while it leads: the core, and the requests that wait for the core's
+//! answers.
 
 use std::time::Duration;
 
@@ -12,16 +13,16 @@
 use crate::protocol::peer::{Lookup, RelayedCommand};
 use crate::transport::server::Outgoing;
 
-/// The state of one term as leader.
-pub struct Leading {
+/// The state of one leadership term.
+pub struct Leader {
     core: Core,
     replies: PendingReplies,
-    /// What arrived while the lease was in doubt.
+    /// Inputs that arrived while the leader lease was not valid.
     deferred: Vec<Input>,
 }
 
-impl Leading {
-    /// Starts a term with what has been recovered.
+impl Leader {
+    /// Starts a term with a core that was created from the recovered state.
     pub fn new(core: Core) -> Self {
         Self {
             core,
@@ -35,28 +36,30 @@
         self.core.token
     }
 
-    /// What the core knows of a job.
+    /// Looks up a job in the core.
     pub fn lookup(&self, job: JobId) -> Lookup {
         self.core.lookup(job)
     }
 
-    /// Whether no worker has answered for so long that this controller must be cut off from them.
+    /// Whether no worker has been heard from for so long that the fault must be this controller's
+    /// network.
     pub fn has_lost_all_workers(&self) -> bool {
         self.core.has_lost_all_workers()
     }
 
-    /// Registers a request and returns the ticket under which the core is to answer it.
+    /// Registers a request and returns the ticket under which the core answers it.
     pub fn register(&mut self, reply: PendingReply) -> u64 {
         self.replies.register(reply)
     }
 
-    /// Does not count the time of a pause as time in which workers were unresponsive.
+    /// Records a process pause, so that its duration does not count as time without heartbeats.
     pub fn record_pause(&mut self, pause: Duration) {
         self.core.paused(pause.as_secs_f64());
     }
 
-    /// Keeps facts until the lease is valid again. Requests are dropped: neither an answer nor a
-    /// command may leave now, and the requesters go on to the next controller.
+    /// Keeps inputs until the lease is valid again, except requests, which are dropped. This
+    /// controller may send neither answers nor commands without a valid lease, and the requesters
+    /// try another controller.
     pub fn defer(&mut self, inputs: Vec<Input>) {
         for input in inputs {
             match input {
@@ -64,12 +67,12 @@
                 | Input::CancelRequested { ticket, .. }
                 | Input::Admin { ticket, .. }
                 | Input::ShardStatus { ticket, .. } => self.replies.discard(ticket),
-                fact => self.deferred.push(fact),
+                input => self.deferred.push(input),
             }
         }
     }
 
-    /// Runs one step of the core, with the inputs deferred until now before the new ones.
+    /// Runs one step of the core, with the deferred inputs before the new ones.
     pub fn step(&mut self, context: &ControllerContext, inputs: Vec<Input>) -> Vec<Effect> {
         let mut all_inputs = std::mem::take(&mut self.deferred);
         all_inputs.extend(inputs);
@@ -79,7 +82,7 @@
         self.core.step(now, all_inputs)
     }
 
-    /// Executes the effects of a step in their order, and then sends the relayed commands.
+    /// Executes the effects of a step in order, and then sends the commands that peers relay.
     pub fn execute(&mut self, effects: Vec<Effect>, executor: &EffectExecutor<'_>) {
         let mut relayed = RelayBatch::default();
         for effect in effects {
@@ -179,7 +182,7 @@
     }
 }
 
-/// Sends a message to a worker from here, or by way of the controller that owns its shard.
+/// Sends a message to a worker directly, or through the controller that owns its shard.
 fn send_or_relay(
     worker: String,
     via: Option<u32>,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,5 +1,5 @@
-//! One controller process: the event loop that owns its state, its part as leader and as
-//! follower, and the effects that it carries out.
+//! One controller process: the event loop that owns its state, its roles as leader and follower,
+//! and the effects that it executes.
 
 #![warn(missing_docs)]
 
@@ -9,7 +9,7 @@
 pub mod event_loop;
 pub mod follower;
 
-mod leading;
+mod leader;
 mod outcome_cache;
 mod pause_detector;
 mod pending_replies;
--- a/src/controller/outcome_cache.rs
+++ b/src/controller/outcome_cache.rs
@@ -1,4 +1,4 @@
-//! A bounded cache of job outcomes, which answers polls of finished jobs on any controller.
+//! A bounded cache of job outcomes, from which any controller answers polls of finished jobs.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,7 +7,7 @@
 
 const CAPACITY: usize = 4096;
 
-/// The outcomes of the jobs that finished last.
+/// A cache of job outcomes that evicts the oldest one first.
 #[derive(Default)]
 pub struct OutcomeCache {
     outcomes: HashMap<JobId, JobOutcome>,
--- a/src/controller/pause_detector.rs
+++ b/src/controller/pause_detector.rs
@@ -1,21 +1,21 @@
-//! Detects that the process was paused, or given no processor, for a while.
+//! Detects that the process was paused or got no CPU time for a while.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A longer time than this between two iterations of the event loop is a pause.
-const THRESHOLD: Duration = Duration::from_millis(600);
+/// The time between two iterations of the event loop above which the process was paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(600);
 
 /// Measures the time between iterations of the event loop.
 pub struct PauseDetector {
-    /// The event loop iterates at least so often.
+    /// The longest time between two iterations if the process is not paused.
     period: Duration,
     last_iteration: Instant,
 }
 
 impl PauseDetector {
-    /// A detector for a loop of this period that starts now.
+    /// Creates a detector for a loop that starts now and iterates at least once per `period`.
     pub fn new(period: Duration) -> Self {
         Self {
             period,
@@ -23,10 +23,10 @@
         }
     }
 
-    /// Records an iteration. Returns how long the process was paused before it, if it was.
+    /// Records an iteration. If the process was paused before it, returns how long.
     pub fn record_iteration(&mut self) -> Option<Duration> {
         let elapsed = self.last_iteration.elapsed();
         self.last_iteration = Instant::now();
-        (elapsed > THRESHOLD).then(|| elapsed - self.period)
+        (elapsed > PAUSE_THRESHOLD).then(|| elapsed - self.period)
     }
 }
--- a/src/controller/pending_replies.rs
+++ b/src/controller/pending_replies.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for the core's answer, by the ticket under which the core knows them.
+//! Requests that wait for an answer, by ticket. A ticket identifies a request to the core or to the
+//! heartbeat forwarder.
 
 use std::collections::HashMap;
 
@@ -8,10 +9,10 @@
 use crate::protocol::peer::ShardUpdate;
 use crate::transport::server::Outgoing;
 
-/// Where the answer to a request goes.
+/// The channel for the answer to a request.
 ///
-/// A reply that is dropped signals to the requester that this controller does not answer: a worker is
-/// then redirected.
+/// Dropping it signals to the requester that this controller does not answer. A worker is then
+/// redirected.
 pub enum PendingReply {
     Heartbeat(oneshot::Sender<Outgoing>),
     ShardStatus(oneshot::Sender<Option<ShardUpdate>>),
@@ -19,7 +20,7 @@
     Admin(oneshot::Sender<Option<AdminResponse>>),
 }
 
-/// The requests under way. An answer under an unknown ticket is dropped.
+/// The requests in progress, by ticket. An answer to an unknown ticket is dropped.
 #[derive(Default)]
 pub struct PendingReplies {
     by_ticket: HashMap<u64, PendingReply>,
@@ -40,7 +41,7 @@
         self.by_ticket.remove(&ticket);
     }
 
-    /// Removes the request of a heartbeat, so that it can be answered later.
+    /// Removes a heartbeat's request and returns its reply channel, to be answered later.
     pub fn take_heartbeat(&mut self, ticket: u64) -> Option<oneshot::Sender<Outgoing>> {
         match self.by_ticket.remove(&ticket) {
             Some(PendingReply::Heartbeat(reply)) => Some(reply),
--- a/src/controller/step_stats.rs
+++ b/src/controller/step_stats.rs
@@ -1,12 +1,12 @@
-//! How long the steps of the core take, logged at intervals.
+//! Statistics of how long the core's steps take, logged periodically.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
 const LOG_INTERVAL_S: f64 = 30.0;
-const SHORTEST_US: u64 = 1;
-const LONGEST_US: u64 = 60_000_000;
+const MIN_DURATION_US: u64 = 1;
+const MAX_DURATION_US: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// A histogram of step durations since the last log line.
@@ -18,20 +18,24 @@
 impl Default for StepStats {
     fn default() -> Self {
         Self {
-            durations_us: Histogram::new_with_bounds(SHORTEST_US, LONGEST_US, SIGNIFICANT_DIGITS)
-                .expect("the constants are valid bounds"),
+            durations_us: Histogram::new_with_bounds(
+                MIN_DURATION_US,
+                MAX_DURATION_US,
+                SIGNIFICANT_DIGITS,
+            )
+            .expect("the constants are valid bounds"),
             next_log_s: LOG_INTERVAL_S,
         }
     }
 }
 
 impl StepStats {
-    /// Counts a step. One that is longer than the histogram's bounds is not counted.
+    /// Records the duration of a step, unless it is above the histogram's upper bound.
     pub fn record(&mut self, duration: Duration) {
         let _ = self.durations_us.record(duration.as_micros() as u64);
     }
 
-    /// Logs and resets the histogram if the interval has passed.
+    /// Logs and resets the histogram if the log interval has passed.
     pub fn log_if_due(&mut self, now_s: f64) {
         if now_s < self.next_log_s {
             return;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,16 @@
 //! copperfield: a cluster scheduler for small sites.
 //!
-//! Layers, from the outside in: [`transport`] (HTTP and rate limits), [`protocol`] (wire types),
-//! [`api`] (requests of users, workers, peers and operators), [`coordination`] (the election, and
-//! the core that decides what runs where) and [`storage`] (what the state service keeps).
-//! [`controller`] joins them: its event loop is the only owner of a process's state, its effects
-//! are what the core asks for outside the process, and its context is what tasks may read without
-//! asking the event loop.
+//! The layers, from the outside in:
+//! - [`transport`]: HTTP and rate limits
+//! - [`protocol`]: wire types
+//! - [`api`]: requests from users, workers, peers and operators
+//! - [`coordination`]: the election, and the core that decides which task runs on which worker
+//! - [`storage`]: the records in the state service
+//!
+//! [`settings`] holds the platform's and the operators' settings. [`controller`] connects the
+//! layers: its event loop is the only owner of the process's state, its effects are the actions
+//! outside the process that the core requests, and its context is the state that tasks access
+//! without going through the event loop.
 
 pub mod api;
 pub mod controller;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! `copperfield`: one controller process.
+//! The `copperfield` binary: runs one controller process, checks settings, or runs an operator's
+//! command.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,19 +22,21 @@
 use tracing_subscriber::{Layer, Registry};
 
 const MIB: f64 = 1024.0 * 1024.0;
-/// The part of the process's memory that connections and requests under way may hold. The rest
-/// is for the program and for what the core keeps of the fleet.
-const CONNECTION_MEMORY_PART: f64 = 0.25;
+/// The share of the process's memory limit that connections and requests in progress may use. The
+/// rest is for the program and for the core's state.
+const CONNECTION_MEMORY_SHARE: f64 = 0.25;
+/// The memory for connections is not reduced below this, however low the memory limit is.
 const MIN_CONNECTION_MEMORY: f64 = 4.0 * MIB;
-/// Where the platform sets no memory limit.
+/// The memory for connections if the platform sets no memory limit.
 const DEFAULT_CONNECTION_MEMORY: f64 = 64.0 * MIB;
 
-const EXIT_BAD_SETTINGS: u8 = 2;
+/// The exit code if the settings are missing or invalid.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// A cluster scheduler for small sites.
 ///
-/// Serves with the settings of FILE. Operators' own settings are read from a
-/// file of the same name that ends in .hcl, if there is one.
+/// Runs a controller with the settings in FILE. The operators' settings are
+/// read from a file of the same name with the extension .hcl, if it exists.
 #[derive(Parser)]
 #[command(
     version,
@@ -49,7 +52,7 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Only check the settings.
+    /// Check the settings without starting a controller.
     Check(SettingsFiles),
     #[command(flatten)]
     Admin(copperfield_admin::cli::Command),
@@ -60,19 +63,20 @@
     /// The platform's settings (JSON).
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// Operators' settings (HCL); by default the file beside FILE that ends in .hcl.
+    /// The operators' settings (HCL); by default the file beside the platform's
+    /// settings with the extension .hcl.
     #[arg(long, value_name = "FILE", requires = "config")]
     tuning: Option<PathBuf>,
 }
 
-/// Why no controller can be started with the settings.
+/// Why the settings cannot be used.
 #[derive(Debug, Error)]
 enum LoadError {
     #[error("--config FILE is missing")]
     ConfigMissing,
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Each file is valid, and they contradict each other.
+    /// Each file is valid by itself, but the files contradict each other.
     #[error(transparent)]
     LeaderTtl(#[from] LeaderTtlTooLong),
 }
@@ -93,42 +97,42 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     match cli.action {
-        None => serve_with(&cli.serve),
+        None => run_controller(&cli.serve),
         Some(Action::Check(files)) => check(&files),
-        Some(Action::Admin(command)) => administer(command),
+        Some(Action::Admin(command)) => run_admin_command(command),
     }
 }
 
-/// Checks the settings and starts nothing.
+/// Checks the settings without starting a controller.
 fn check(files: &SettingsFiles) -> ExitCode {
     match files.load() {
         Ok(_) => {
             println!("settings are good");
             ExitCode::SUCCESS
         }
-        Err(error) => bad_settings(&error),
+        Err(error) => report_invalid_settings(&error),
     }
 }
 
 /// Runs an operator's command.
-fn administer(command: copperfield_admin::cli::Command) -> ExitCode {
+fn run_admin_command(command: copperfield_admin::cli::Command) -> ExitCode {
     match runtime() {
         Ok(runtime) => ExitCode::from(runtime.block_on(command.run())),
-        Err(error) => failure(&error),
+        Err(error) => report_failure(&error),
     }
 }
 
-/// Runs a controller until one of its parts fails.
-fn serve_with(files: &SettingsFiles) -> ExitCode {
+/// Runs a controller until one of its servers or its event loop ends.
+fn run_controller(files: &SettingsFiles) -> ExitCode {
     let (settings, tuning) = match files.load() {
         Ok(loaded) => loaded,
-        Err(error) => return bad_settings(&error),
+        Err(error) => return report_invalid_settings(&error),
     };
     init_logging(&tuning.log);
-    log_start(&settings, &tuning);
+    log_startup(&settings, &tuning);
     match runtime().and_then(|runtime| runtime.block_on(run(settings, tuning))) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => failure(&error),
+        Err(error) => report_failure(&error),
     }
 }
 
@@ -138,20 +142,21 @@
         .build()
 }
 
-/// Prints the error on one line.
-fn bad_settings(error: &LoadError) -> ExitCode {
+/// Prints the error on one line and returns the exit code.
+fn report_invalid_settings(error: &LoadError) -> ExitCode {
     eprintln!("copperfield: {}", error.to_string().replace('\n', " "));
-    ExitCode::from(EXIT_BAD_SETTINGS)
+    ExitCode::from(EXIT_INVALID_SETTINGS)
 }
 
-fn failure(error: &std::io::Error) -> ExitCode {
+/// Prints the error and returns the exit code.
+fn report_failure(error: &std::io::Error) -> ExitCode {
     eprintln!("copperfield: {error}");
     ExitCode::FAILURE
 }
 
-/// Logs the version and the settings that matter to a reader of the log.
-fn log_start(settings: &Settings, tuning: &Tuning) {
-    let on = |on: bool| if on { "on" } else { "off" };
+/// Logs the version and the main settings.
+fn log_startup(settings: &Settings, tuning: &Tuning) {
+    let on_or_off = |enabled: bool| if enabled { "on" } else { "off" };
     tracing::info!(
         version = env!("CARGO_PKG_VERSION"),
         member = settings.member,
@@ -160,8 +165,8 @@
         peers = %settings.peer_bind,
         state = %settings.external.state,
         cloud = %settings.external.cloud,
-        defragmentation = on(tuning.defragmentation.enabled),
-        operators = on(tuning.operators.is_some()),
+        defragmentation = on_or_off(tuning.defragmentation.enabled),
+        operators = on_or_off(tuning.operators.is_some()),
         "controller starting"
     );
 }
@@ -169,13 +174,13 @@
 fn init_logging(log: &Log) {
     let filter = Targets::new()
         .with_default(level_from_environment())
-        // A client that closes its connection is no error of ours, and a network partition
-        // would give one line for each of a thousand workers.
+        // warp logs each connection that a client closes. That is not an error of the server, and a
+        // network partition would produce a line for each worker.
         .with_target("warp", LevelFilter::OFF)
-        // Logs each pooled connection twice, which hides all else at debug.
+        // At debug level, hyper_util logs each pooled connection twice, which hides other lines.
         .with_target("hyper_util", LevelFilter::INFO);
-    let lines = log_lines(log).with_filter(filter);
-    tracing_subscriber::registry().with(lines).init();
+    let layer = log_layer(log).with_filter(filter);
+    tracing_subscriber::registry().with(layer).init();
 }
 
 fn level_from_environment() -> tracing::Level {
@@ -186,38 +191,38 @@
     }
 }
 
-/// Lines on standard error, in the format of the settings.
-fn log_lines(log: &Log) -> Box<dyn Layer<Registry> + Send + Sync> {
-    let lines = tracing_subscriber::fmt::layer()
+/// Creates a layer that writes log lines to standard error in the configured format.
+fn log_layer(log: &Log) -> Box<dyn Layer<Registry> + Send + Sync> {
+    let layer = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false);
     match (log.format, log.time) {
-        (LogFormat::Text, false) => lines.without_time().boxed(),
-        (LogFormat::Text, true) => lines.boxed(),
-        (LogFormat::Json, false) => lines.json().flatten_event(true).without_time().boxed(),
-        (LogFormat::Json, true) => lines.json().flatten_event(true).boxed(),
+        (LogFormat::Text, false) => layer.without_time().boxed(),
+        (LogFormat::Text, true) => layer.boxed(),
+        (LogFormat::Json, false) => layer.json().flatten_event(true).without_time().boxed(),
+        (LogFormat::Json, true) => layer.json().flatten_event(true).boxed(),
     }
 }
 
-/// How many bytes connections and requests under way may hold.
+/// The number of bytes that connections and requests in progress may use.
 fn connection_memory_bytes(limits: &Limits) -> usize {
     if limits.memory_mb == 0.0 {
         return DEFAULT_CONNECTION_MEMORY as usize;
     }
-    let part = limits.memory_mb * MIB * CONNECTION_MEMORY_PART;
-    part.max(MIN_CONNECTION_MEMORY) as usize
+    let share = limits.memory_mb * MIB * CONNECTION_MEMORY_SHARE;
+    share.max(MIN_CONNECTION_MEMORY) as usize
 }
 
 /// Serves users, workers and peers until one of the servers or the event loop ends.
 async fn run(settings: Settings, tuning: Tuning) -> std::io::Result<()> {
     let limits = &settings.cluster.limits;
-    // The rest of the sockets is for the controller's own calls, above all to workers.
+    // The remaining sockets are for the controller's own requests, most of which go to workers.
     let max_public_connections = limits.max_sockets * 6 / 10;
     let max_peer_connections = limits.max_sockets / 20;
     let meter = Meter::new(connection_memory_bytes(limits));
-    // Before anything else: while an earlier process of this member has its addresses, this one
-    // does nothing in the member's name. As its successor it may remove its leader key.
+    // The addresses are bound first, so that this process does nothing while an earlier process of
+    // the same member still runs. After binding, it may remove a leader key of the earlier process.
     let public_listener = bind(settings.public_addr).await?;
     let peer_listener = bind(settings.peer_bind).await?;
     let network = Arc::new(HttpClient::default());
@@ -237,10 +242,10 @@
         meter,
         move |request| api.clone().peer(request),
     );
-    // Whichever of these ends, the process is of no use any more.
+    // The process cannot continue without any one of these.
     tokio::select! {
         result = public_server => result,
         result = peer_server => result,
-        _ = tasks.event_loop_ended() => Err(std::io::Error::other("the owner of the state has ended")),
+        _ = tasks.event_loop_ended() => Err(std::io::Error::other("the event loop has ended")),
     }
 }
