--- a/crates/simulation/src/core_harness.rs
+++ b/crates/simulation/src/core_harness.rs
@@ -81,9 +81,9 @@
     /// Start commands executed so far.
     pub start_count: u64,
     /// Processor time of each step, in seconds.
-    pub steps: Vec<f64>,
+    pub step_durations_s: Vec<f64>,
     /// The longest value written so far, in bytes.
-    pub largest_value: usize,
+    pub largest_value_bytes: usize,
     /// The worker registry as it is stored.
     pub registry: BTreeMap<u32, Value>,
     /// Drains as they are stored.
@@ -171,8 +171,8 @@
             scaled_in: Vec::new(),
             written_changes: 0,
             start_count: 0,
-            steps: Vec::new(),
-            largest_value: 0,
+            step_durations_s: Vec::new(),
+            largest_value_bytes: 0,
             registry: BTreeMap::new(),
             drains: BTreeMap::new(),
             fencing: BTreeMap::new(),
@@ -226,9 +226,9 @@
         self.workers.insert(name.to_string(), worker);
     }
 
-    /// Submits a job; fields that the body leaves out have the values of [`stored`].
+    /// Submits a job; fields that the body leaves out have the values of [`stored_job`].
     pub fn submit(&mut self, body: &Value) -> JobId {
-        let job = stored(body, self.core.token + 1);
+        let job = stored_job(body, self.core.token + 1);
         let id = job.spec.id;
         self.specs.insert(id, job.spec.clone());
         self.scheduled_inputs.push((self.now, Input::Job(job)));
@@ -438,7 +438,7 @@
         self.next_step = now + 0.05;
         let began = Instant::now();
         let effects = self.core.step(now, inputs);
-        self.steps.push(began.elapsed().as_secs_f64());
+        self.step_durations_s.push(began.elapsed().as_secs_f64());
         for effect in effects {
             self.execute_effect(effect);
         }
@@ -702,13 +702,15 @@
             self.written_changes += write.changes();
             match &write {
                 Write::WorkerRegistry { page, value, .. } => {
-                    self.largest_value = self.largest_value.max(value.to_string().len());
+                    self.largest_value_bytes =
+                        self.largest_value_bytes.max(value.to_string().len());
                     self.registry.insert(*page, value.clone());
                 }
                 Write::Progress {
                     job, chunk, value, ..
                 } => {
-                    self.largest_value = self.largest_value.max(value.to_string().len());
+                    self.largest_value_bytes =
+                        self.largest_value_bytes.max(value.to_string().len());
                     self.progress_records.insert((*job, *chunk), value.clone());
                 }
                 Write::DeleteProgress { job, chunk, .. } => {
@@ -788,7 +790,7 @@
 }
 
 /// A job as the state service stores it: the body's fields over those of a small default job.
-pub fn stored(body: &Value, version: u64) -> StoredJob {
+pub fn stored_job(body: &Value, version: u64) -> StoredJob {
     let mut whole = json!({"jobclass": "c", "owner": "team", "shape": "sweep", "rank": "normal",
         "shards": 1, "cpus": 1.0, "memory_gb": 2.0, "bundle": "img", "pull_gb": 0.5, "runtime_s": 20.0});
     for (k, v) in body.as_object().expect("an object") {
--- a/examples/site.rs
+++ b/examples/site.rs
@@ -21,13 +21,13 @@
             _ => 17180 + i as u16,
         })
     });
-    site.world().anything_runs_s = Some(EVERY_TASK_RUNS_S);
+    site.fakes().unknown_job_runtime_s = Some(EVERY_TASK_RUNS_S);
     let hcl = "operators {\n  key = \"key-of-the-example\"\n}\n";
     site.write_settings(folder, Some(hcl))?;
     println!(
         "state service on {}, cloud on {}; settings in {}",
-        site.state,
-        site.cloud,
+        site.state_address,
+        site.cloud_address,
         folder.display()
     );
     site.run().await
