--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,5 @@
-//! The client: a pool of idle connections by address, each a socket and nothing else.
+//! The client: a pool of idle connections for each address. An idle connection holds a socket and no
+//! buffer.
 
 use std::collections::HashMap;
 use std::future::poll_fn;
@@ -16,25 +17,25 @@
 
 use crate::head::{self, BodyFraming, ResponseHead};
 
-/// The first read of a reply; most fit.
-const FIRST_READ: usize = 1024;
-/// The longest line with the size of a chunk.
-const MAX_CHUNK_LINE: usize = 256;
-/// What the head of a request takes beside its path.
+/// The initial size of the read buffer in bytes. Most replies fit in it.
+const INITIAL_BUFFER_BYTES: usize = 1024;
+/// The maximum length of the line with the size of a chunk, in bytes.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+/// The space reserved for the head of a request without its path, in bytes.
 const REQUEST_HEAD_BYTES: usize = 160;
-/// Replies with a lower status are followed by the final one.
+/// Replies with a lower status are interim: a final reply follows.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// Why there is no reply.
+/// Why a request got no usable reply.
 #[derive(Debug, Clone, Error)]
 pub enum CallError {
-    /// The connection never came about, so the request surely did not arrive.
+    /// No connection was established, so the request was certainly not delivered.
     #[error("could not connect")]
     Unsent,
-    /// It may have been carried out, or may still be.
+    /// There was no valid reply. The request may have been executed, or may still be.
     #[error("no answer: {0}")]
     Unknown(String),
-    /// The reply is larger than [`PoolConfig::max_body`]: the request may have been carried out.
+    /// The reply is larger than [`PoolConfig::max_body`]. The request may have been executed.
     #[error("the answer is too large")]
     TooLarge,
 }
@@ -57,37 +58,38 @@
 /// The limits of a [`Pool`].
 #[derive(Debug, Clone)]
 pub struct PoolConfig {
-    /// How long a connection may take to come about.
+    /// The timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// An idle connection is closed after so long.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// Idle connections that are kept for one address.
+    /// The maximum number of idle connections for each address.
     pub max_idle_per_address: usize,
-    /// Bytes of a reply's body.
+    /// The maximum size of a reply's body in bytes.
     pub max_body: usize,
 }
 
 struct IdleConnection {
     stream: TcpStream,
-    since: Instant,
+    idle_since: Instant,
 }
 
 #[derive(Default)]
 struct IdleConnections {
     by_address: HashMap<SocketAddr, Vec<IdleConnection>>,
-    swept_at: Option<Instant>,
+    last_cleanup: Option<Instant>,
 }
 
 impl IdleConnections {
-    /// Closes those that are too old, now and then.
-    fn sweep(&mut self, now: Instant, idle_timeout: Duration) {
-        let swept_lately = |at| now - at <= idle_timeout / 4;
-        if self.swept_at.is_some_and(swept_lately) {
+    /// Closes connections that have been idle for too long. Does nothing if the last cleanup was
+    /// recent.
+    fn clean_up(&mut self, now: Instant, idle_timeout: Duration) {
+        let is_recent = |at| now - at <= idle_timeout / 4;
+        if self.last_cleanup.is_some_and(is_recent) {
             return;
         }
-        self.swept_at = Some(now);
+        self.last_cleanup = Some(now);
         for connections in self.by_address.values_mut() {
-            connections.retain(|connection| now - connection.since < idle_timeout);
+            connections.retain(|connection| now - connection.idle_since < idle_timeout);
             connections.shrink_to_fit();
         }
         self.by_address
@@ -95,15 +97,15 @@
     }
 }
 
-/// Connections that are kept for the next request. Deadlines are the caller's: dropping a
-/// call closes its connection.
+/// A pool that keeps idle connections for later requests. It applies a timeout only to connecting:
+/// callers set their own deadlines, and dropping the future of a call closes its connection.
 pub struct Pool {
     config: PoolConfig,
     idle: Mutex<IdleConnections>,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(config: PoolConfig) -> Self {
         Self {
             config,
@@ -114,7 +116,7 @@
     /// Sends a request and waits for the whole reply.
     ///
     /// # Errors
-    /// There was no connection, no reply, or too large a one.
+    /// Returns an error if there was no connection, no valid reply, or a reply that is too large.
     pub async fn call(
         &self,
         method: &http::Method,
@@ -138,33 +140,36 @@
         Ok(reply)
     }
 
-    /// An idle connection that the other side has not closed, as far as one can see.
+    /// Returns an idle connection of which it is not known that the server has closed it.
     async fn take_idle(&self, to: SocketAddr) -> Option<TcpStream> {
         loop {
             let connection = {
                 let mut idle = self.idle.lock().expect("no panic while held");
                 idle.by_address.get_mut(&to)?.pop()?
             };
-            let fresh = connection.since.elapsed() < self.config.idle_timeout;
-            if fresh && is_quiet(&connection.stream).await {
+            let fresh = connection.idle_since.elapsed() < self.config.idle_timeout;
+            if fresh && has_nothing_to_read(&connection.stream).await {
                 return Some(connection.stream);
             }
         }
     }
 
     fn keep_idle(&self, to: SocketAddr, stream: TcpStream) {
-        let since = Instant::now();
+        let now = Instant::now();
         let mut idle = self.idle.lock().expect("no panic while held");
-        idle.sweep(since, self.config.idle_timeout);
+        idle.clean_up(now, self.config.idle_timeout);
         let connections = idle.by_address.entry(to).or_default();
         if connections.len() < self.config.max_idle_per_address {
-            connections.push(IdleConnection { stream, since });
+            connections.push(IdleConnection {
+                stream,
+                idle_since: now,
+            });
         }
     }
 }
 
-/// Nothing to read: neither an end nor a reply that nobody waits for.
-async fn is_quiet(stream: &TcpStream) -> bool {
+/// Whether a stream has nothing to read: it is not closed, and no unexpected data has arrived.
+async fn has_nothing_to_read(stream: &TcpStream) -> bool {
     let ready = poll_fn(|cx| Poll::Ready(stream.poll_read_ready(cx).is_ready())).await;
     if !ready {
         return true;
@@ -193,15 +198,13 @@
     stream.write_all(&out).await
 }
 
-/// The reply, and whether the connection may be used again.
+/// Reads a reply. Returns it with whether the connection can be used again.
 async fn receive(stream: &mut TcpStream, max_body: usize) -> Result<(Reply, bool), CallError> {
-    let mut bytes = Vec::with_capacity(FIRST_READ);
+    let mut bytes = Vec::with_capacity(INITIAL_BUFFER_BYTES);
     let head = receive_head(stream, &mut bytes).await?;
     let body = match head.body {
         Some(BodyFraming::None) => bytes,
-        Some(BodyFraming::Length(length)) => {
-            receive_length(stream, bytes, length, max_body).await?
-        }
+        Some(BodyFraming::Length(length)) => receive_sized(stream, bytes, length, max_body).await?,
         Some(BodyFraming::Chunked) => receive_chunks(stream, bytes, max_body).await?,
         None => receive_to_end(stream, bytes, max_body).await?,
     };
@@ -212,7 +215,7 @@
     Ok((reply, head.keep_alive))
 }
 
-/// Reads up to the end of the head; what came after it stays in `bytes`.
+/// Reads the head of the final reply. Bytes after the head stay in `bytes`.
 async fn receive_head(
     stream: &mut TcpStream,
     bytes: &mut Vec<u8>,
@@ -230,7 +233,7 @@
     }
 }
 
-async fn receive_length(
+async fn receive_sized(
     stream: &mut TcpStream,
     mut bytes: Vec<u8>,
     length: u64,
@@ -245,7 +248,7 @@
         read_more(stream, &mut bytes).await?;
     }
     if bytes.len() > length {
-        return Err(malformed("more than the answer"));
+        return Err(malformed("the answer is longer than its content-length"));
     }
     Ok(bytes)
 }
@@ -278,13 +281,13 @@
         if size.saturating_add(body.len()) > max_body {
             return Err(CallError::TooLarge);
         }
-        // The chunk and the end of its line; after the last one no trailers are accepted.
+        // Read the chunk and the line end after it. Trailers after the last chunk are not accepted.
         let end = start + size;
         while bytes.len() < end + 2 {
             read_more(stream, &mut bytes).await?;
         }
         if &bytes[end..end + 2] != b"\r\n" {
-            return Err(malformed("end of a chunk"));
+            return Err(malformed("a chunk has no line end"));
         }
         body.extend_from_slice(&bytes[start..end]);
         bytes.drain(..end + 2);
@@ -294,19 +297,21 @@
     }
 }
 
-/// Where the next chunk starts in `bytes`, and its size.
+/// Reads the size of the next chunk. Returns the offset of the chunk in `bytes`, and its size.
 async fn receive_chunk_size(
     stream: &mut TcpStream,
     bytes: &mut Vec<u8>,
 ) -> Result<(usize, usize), CallError> {
-    let invalid = || malformed("size of a chunk");
+    let invalid = || malformed("invalid chunk size");
     loop {
         match httparse::parse_chunk_size(bytes).map_err(|_| invalid())? {
             httparse::Status::Complete((start, size)) => {
                 let size = usize::try_from(size).map_err(|_| invalid())?;
                 return Ok((start, size));
             }
-            httparse::Status::Partial if bytes.len() > MAX_CHUNK_LINE => return Err(invalid()),
+            httparse::Status::Partial if bytes.len() > MAX_CHUNK_LINE_BYTES => {
+                return Err(invalid());
+            }
             httparse::Status::Partial => read_more(stream, bytes).await?,
         }
     }
@@ -314,7 +319,7 @@
 
 async fn read_more(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<()> {
     if bytes.capacity() == bytes.len() {
-        bytes.reserve(FIRST_READ.max(bytes.len() / 2));
+        bytes.reserve(INITIAL_BUFFER_BYTES.max(bytes.len() / 2));
     }
     match stream.read_buf(bytes).await? {
         0 => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -322,7 +327,7 @@
     }
 }
 
-/// The request arrived, but its reply makes no sense.
+/// The error for a malformed reply. The request may have been executed.
 fn malformed(problem: &str) -> CallError {
     CallError::Unknown(problem.to_string())
 }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,26 +1,27 @@
-//! Heads of messages: the parts that matter for framing, on httparse.
+//! Parses the heads of requests and responses with httparse, and determines the framing of their
+//! bodies.
 
 use http::header::{CONNECTION, CONTENT_LENGTH, EXPECT, TRANSFER_ENCODING};
 use http::{HeaderMap, HeaderName, HeaderValue};
 use thiserror::Error;
 
-/// The longest head that is accepted.
+/// The maximum length of a head in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most header fields that are accepted.
+/// The maximum number of header fields.
 const MAX_HEADERS: usize = 64;
-/// httparse's number for HTTP/1.0.
+/// The minor version that httparse reports for HTTP/1.0.
 const HTTP_1_0: u8 = 0;
 
 /// Why a head is refused.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ParseError {
-    /// It is not HTTP/1.
+    /// The head is not valid HTTP/1.
     #[error("{0}")]
     Syntax(String),
-    /// The end of the body is not given, or given in two ways.
+    /// The length of the body is invalid or ambiguous.
     #[error("content-length: not one number")]
     Length,
-    /// It is longer than [`MAX_HEAD_BYTES`].
+    /// The head is longer than [`MAX_HEAD_BYTES`].
     #[error("a head of over {MAX_HEAD_BYTES} bytes")]
     TooLong,
 }
@@ -30,9 +31,9 @@
 pub enum BodyFraming {
     /// There is no body.
     None,
-    /// So many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// Chunks, the last of which is empty.
+    /// The body is a sequence of chunks that ends with an empty one.
     Chunked,
 }
 
@@ -41,17 +42,17 @@
 pub struct RequestHead {
     /// The method.
     pub method: http::Method,
-    /// The target.
+    /// The request target.
     pub uri: http::Uri,
     /// All header fields.
     pub headers: HeaderMap,
-    /// Whether the client goes on using the connection.
+    /// Whether the client keeps the connection open after the response.
     pub keep_alive: bool,
     /// How the body is delimited.
     pub body: BodyFraming,
-    /// Whether the client sends the body only when it is asked to.
+    /// Whether the client may wait for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// Bytes of the head.
+    /// The length of the head in bytes.
     pub length: usize,
 }
 
@@ -62,16 +63,17 @@
     pub status: u16,
     /// Whether the connection can be used again.
     pub keep_alive: bool,
-    /// How the body is delimited; `None`: by the end of the connection.
+    /// How the body is delimited. `None`: it ends when the connection is closed.
     pub body: Option<BodyFraming>,
-    /// Bytes of the head.
+    /// The length of the head in bytes.
     pub length: usize,
 }
 
-/// Parses the head of a request at the start of `bytes`; `None` until all of it is there.
+/// Parses the head of a request at the start of `bytes`. Returns `None` if `bytes` does not contain all of
+/// it yet.
 ///
 /// # Errors
-/// It is malformed, or its framing could be read in two ways.
+/// Returns an error if the head is malformed or the framing of its body is ambiguous.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<RequestHead>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -92,10 +94,11 @@
     }))
 }
 
-/// Parses the head of a response at the start of `bytes`; `None` until all of it is there.
+/// Parses the head of a response at the start of `bytes`. Returns `None` if `bytes` does not contain all of
+/// it yet.
 ///
 /// # Errors
-/// It is malformed, or its framing could be read in two ways.
+/// Returns an error if the head is malformed or the framing of its body is ambiguous.
 pub fn parse_response(bytes: &[u8]) -> Result<Option<ResponseHead>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
@@ -116,7 +119,7 @@
     }))
 }
 
-/// The length of a head, `None` until all of it is there.
+/// Returns the length of a head, or `None` if `bytes` does not contain all of it yet.
 fn complete_length(
     parsed: httparse::Result<usize>,
     bytes: &[u8],
@@ -160,11 +163,12 @@
     }
 }
 
-/// `None`: no framing is given.
+/// Returns how a body is delimited, or `None` if no header says so.
 fn body_framing(headers: &HeaderMap) -> Result<Option<BodyFraming>, ParseError> {
     let length = content_length(headers)?;
     if headers.contains_key(TRANSFER_ENCODING) {
-        // Two ways to find the end of the body: a proxy before us may have chosen the other.
+        // With both headers the end of the body is ambiguous: a proxy in front of the server may
+        // have used the other one, which allows request smuggling.
         return match length {
             Some(_) => Err(ParseError::Length),
             None => Ok(Some(BodyFraming::Chunked)),
@@ -181,7 +185,7 @@
         _ => return Err(ParseError::Length),
     };
     let text = value.to_str().map_err(|_| ParseError::Length)?;
-    // A plus sign would pass as a number.
+    // `parse` would accept a leading plus sign.
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(ParseError::Length);
     }
--- a/crates/http/src/memory_budget.rs
+++ b/crates/http/src/memory_budget.rs
@@ -1,26 +1,28 @@
-//! The memory that connections and requests in flight may hold, and who is refused first.
+//! Limits the memory of connections and requests in flight. Requests of users are refused before
+//! those of workers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What an idle connection holds, as the benchmark measures it, rounded up.
+/// The memory of an idle connection in bytes, as measured by the benchmark `held` and rounded up.
 const CONNECTION_BYTES: usize = 2 * 1024;
-/// What a request in flight holds beside its body: head, futures, answer.
+/// The memory of a request in flight without its body, in bytes: the head, the futures and the
+/// response.
 pub const REQUEST_BYTES: usize = 8 * 1024;
-/// A body is held once as it came and once or twice as it is parsed.
+/// How many copies of a body are held at most: the received bytes and one or two parsed forms.
 const BODY_COPIES: usize = 3;
 
-/// Who sends a request: the lower class is refused first.
+/// The class of the client that sends a request. Requests of the lower class are refused first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientClass {
-    /// Can ask again in a second.
+    /// A user, who can repeat a refused request a second later.
     User,
-    /// Loses its lease, and its work, if it is refused for long.
+    /// A worker, which loses its lease and its work if it is refused for long.
     Worker,
 }
 
 impl ClientClass {
-    /// The part of `limit` bytes up to which requests of this class are accepted.
+    /// Returns how many of `limit` bytes may be in use after a request of this class is accepted.
     pub fn share(self, limit: usize) -> usize {
         match self {
             Self::User => three_quarters(limit),
@@ -33,7 +35,7 @@
     limit / 4 * 3
 }
 
-/// Counts the bytes held by all servers that share it, against a limit.
+/// Counts the bytes that are in use by all servers that share the budget, and enforces a limit.
 #[derive(Debug, Clone)]
 pub struct MemoryBudget {
     limit: usize,
@@ -41,7 +43,7 @@
 }
 
 impl MemoryBudget {
-    /// `limit`: bytes that may be held at once.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -49,35 +51,36 @@
         }
     }
 
-    /// Bytes held now.
+    /// Returns the number of bytes in use.
     pub fn used(&self) -> usize {
         self.used.load(Ordering::Relaxed)
     }
 
-    /// Bytes that may be held at once.
+    /// Returns the maximum number of bytes that may be in use.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// How many idle connections there is room for beside a quarter for requests.
+    /// Returns the maximum number of connections. A quarter of the budget is kept for requests.
     pub fn max_connections(&self) -> usize {
         (three_quarters(self.limit) / CONNECTION_BYTES).max(1)
     }
 
-    /// Counts an idle connection. It is open already, so it is counted even beyond the limit;
-    /// how many there are is bounded by [`MemoryBudget::max_connections`].
+    /// Reserves the memory of an idle connection, even beyond the limit, because the connection is
+    /// already open. The number of connections is bounded by [`MemoryBudget::max_connections`].
     pub fn reserve_connection(&self) -> Reservation {
         self.used.fetch_add(CONNECTION_BYTES, Ordering::Relaxed);
         self.reservation(CONNECTION_BYTES)
     }
 
-    /// Counts a request with a body of `body` bytes, if there is room for it.
+    /// Reserves the memory of a request with a body of `body_length` bytes. Returns `None` if that
+    /// would exceed the limit for the class.
     pub fn try_reserve_request(
         &self,
-        body: usize,
+        body_length: usize,
         client_class: ClientClass,
     ) -> Option<Reservation> {
-        let bytes = REQUEST_BYTES + body.saturating_mul(BODY_COPIES);
+        let bytes = REQUEST_BYTES + body_length.saturating_mul(BODY_COPIES);
         let limit = client_class.share(self.limit);
         let fits = |used: usize| used.checked_add(bytes).filter(|&after| after <= limit);
         self.used
@@ -94,7 +97,7 @@
     }
 }
 
-/// Bytes that are counted until this is dropped.
+/// Bytes of a [`MemoryBudget`] that are in use until the reservation is dropped.
 #[derive(Debug)]
 pub struct Reservation {
     memory_budget: MemoryBudget,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,5 +1,5 @@
-//! The server: one future for each connection, which holds a buffer only while a request is
-//! being read or answered.
+//! The server. Each connection has one future, which holds a buffer only while a request is read or
+//! answered.
 
 use std::future::Future;
 use std::io::{self, Write};
@@ -18,41 +18,43 @@
 use crate::head::{self, BodyFraming, ParseError, RequestHead};
 use crate::memory_budget::{ClientClass, MemoryBudget};
 
-/// The first read of a request; most fit.
-const FIRST_READ: usize = 1024;
-/// What the head of a response takes.
+/// The size of the buffer for the first read of a request in bytes. Most requests fit in it.
+const INITIAL_BUFFER_BYTES: usize = 1024;
+/// The space reserved for the head of a response, in bytes.
 const RESPONSE_HEAD_BYTES: usize = 160;
-/// The longest that a client may go on sending after its last answer.
-const LINGER: Duration = Duration::from_secs(1);
-/// When no connection can be accepted, the next attempt is after so long.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// The maximum time for which data from a client is discarded after the last response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// The delay before the next attempt after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a server holds its clients to.
+/// The limits and callbacks of a server.
 #[derive(Clone)]
 pub struct ServerConfig {
-    /// Connections at once. The next is left in the queue of the system.
+    /// The maximum number of open connections. Further ones wait in the system's accept queue.
     pub max_connections: usize,
-    /// A client that sends nothing for so long, or no whole head, is hung up on.
+    /// A connection is closed if its client sends nothing for this time, or does not complete the
+    /// head of a request within it.
     pub idle_timeout: Duration,
-    /// From the head of a request to the end of its answer.
+    /// The timeout for reading and handling a request, and again for sending its response.
     pub request_timeout: Duration,
-    /// Bytes of a body. A longer one is not read: the handler sees the head alone.
+    /// The maximum size of a body in bytes. A longer body is not read: the handler gets the head with
+    /// an empty body.
     pub max_body: u64,
-    /// With less than one in so many connections free, users get no second answer on their
-    /// connection: their idle ones could keep workers out for a whole lease.
+    /// If less than one in this many connections is free, the connections of users are closed after
+    /// a response. Otherwise idle connections of users could block workers for a whole lease.
     pub reserved_fraction: usize,
-    /// Counts what connections and requests hold.
+    /// The budget for the memory of connections and requests.
     pub memory_budget: MemoryBudget,
-    /// Who asks for this path.
+    /// Returns the class of the clients that send requests to a path.
     pub client_class: fn(&str) -> ClientClass,
-    /// The response to a request that is refused or times out.
+    /// Creates the response to a request that is refused or times out.
     pub error_response: fn(StatusCode, &str) -> Response<Bytes>,
 }
 
 /// Serves `handler` on a listener until the process ends.
 ///
 /// # Errors
-/// None yet: a connection that cannot be accepted is tried again.
+/// None: if a connection cannot be accepted, accepting is retried.
 pub async fn serve<H, F>(listener: TcpListener, config: ServerConfig, handler: H) -> io::Result<()>
 where
     H: Fn(Request<Full<Bytes>>) -> F + Clone + Send + Sync + 'static,
@@ -67,8 +69,8 @@
         let permit = permits.clone().acquire_owned().await;
         let permit = permit.expect("never closed");
         let Ok((stream, _)) = listener.accept().await else {
-            // No socket is free, or the client has gone already.
-            sleep(ACCEPT_RETRY).await;
+            // The process has no free socket, or the client has already disconnected.
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -82,18 +84,18 @@
         };
         tokio::spawn(async move {
             let _reservation = connection.config.memory_budget.reserve_connection();
-            // A client that hangs up is no error of ours.
+            // A client that disconnects is not an error of the server.
             let _ = connection.run().await;
             drop(permit);
         });
     }
 }
 
-/// What becomes of a connection after an answer.
-enum AfterAnswer {
-    ReadNext,
+/// What to do with a connection after a response.
+enum NextStep {
+    ReadNextRequest,
     Close,
-    /// Close, though the client may still be sending.
+    /// Close the connection although the client may still be sending.
     Linger,
 }
 
@@ -101,10 +103,10 @@
     stream: TcpStream,
     config: Arc<ServerConfig>,
     handler: H,
-    /// One for each connection that can still be accepted.
+    /// One permit for each connection that can still be accepted.
     permits: Arc<Semaphore>,
     max_connections: usize,
-    /// What came after the last request, in case there was anything.
+    /// The received bytes that are not yet parsed.
     unparsed: Vec<u8>,
 }
 
@@ -116,24 +118,24 @@
     async fn run(mut self) -> io::Result<()> {
         loop {
             let idle = self.unparsed.is_empty();
-            if idle && timeout(self.config.idle_timeout, self.first_bytes()).await?? == 0 {
+            if idle && timeout(self.config.idle_timeout, self.read_first_bytes()).await?? == 0 {
                 return Ok(());
             }
-            // Boxed, so that an idle connection is small.
+            // Boxed to keep the future of an idle connection small.
             match Box::pin(self.exchange()).await? {
-                AfterAnswer::ReadNext => {}
-                AfterAnswer::Close => return self.stream.shutdown().await,
-                AfterAnswer::Linger => return Box::pin(self.linger()).await,
+                NextStep::ReadNextRequest => {}
+                NextStep::Close => return self.stream.shutdown().await,
+                NextStep::Linger => return Box::pin(self.linger()).await,
             }
         }
     }
 
-    /// Waits without a buffer. The socket may be called readable when it is not: a new one is,
-    /// and one whose last read took all there was into a buffer that it filled.
-    async fn first_bytes(&mut self) -> io::Result<usize> {
+    /// Waits without a buffer for the first bytes of a request. The socket may be reported as readable
+    /// although it has no data: when it is new, or when the last read filled its buffer exactly.
+    async fn read_first_bytes(&mut self) -> io::Result<usize> {
         loop {
             self.stream.readable().await?;
-            let mut bytes = Vec::with_capacity(FIRST_READ);
+            let mut bytes = Vec::with_capacity(INITIAL_BUFFER_BYTES);
             match self.stream.try_read_buf(&mut bytes) {
                 Ok(read) => {
                     self.unparsed = bytes;
@@ -145,17 +147,18 @@
         }
     }
 
-    /// A socket closed with bytes unread is reset, and a client that is still sending loses the
-    /// answer with it. So what still comes is thrown away, for a bounded time.
+    /// Discards further data for a bounded time and then closes the connection. If a socket is closed
+    /// with unread bytes, the connection is reset, and a client that is still sending may lose the
+    /// response.
     async fn linger(&mut self) -> io::Result<()> {
         self.stream.shutdown().await?;
-        let to_the_end = skip(&mut self.stream, usize::MAX);
-        let _ = timeout(self.config.idle_timeout.min(LINGER), to_the_end).await;
+        let until_end = skip(&mut self.stream, usize::MAX);
+        let _ = timeout(self.config.idle_timeout.min(LINGER_TIMEOUT), until_end).await;
         Ok(())
     }
 
-    /// One request and its answer.
-    async fn exchange(&mut self) -> io::Result<AfterAnswer> {
+    /// Reads one request and sends its response.
+    async fn exchange(&mut self) -> io::Result<NextStep> {
         let mut bytes = std::mem::take(&mut self.unparsed);
         let idle_timeout = self.config.idle_timeout;
         let parsed = timeout(idle_timeout, read_head(&mut self.stream, &mut bytes)).await?;
@@ -168,93 +171,98 @@
         let body_length = match head.body {
             BodyFraming::Length(length) if length <= self.config.max_body => Some(length as usize),
             BodyFraming::None => Some(0),
-            // Not read: the handler refuses it by its head.
+            // The body is not read: the handler refuses the request because of its head.
             BodyFraming::Length(_) | BodyFraming::Chunked => None,
         };
-        let reserved = body_length.unwrap_or(0);
+        let expected = body_length.unwrap_or(0);
         match self
             .config
             .memory_budget
-            .try_reserve_request(reserved, client_class)
+            .try_reserve_request(expected, client_class)
         {
-            Some(_reservation) => self.answer(head, bytes, body_length, client_class).await,
+            Some(_reservation) => self.respond(head, bytes, body_length, client_class).await,
             None => self.refuse_overload(&head, bytes, body_length).await,
         }
     }
 
-    async fn refuse_malformed(&mut self, problem: &ParseError) -> io::Result<AfterAnswer> {
+    async fn refuse_malformed(&mut self, problem: &ParseError) -> io::Result<NextStep> {
         let response = (self.config.error_response)(StatusCode::BAD_REQUEST, &problem.to_string());
         self.send(response, false, false).await?;
-        Ok(AfterAnswer::Linger)
+        Ok(NextStep::Linger)
     }
 
-    /// Answers at once, and only then reads past the body.
+    /// Refuses a request at once, and only then skips its body.
     async fn refuse_overload(
         &mut self,
         head: &RequestHead,
         mut bytes: Vec<u8>,
         body_length: Option<usize>,
-    ) -> io::Result<AfterAnswer> {
+    ) -> io::Result<NextStep> {
         let problem = "too much is under way";
         let response = (self.config.error_response)(StatusCode::SERVICE_UNAVAILABLE, problem);
-        // A client that asks before it sends the body may send none or all of it: the next
-        // request would not be found.
-        let keep = head.keep_alive && body_length.is_some() && !head.expects_continue;
-        self.send(response, keep, head.method == Method::HEAD)
+        // A client that waits for `100 Continue` may or may not send the body, so the start of the
+        // next request is unknown.
+        let keep_alive = head.keep_alive && body_length.is_some() && !head.expects_continue;
+        self.send(response, keep_alive, head.method == Method::HEAD)
             .await?;
-        if !keep {
-            return Ok(AfterAnswer::Linger);
+        if !keep_alive {
+            return Ok(NextStep::Linger);
         }
         let length = body_length.unwrap_or(0);
         self.unparsed = bytes.split_off(length.min(bytes.len()));
-        let left = length - bytes.len();
+        let remaining = length - bytes.len();
         drop(bytes);
         let request_timeout = self.config.request_timeout;
-        timeout(request_timeout, skip(&mut self.stream, left)).await??;
-        Ok(AfterAnswer::ReadNext)
+        timeout(request_timeout, skip(&mut self.stream, remaining)).await??;
+        Ok(NextStep::ReadNextRequest)
     }
 
-    /// Reads the body, lets the handler answer, and sends its response.
-    async fn answer(
+    /// Reads the body, calls the handler and sends its response.
+    async fn respond(
         &mut self,
         head: RequestHead,
         bytes: Vec<u8>,
         body_length: Option<usize>,
         client_class: ClientClass,
-    ) -> io::Result<AfterAnswer> {
-        let to_head = head.method == Method::HEAD;
-        let mut keep = head.keep_alive && body_length.is_some();
-        let mut unread = body_length.is_none();
+    ) -> io::Result<NextStep> {
+        let is_head_request = head.method == Method::HEAD;
+        let mut keep_alive = head.keep_alive && body_length.is_some();
+        let mut has_unread_body = body_length.is_none();
         let request_timeout = self.config.request_timeout;
         let handled = self.handle(head, bytes, body_length.unwrap_or(0));
         let response = match timeout(request_timeout, handled).await {
             Ok(response) => response?,
             Err(_) => {
-                // What is left of it would be taken for the next request.
-                keep = false;
-                unread = true;
+                // The rest of the body would be parsed as the next request.
+                keep_alive = false;
+                has_unread_body = true;
                 let problem = "the request took too long to arrive";
                 (self.config.error_response)(StatusCode::REQUEST_TIMEOUT, problem)
             }
         };
-        keep &= self.may_keep(client_class);
-        timeout(request_timeout, self.send(response, keep, to_head)).await??;
-        Ok(match (keep, unread) {
-            (true, _) => AfterAnswer::ReadNext,
-            (false, false) => AfterAnswer::Close,
-            (false, true) => AfterAnswer::Linger,
+        keep_alive &= self.may_keep_alive(client_class);
+        timeout(
+            request_timeout,
+            self.send(response, keep_alive, is_head_request),
+        )
+        .await??;
+        Ok(match (keep_alive, has_unread_body) {
+            (true, _) => NextStep::ReadNextRequest,
+            (false, false) => NextStep::Close,
+            (false, true) => NextStep::Linger,
         })
     }
 
-    /// Whether a connection of this class may wait for its next request. With none free even
-    /// workers take turns: those without one would wait for longer than a lease.
-    fn may_keep(&self, client_class: ClientClass) -> bool {
+    /// Whether a connection of this class may stay open for further requests. If no connection is
+    /// free, connections of workers are closed too, because a worker without one would wait for longer
+    /// than a lease.
+    fn may_keep_alive(&self, client_class: ClientClass) -> bool {
         let free = self.permits.available_permits();
-        let crowded = free < self.max_connections / self.config.reserved_fraction;
-        free > 0 && !(client_class == ClientClass::User && crowded)
+        let is_reserve_used = free < self.max_connections / self.config.reserved_fraction;
+        free > 0 && !(client_class == ClientClass::User && is_reserve_used)
     }
 
-    /// `bytes`: what has been read of the body.
+    /// Reads the rest of the body and calls the handler. `bytes` is what was received after the head.
     async fn handle(
         &mut self,
         head: RequestHead,
@@ -279,12 +287,12 @@
         Ok((self.handler)(request).await)
     }
 
-    /// `to_head`: the request was `HEAD`, so the body is left out.
+    /// Sends a response, without its body if the method of the request was `HEAD`.
     async fn send(
         &mut self,
         response: Response<Bytes>,
-        keep: bool,
-        to_head: bool,
+        keep_alive: bool,
+        is_head_request: bool,
     ) -> io::Result<()> {
         let (parts, body) = response.into_parts();
         let mut out = Vec::with_capacity(RESPONSE_HEAD_BYTES + body.len());
@@ -299,16 +307,21 @@
                 out.extend_from_slice(b"\r\n");
             }
         }
-        let close = if keep { "" } else { "connection: close\r\n" };
+        let close = if keep_alive {
+            ""
+        } else {
+            "connection: close\r\n"
+        };
         write!(out, "{close}content-length: {}\r\n\r\n", body.len())?;
-        if !to_head {
+        if !is_head_request {
             out.extend_from_slice(&body);
         }
         self.stream.write_all(&out).await
     }
 }
 
-/// The outer error is the connection's, the inner one the client's.
+/// Reads the head of a request. The outer error is a failure of the connection, and the inner error
+/// is a malformed head.
 async fn read_head(
     stream: &mut TcpStream,
     bytes: &mut Vec<u8>,
@@ -323,14 +336,14 @@
     }
 }
 
-/// Reads `left` bytes and throws them away.
-async fn skip(stream: &mut TcpStream, mut left: usize) -> io::Result<()> {
+/// Reads and discards `remaining` bytes.
+async fn skip(stream: &mut TcpStream, mut remaining: usize) -> io::Result<()> {
     let mut buffer = [0; 1024];
-    while left > 0 {
-        let limit = left.min(buffer.len());
+    while remaining > 0 {
+        let limit = remaining.min(buffer.len());
         match stream.read(&mut buffer[..limit]).await? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            read => left -= read,
+            read => remaining -= read,
         }
     }
     Ok(())
