--- a/crates/simulation/src/state_service.rs
+++ b/crates/simulation/src/state_service.rs
@@ -1,4 +1,4 @@
-//! A fake state service, written from the published protocol: keys with versions, leases, guarded
+//! A fake state service, written from the published protocol: versioned keys, leases, guarded
 //! transactions and watches.
 
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
     value: Value,
     /// The revision of the last write.
     version: u64,
-    /// The lease whose end deletes the key.
+    /// The lease that the key is attached to. The end of the lease deletes the key.
     lease: Option<u64>,
 }
 
@@ -20,7 +20,7 @@
     expires_at: f64,
 }
 
-/// A change of a key; `value` is `None` if it was deleted.
+/// A change of a key. `value` is `None` for a deletion.
 struct Change {
     revision: u64,
     key: String,
@@ -35,7 +35,7 @@
     revision: u64,
     last_lease: u64,
     changes: Vec<Change>,
-    /// The service is down: it answers every request with an error.
+    /// Whether the service is down and answers every request with an error.
     pub outage: bool,
 }
 
@@ -43,11 +43,11 @@
 type Reply = (u16, Value);
 
 impl StateService {
-    /// Expires leases. In an outage leases do not age: `passed` seconds are added to them.
-    pub fn tick(&mut self, now: f64, passed: f64) {
+    /// Expires leases. In an outage leases do not age, so each is extended by `elapsed_s`.
+    pub fn tick(&mut self, now: f64, elapsed_s: f64) {
         if self.outage {
             for lease in self.leases.values_mut() {
-                lease.expires_at += passed;
+                lease.expires_at += elapsed_s;
             }
             return;
         }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Ends an outage: every lease has its full time to live again.
+    /// Ends an outage, and renews every lease for its full time to live.
     pub fn recover(&mut self, now: f64) {
         self.outage = false;
         for lease in self.leases.values_mut() {
@@ -70,6 +70,7 @@
         }
     }
 
+    /// Deletes a lease and all keys attached to it.
     fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let attached: Vec<String> = self
@@ -87,6 +88,7 @@
         }
     }
 
+    /// Records a change of a key for watches.
     fn record_change(&mut self, key: String, value: Option<Value>) {
         let revision = self.revision;
         self.changes.push(Change {
@@ -96,7 +98,7 @@
         });
     }
 
-    /// Answers any request but a watch.
+    /// Answers any request except a watch.
     pub fn handle(&mut self, now: f64, method: &str, path: &str, body: &[u8]) -> Reply {
         if self.outage {
             return (503, json!({"error": "trouble"}));
@@ -150,15 +152,15 @@
             .get("page")
             .and_then(|p| p.parse().ok())
             .unwrap_or(100);
-        let mut all = self
+        let mut matching = self
             .keys
             .iter()
             .filter(|(k, _)| k.starts_with(prefix) && k.as_str() > since)
             .map(|(key, entry)| json!({"path": key, "data": entry.value, "stamp": entry.version}));
-        let items: Vec<Value> = all.by_ref().take(page).collect();
+        let items: Vec<Value> = matching.by_ref().take(page).collect();
         (
             200,
-            json!({"items": items, "more": all.next().is_some(), "epoch": self.revision}),
+            json!({"items": items, "more": matching.next().is_some(), "epoch": self.revision}),
         )
     }
 
@@ -207,7 +209,7 @@
         (200, json!({"epoch": self.revision}))
     }
 
-    /// The answer to a watch; `None` while nothing has changed and it has to wait.
+    /// The answer to a watch, or `None` if nothing has changed and the watch has to wait.
     pub fn changes(&self, path: &str) -> Option<Reply> {
         let query = path.split_once('?')?.1;
         let query: BTreeMap<&str, &str> =
@@ -229,7 +231,7 @@
             .then(|| (200, json!({"epoch": self.revision, "events": events})))
     }
 
-    /// The answer to a watch that has waited long enough without a change.
+    /// The answer to a watch that has timed out without a change.
     pub fn watch_timeout(&self) -> Reply {
         (200, json!({"epoch": self.revision, "events": []}))
     }
